--- a/proxy/src/test/java/lemondeal/proxy/ListCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ListCrossingsTest.java
@@ -24,7 +24,7 @@
 import lemondeal.Balancer.Subscribe;
 import lemondeal.Balancer.Wake;
 import lemondeal.Balancer.WakeAfter;
-import lemondeal.module.Logic;
+import lemondeal.module.DecisionModule;
 import lemondeal.proxy.Site.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -456,7 +456,7 @@
       port = free.getLocalPort();
     }
     try (Site site = Site.of(null, setup -> {
-      setup.module = new Logic();
+      setup.module = new DecisionModule();
       setup.config = text -> (pushed ? pushes(text) : asks(text)).replaceFirst("\"discovery\":\"[^\"]*\"",
           "\"discovery\":\"127.0.0.1:" + port + "\"");
     })) {
@@ -487,7 +487,7 @@
   void aProcessThatAsksHasItsListWithinTheGrace() throws Exception {
     int[] port = new int[1];
     try (Site site = Site.of(null, setup -> {
-      setup.module = new Logic();
+      setup.module = new DecisionModule();
       setup.config = text -> {
         port[0] = Integer.parseInt(text.replaceFirst("(?s).*\"discovery\":\"127.0.0.1:(\\d+)\".*", "$1"));
         return asks(text).replace("\"membershipMode\"", "\"balancers\":100,\"membershipMode\"")
@@ -506,7 +506,7 @@
 
   private static List<Action> sends(Event event) {
     return event instanceof Arrived a ? List.of(new Send(a.request().id(), Site.SERVER, 0))
-        : event instanceof Ended e && !e.over() ? List.of(new Fail(e.id())) : List.of();
+        : event instanceof Ended e && !e.requestFinished() ? List.of(new Fail(e.id())) : List.of();
   }
 
   /** One instance, another address: open connections stay where they are, new ones go there. */
--- a/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
@@ -55,7 +55,7 @@
     if (event instanceof Arrived e) {
       return List.of(new Send(e.request().id(), Site.SERVER, 0));
     }
-    if (event instanceof Ended e && !e.over()) {
+    if (event instanceof Ended e && !e.requestFinished()) {
       return List.of(new Refuse(e.id(), 250_000));
     }
     if (event instanceof ClientGone e) {
@@ -180,7 +180,7 @@
       assertNull(server.line());
       site.await(ClientGone.class);
       Ended ended = site.await(Ended.class);
-      assertTrue(ended.over());
+      assertTrue(ended.requestFinished());
       assertEquals(Outcome.CANCELLED, ended.outcome());
     }
   }
@@ -399,7 +399,7 @@
       }
       ProbeResult result = site.await(ProbeResult.class);
       assertEquals(0.61, result.report().demand());
-      assertEquals(7, result.report().held());
+      assertEquals(7, result.report().openConnections());
     }
   }
 
--- a/proxy/src/test/java/lemondeal/proxy/ReadinessTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReadinessTest.java
@@ -11,7 +11,7 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import lemondeal.module.Logic;
+import lemondeal.module.DecisionModule;
 import lemondeal.net.Listener;
 import lemondeal.proxy.Site.Peer;
 import org.junit.jupiter.api.AfterEach;
@@ -97,7 +97,7 @@
 
   private Site site(boolean pushed, int discovery, ServerSocketChannel shared, boolean known) throws IOException {
     return keep(Site.of(null, setup -> {
-      setup.module = new Logic();
+      setup.module = new DecisionModule();
       setup.shared = shared;
       setup.config = text -> {
         String changed = text.replaceAll("\"discovery\":\"[^\"]*\"", "\"discovery\":\"127.0.0.1:" + discovery + "\"")
--- a/proxy/src/test/java/lemondeal/proxy/ReloadCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReloadCrossingsTest.java
@@ -20,7 +20,7 @@
 import lemondeal.Balancer.Start;
 import lemondeal.Balancer.Wake;
 import lemondeal.Balancer.WakeAfter;
-import lemondeal.module.Logic;
+import lemondeal.module.DecisionModule;
 import lemondeal.proxy.Site.Held;
 import lemondeal.proxy.Site.Peer;
 import org.junit.jupiter.api.Test;
@@ -146,10 +146,10 @@
   @Test
   void whatMayBeRepeatedIsSaidByTheSettingsItCameInWith() throws Exception {
     try (Site site = Site.of(event -> List.of(), setup -> {
-      setup.module = new Logic();
+      setup.module = new DecisionModule();
       setup.config = given -> text = given.replace("\"cancelling\":true", "\"cancelling\":true,\"tryLimit\":3");
     })) {
-      site.proxy.renewBy(Logic::new);
+      site.proxy.renewBy(DecisionModule::new);
       new DiscoveryPeer(site).list(2, site.instance("in_service"));
       site.await(ServerList.class);
       Peer old = site.client(CHAT);
--- a/proxy/src/test/java/lemondeal/proxy/ReloadListsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReloadListsTest.java
@@ -86,7 +86,7 @@
   void listsThatWerePushedAreAskedForFromThenOn() throws Exception {
     Function<Event, List<Action>> script = event -> event instanceof Wake ? List.of(new Subscribe(true))
         : event instanceof Arrived ? List.of(new WakeAfter(1_000_000, 1))
-        : event instanceof Start s && s.settings().mustAskForList() ? List.of(new WakeAfter(2_000_000, 1)) : List.of();
+        : event instanceof Start s && s.settings().mustSubscribe() ? List.of(new WakeAfter(2_000_000, 1)) : List.of();
     try (Site site = site(script)) {
       new DiscoveryPeer(site).list(4, site.instance("in_service"));
       site.await(ServerList.class);
@@ -94,7 +94,7 @@
       site.await(Arrived.class);
       reload(site, given -> given.replace("\"settings\":{",
           "\"settings\":{\"membershipMode\":\"subscribe\",\"rules\":{\"askEvery\":10000000},"));
-      assertTrue(next(0, Start.class).settings().mustAskForList());
+      assertTrue(next(0, Start.class).settings().mustSubscribe());
       site.jump(1_000_000);
       site.await(Wake.class);
       site.jump(1_000_000);
--- a/proxy/src/test/java/lemondeal/proxy/Reloads.java
+++ b/proxy/src/test/java/lemondeal/proxy/Reloads.java
@@ -19,7 +19,7 @@
 import lemondeal.Balancer.Event;
 import lemondeal.Balancer.ListKind;
 import lemondeal.Balancer.ServerList;
-import lemondeal.Scripted;
+import lemondeal.ScriptedBalancer;
 import lemondeal.config.Config;
 import lemondeal.proxy.Site.Peer;
 import org.junit.jupiter.api.io.TempDir;
@@ -54,7 +54,7 @@
     site.proxy.renewBy(() -> {
       BlockingQueue<Event> events = new LinkedBlockingQueue<>();
       heard.add(events);
-      return new Scripted(event -> {
+      return new ScriptedBalancer(event -> {
         events.add(event);
         return script.apply(event);
       });
--- a/proxy/src/test/java/lemondeal/proxy/RepeatLinksTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/RepeatLinksTest.java
@@ -20,7 +20,7 @@
 import lemondeal.Balancer.Outcome;
 import lemondeal.Balancer.Send;
 import lemondeal.Balancer.ServerList;
-import lemondeal.module.Logic;
+import lemondeal.module.DecisionModule;
 import lemondeal.proxy.Site.Held;
 import lemondeal.proxy.Site.Peer;
 import org.junit.jupiter.api.Test;
@@ -31,7 +31,7 @@
 
   /** The decision module, and what it sent. */
   private static final class Watched implements Balancer {
-    private final Logic logic = new Logic();
+    private final DecisionModule logic = new DecisionModule();
     private final BlockingQueue<Send> sends = new LinkedBlockingQueue<>();
 
     @Override
@@ -46,8 +46,8 @@
     }
 
     @Override
-    public Standing standing(long now) {
-      return logic.standing(now);
+    public ServerSummary serverSummary(long now) {
+      return logic.serverSummary(now);
     }
 
     /** The server that the next attempt goes to, counted from 0. */
--- a/proxy/src/test/java/lemondeal/proxy/ResumeTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ResumeTest.java
@@ -276,10 +276,10 @@
   @Test
   void claimedAndThenTakenByNoServer() throws Exception {
     Function<Event, List<Action>> twice = event -> {
-      if (event instanceof Ended e && !e.over() && e.attempt() == 0) {
+      if (event instanceof Ended e && !e.requestFinished() && e.attempt() == 0) {
         return List.of(new Send(e.id(), Site.SERVER, 0));
       }
-      return event instanceof Ended e && !e.over() ? List.of(new Refuse(e.id(), 40_000)) : ProxyTest.sendOnce(event);
+      return event instanceof Ended e && !e.requestFinished() ? List.of(new Refuse(e.id(), 40_000)) : ProxyTest.sendOnce(event);
     };
     try (Site site = new Site(twice, resumption(inMemory()))) {
       String token = begin(site).token();
--- a/proxy/src/test/java/lemondeal/proxy/RuleGuardTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/RuleGuardTest.java
@@ -36,7 +36,7 @@
     if (event instanceof Arrived e) {
       return List.of(new Send(e.request().id(), Site.SERVER, 0));
     }
-    if (event instanceof Ended e && !e.over()) {
+    if (event instanceof Ended e && !e.requestFinished()) {
       return e.attempt() == 0 ? List.of(new WakeAfter(LATER, Long.parseLong(e.id(), 16))) : List.of(new Fail(e.id()));
     }
     if (event instanceof Wake e) {
@@ -49,7 +49,7 @@
     if (event instanceof Arrived e) {
       return List.of(new Send(e.request().id(), Site.SERVER, 0));
     }
-    return event instanceof Ended e && !e.over() ? List.of(new Refuse(e.id(), 0)) : List.of();
+    return event instanceof Ended e && !e.requestFinished() ? List.of(new Refuse(e.id(), 0)) : List.of();
   }
 
   private static void runsOnceAlone(String semantics, String breach) throws Exception {
@@ -111,7 +111,7 @@
     if (event instanceof Arrived e) {
       return List.of(new Send(e.request().id(), Site.SERVER, 0));
     }
-    return event instanceof Ended e && !e.over() ? List.of(new Fail(e.id())) : List.of();
+    return event instanceof Ended e && !e.requestFinished() ? List.of(new Fail(e.id())) : List.of();
   }
 
   /**
--- a/proxy/src/test/java/lemondeal/proxy/ShutdownCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ShutdownCrossingsTest.java
@@ -326,7 +326,7 @@
     if (event instanceof Arrived e) {
       return List.of(new Send(e.request().id(), Site.SERVER, 0));
     }
-    if (event instanceof Ended e && !e.over()) {
+    if (event instanceof Ended e && !e.requestFinished()) {
       return e.attempt() == 0 ? List.of(new WakeAfter(300_000, Long.parseLong(e.id(), 16)))
           : List.of(new Refuse(e.id(), 250_000));
     }
--- a/proxy/src/test/java/lemondeal/proxy/Site.java
+++ b/proxy/src/test/java/lemondeal/proxy/Site.java
@@ -28,7 +28,7 @@
 import lemondeal.Balancer;
 import lemondeal.Balancer.Action;
 import lemondeal.Balancer.Event;
-import lemondeal.Scripted;
+import lemondeal.ScriptedBalancer;
 import lemondeal.config.Config;
 import lemondeal.config.Limits;
 import lemondeal.discovery.ListSource;
@@ -110,8 +110,8 @@
     }
 
     @Override
-    public Standing standing(long now) {
-      return module.standing(now);
+    public ServerSummary serverSummary(long now) {
+      return module.serverSummary(now);
     }
   }
 
@@ -198,7 +198,7 @@
   final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   final Proxy proxy;
   /** The script; null where another module decides. */
-  final Scripted module;
+  final ScriptedBalancer module;
 
   /** {@code script} answers each event; it runs on the proxy's I/O thread. */
   Site(Function<Event, List<Action>> script) throws IOException {
@@ -254,7 +254,7 @@
     }
     file = Files.createTempFile("lemondeal", ".json");
     Files.writeString(file, config(setup.family, setup.sockets));
-    module = setup.module != null ? null : new Scripted(event -> {
+    module = setup.module != null ? null : new ScriptedBalancer(event -> {
       events.add(event);
       return script.apply(event);
     });
--- a/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
@@ -13,7 +13,7 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.ArrayList;
 import java.util.List;
-import lemondeal.Balancer.Standing;
+import lemondeal.Balancer.ServerSummary;
 import lemondeal.net.Listener;
 import lemondeal.proxy.Site.Peer;
 import org.junit.jupiter.api.Test;
@@ -37,10 +37,10 @@
   @Test
   void acceptsNothingBeforeItHasAList() throws Exception {
     try (ServerSocketChannel socket = socket(); Site site = new Site(ProxyTest::sendOnce, socket)) {
-      site.module.standing = new Standing(false, 0, 0);
+      site.module.standing = new ServerSummary(false, 0, 0);
       Peer client = site.client().send("PING\r\n");
       assertEquals("400 no", site.caller().send("ready\r\n").line());
-      site.module.standing = new Standing(false, 1, 0);
+      site.module.standing = new ServerSummary(false, 1, 0);
       assertEquals("PONG", client.line(), "the list from before must do after a while");
       assertEquals("200 yes", site.caller().send("ready\r\n").line());
     }
