--- a/proxy/src/main/java/lemondeal/Extras.java
+++ b/proxy/src/main/java/lemondeal/Extras.java
@@ -102,7 +102,7 @@
       } catch (IOException e) {
         throw new ConfigException(operator.fleet().fault(e.getMessage()).toString());
       }
-      proxy.count(this::addTo);
+      proxy.addFigures(this::addTo);
     }
     if (zones != null) {
       zones.begin(proxy);
--- a/proxy/src/main/java/lemondeal/Serve.java
+++ b/proxy/src/main/java/lemondeal/Serve.java
@@ -67,7 +67,7 @@
           : new Proxy(config, module, log, extras.resumption(), extras.sources());
       if (extras == null) {
         String name = config.name();
-        proxy.renewBy(() -> traced(new DecisionModule(), name, environment, log));
+        proxy.setModuleFactory(() -> traced(new DecisionModule(), name, environment, log));
       }
       if (!environment.getOrDefault("GW_TRACE", "").isEmpty()) {
         proxy.traceRequests();
--- a/proxy/src/main/java/lemondeal/proxy/Requests.java
+++ b/proxy/src/main/java/lemondeal/proxy/ActiveRequests.java
@@ -8,12 +8,12 @@
  * The requests and connections under way, by the id under which the module knows them: the slot's handle. A
  * client's own id would not do, since two clients may send the same one.
  */
-final class Requests {
+final class ActiveRequests {
   private final SlotTable<ClientLink> slots;
-  private final Set<String> givenIds = new HashSet<>();
+  private final Set<String> clientRequestIds = new HashSet<>();
 
-  Requests(int most) {
-    slots = new SlotTable<>(most);
+  ActiveRequests(int capacity) {
+    slots = new SlotTable<>(capacity);
   }
 
   boolean isFull() {
@@ -21,8 +21,8 @@
   }
 
   /** Slots that are free. */
-  int left() {
-    return slots.left();
+  int freeSlots() {
+    return slots.freeSlots();
   }
 
   int size() {
@@ -33,12 +33,12 @@
     return slots.size() == 0;
   }
 
-  boolean holds(String givenId) {
-    return givenIds.contains(givenId);
+  boolean isIdInUse(String clientRequestId) {
+    return clientRequestIds.contains(clientRequestId);
   }
 
   String add(ClientLink client) {
-    givenIds.add(client.givenId());
+    clientRequestIds.add(client.clientRequestId());
     return Long.toHexString(slots.add(client));
   }
 
@@ -51,7 +51,7 @@
     long handle = Long.parseLong(id, 16);
     ClientLink client = slots.get(handle);
     if (client != null) {
-      givenIds.remove(client.givenId());
+      clientRequestIds.remove(client.clientRequestId());
       slots.remove(handle);
     }
   }
--- a/proxy/src/main/java/lemondeal/proxy/AdmissionControl.java
+++ b/proxy/src/main/java/lemondeal/proxy/AdmissionControl.java
@@ -12,15 +12,15 @@
     CLOSING
   }
 
-  private final Requests requests;
+  private final ActiveRequests requests;
   private State state = State.OPEN;
-  private Runnable emptied = () -> { };
+  private Runnable onEmpty = () -> { };
 
-  AdmissionControl(Requests requests) {
+  AdmissionControl(ActiveRequests requests) {
     this.requests = requests;
   }
 
-  boolean admits() {
+  boolean canAdmit() {
     return isOpen() && !requests.isFull();
   }
 
@@ -30,18 +30,18 @@
   }
 
   /** Whether a request that a client gave this id is inside: nobody else may use the id meanwhile. */
-  boolean holds(String givenId) {
-    return requests.holds(givenId);
+  boolean isIdInUse(String clientRequestId) {
+    return requests.isIdInUse(clientRequestId);
   }
 
-  String enter(ClientLink client) {
+  String register(ClientLink client) {
     return requests.add(client);
   }
 
-  void leave(String id) {
+  void unregister(String id) {
     requests.remove(id);
     if (state == State.CLOSING && requests.isEmpty()) {
-      emptied.run();
+      onEmpty.run();
     }
   }
 
@@ -58,9 +58,9 @@
   /** Lets nobody in any more, nor stay; {@code whenEmpty} is run as soon as nobody is left inside. */
   void close(Runnable whenEmpty) {
     state = State.CLOSING;
-    emptied = whenEmpty;
+    onEmpty = whenEmpty;
     if (requests.isEmpty()) {
-      emptied.run();
+      onEmpty.run();
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/ClientLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/ClientLink.java
@@ -27,14 +27,14 @@
   private final Context context;
   private final AdmissionControl admission;
   private final Link link;
-  private final OpenLine open;
+  private final OpenLine openLine;
   private final Continuity continuity;
   private final int requestClass;
   private final RequestRules rules;
   private State state = State.WAITING;
   private String id;
   private Request request;
-  private long adoptUntil;
+  private long adoptionDeadline;
   private int attempts;
   private Execution execution;
   /** From UP on. */
@@ -42,15 +42,15 @@
   private Timers.Timer timer;
   /** Whether the module knows of it. */
   private boolean admitted;
-  private boolean told;
+  private boolean continuityEnded;
 
-  ClientLink(Context context, AdmissionControl admission, Link link, OpenLine open, int requestClass) {
+  ClientLink(Context context, AdmissionControl admission, Link link, OpenLine openLine, int requestClass) {
     this.context = context;
     this.admission = admission;
     this.link = link;
-    this.open = open;
+    this.openLine = openLine;
     this.requestClass = requestClass;
-    continuity = context.continuity(open);
+    continuity = context.continuity(openLine);
     rules = new RequestRules(context.config().settings().classes().get(requestClass),
         context.config().settings().rules().drainGrace());
   }
@@ -58,18 +58,18 @@
   /** The admission must have room. */
   void start() {
     long now = context.now();
-    long due = now + (long) (open.deadlineMillis() * MILLI);
-    id = admission.enter(this);
-    context.trace().taken(open.id(), open.value("c"), open.deadlineMillis());
+    long deadline = now + (long) (openLine.deadlineMillis() * MILLI);
+    id = admission.register(this);
+    context.trace().taken(openLine.id(), openLine.value("c"), openLine.deadlineMillis());
     // The client counts from its sending: what the module believes ends a little earlier.
-    request = new Request(id, due - context.limits().answerLead(), requestClass, open.key(), open.value("g"),
-        open.number("h"), false, open.marked("again"), 0, open.marked("r"));
+    request = new Request(id, deadline - context.limits().answerLead(), requestClass, openLine.key(), openLine.value("g"),
+        openLine.number("h"), false, openLine.marked("again"), 0, openLine.marked("r"));
     link.start(this);
     if (isAdoption()) {
-      adoptUntil = now + context.limits().adoptFor();
+      adoptionDeadline = now + context.limits().adoptFor();
       adopt();
     } else {
-      timer = link.after(due - now, this::overdue);
+      timer = link.after(deadline - now, this::deadlineExpired);
       continuity.begin(this);
     }
   }
@@ -77,12 +77,12 @@
   @Override
   public void admit() {
     admitted = true;
-    context.decisions().tell(new Arrived(request));
+    context.dispatcher().dispatch(new Arrived(request));
   }
 
   /** The id that the client gave its request; the module knows the request by another. */
-  String givenId() {
-    return open.id();
+  String clientRequestId() {
+    return openLine.id();
   }
 
   Link link() {
@@ -105,7 +105,7 @@
    */
   @Override
   public void received(ByteBuffer bytes) {
-    refuse(EndReason.CLIENT_DID_NOT_WAIT);
+    failAndAbandon(EndReason.CLIENT_DID_NOT_WAIT);
     bytes.position(bytes.limit());
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** Whether the server's UP can be passed on; if not, its attempt has failed. */
-  boolean takes(String upLine) {
+  boolean acceptsUp(String upLine) {
     return continuity.takes(upLine);
   }
 
@@ -125,45 +125,45 @@
    * Whether the client still waits, by all that the system has of it already. Guards against sending on for one that
    * has gone: its end may stand in the socket behind what this turn is about.
    */
-  boolean stillWaits() {
+  boolean isStillWaiting() {
     if (state == State.WAITING) {
       link.readNow();
     }
     return state == State.WAITING;
   }
 
-  void execute(String server, long patience) {
-    if (execution != null || !stillWaits()) {
-      int number = attempts++;
-      context.decisions().tell(new Ended(id, number, server, Outcome.NOT_SENT, 0, state == State.OVER, null));
+  void execute(String server, long timeout) {
+    if (execution != null || !isStillWaiting()) {
+      int attemptNumber = attempts++;
+      context.dispatcher().dispatch(new Ended(id, attemptNumber, server, Outcome.NOT_SENT, 0, state == State.OVER, null));
       return;
     }
-    long left = request.due() - context.now();
-    context.trace().attempt(open.id(), attempts, server);
+    long remaining = request.due() - context.now();
+    context.trace().attempt(openLine.id(), attempts, server);
     execution = new Execution(context, this, server, attempts++);
-    execution.start(patience == 0 ? left : Math.min(patience, left));
+    execution.start(timeout == 0 ? remaining : Math.min(timeout, remaining));
   }
 
   /**
    * Whether the first line may go out now. Asked with nothing between the answer and the write: what was decided may be
    * some time ago. A connection that was open before is the server's own, and goes back to it.
    */
-  boolean maySend(Execution from) {
+  boolean maySend(Execution attempt) {
     if (!isAdoption()) {
       long now = context.now();
-      ServerEntry server = context.servers().entry(from.server());
-      long drainingSince = context.servers().drainingSince(from.server());
-      Breach breach = rules.ofSending(now, server, drainingSince);
-      if (breach != null) {
-        context.guard().count(breach, open.id(), "attempt " + from.number() + " at " + from.server() + " not sent");
+      ServerEntry server = context.servers().entry(attempt.server());
+      long drainingSince = context.servers().drainingSince(attempt.server());
+      Violation violation = rules.violationBySending(now, server, drainingSince);
+      if (violation != null) {
+        context.violations().count(violation, openLine.id(), "attempt " + attempt.number() + " at " + attempt.server() + " not sent");
         return false;
       }
       if (rules.isLateForDraining(now, drainingSince)) {
         return false;
       }
-      rules.sent(now, server);
+      rules.attemptSent(now, server);
     }
-    context.trace().sent(open.id(), from.number());
+    context.trace().sent(openLine.id(), attempt.number());
     return true;
   }
 
@@ -175,57 +175,57 @@
 
   /** A connection that was open before: its server is given, and no decision is made. */
   private void adopt() {
-    if (!stillWaits()) {
+    if (!isStillWaiting()) {
       return;
     }
-    long left = adoptUntil - context.now();
-    if (left <= 0) {
+    long remaining = adoptionDeadline - context.now();
+    if (remaining <= 0) {
       throttle(context.limits().throttleFor(), EndReason.NOT_ADOPTED);
       return;
     }
-    execution = new Execution(context, this, open.value("at"), attempts);
-    execution.start(left);
+    execution = new Execution(context, this, openLine.value("at"), attempts);
+    execution.start(remaining);
   }
 
   private boolean isAdoption() {
-    return open.value("at") != null;
+    return openLine.value("at") != null;
   }
 
-  void executionEnded(Execution ended, Outcome outcome, LoadReport report) {
+  void executionEnded(Execution endedExecution, Outcome outcome, LoadReport report) {
     execution = null;
-    rules.ended(outcome);
-    context.trace().attemptEnded(open.id(), ended.number(), outcome);
-    overForContinuity();
-    if (isAdoption() && !ended.cameUp()) {
+    rules.attemptEnded(outcome);
+    context.trace().attemptEnded(openLine.id(), endedExecution.number(), outcome);
+    endContinuity();
+    if (isAdoption() && !endedExecution.cameUp()) {
       if (state == State.WAITING) {
         timer = link.after(context.limits().adoptPause(), this::adopt);
       }
       return;
     }
-    context.decisions().tell(new Ended(id, ended.number(), ended.server(), outcome, ended.elapsed(),
+    context.dispatcher().dispatch(new Ended(id, endedExecution.number(), endedExecution.server(), outcome, endedExecution.elapsed(),
         state != State.WAITING, report));
   }
 
   /** What passes between client and server from now on, behind the server's answer. */
-  Tunnel open(Execution from) {
+  Tunnel openTunnel(Execution attempt) {
     state = State.UP;
     Timers.cancel(timer);
     rules.answered();
-    context.trace().up(open.id(), from.number());
-    tunnel = new Tunnel(context, link, continuity, request, from, this::leave,
-        reason -> context.trace().ended(open.id(), reason));
+    context.trace().up(openLine.id(), attempt.number());
+    tunnel = new Tunnel(context, link, continuity, request, attempt, this::endRequest,
+        reason -> context.trace().ended(openLine.id(), reason));
     return tunnel;
   }
 
   /** Passes the server's answer on. */
-  void up(Execution from, String line) {
-    link.send(line + "\r\n" + continuity.up(from.number(), from.server(), line));
+  void forwardUp(Execution attempt, String line) {
+    link.send(line + "\r\n" + continuity.up(attempt.number(), attempt.server(), line));
     link.start(tunnel);
     context.figures().served(requestClass);
     if (isAdoption()) {
-      context.decisions().tell(new Adopted(request, from.server()));
+      context.dispatcher().dispatch(new Adopted(request, attempt.server()));
     } else {
-      context.decisions().tell(new Established(id, from.number(), from.server(), from.elapsed()));
+      context.dispatcher().dispatch(new Established(id, attempt.number(), attempt.server(), attempt.elapsed()));
     }
     if (admission.isClosing()) {
       tunnel.move(EndReason.STOPPING);
@@ -233,10 +233,10 @@
   }
 
   /** A server that ends a connection without UP has served it to its end. */
-  void servedAtOnce(Execution from, String line, LoadReport report) {
-    leave();
-    context.answers().failed(link, requestClass, line + "\r\n", open.id(), EndReason.SERVED_AT_ONCE);
-    from.end(Outcome.SERVED, report);
+  void servedAtOnce(Execution attempt, String line, LoadReport report) {
+    endRequest();
+    context.answers().sendFailure(link, requestClass, line + "\r\n", openLine.id(), EndReason.SERVED_AT_ONCE);
+    attempt.end(Outcome.SERVED, report);
   }
 
   // ---- Final answers -------------------------------------------------------------------------
@@ -248,73 +248,73 @@
 
   /** Refuses, unless that would promise what is not so: then the request has failed. */
   void throttle(long retryAfter, EndReason reason) {
-    Breach breach = state == State.WAITING && !isAdoption() ? rules.ofRefusing() : null;
-    if (breach != null) {
-      context.guard().count(breach, open.id(), "failed in place of refused");
+    Violation violation = state == State.WAITING && !isAdoption() ? rules.violationByRefusing() : null;
+    if (violation != null) {
+      context.violations().count(violation, openLine.id(), "failed in place of refused");
       fail(EndReason.REFUSAL_WITHHELD);
     } else if (state == State.WAITING) {
-      leave();
-      context.answers().busy(link, requestClass, retryAfter, open.id(), reason);
+      endRequest();
+      context.answers().sendBusy(link, requestClass, retryAfter, openLine.id(), reason);
     }
   }
 
   void fail(EndReason reason) {
     if (state == State.WAITING) {
-      leave();
-      context.answers().failed(link, requestClass, open.id(), reason);
+      endRequest();
+      context.answers().sendFailure(link, requestClass, openLine.id(), reason);
     }
   }
 
   @Override
   public void fail(String line) {
     if (state == State.WAITING) {
-      leave();
-      context.answers().failed(link, requestClass, line + "\r\n", open.id(), EndReason.REFUSED_BY_SESSION);
+      endRequest();
+      context.answers().sendFailure(link, requestClass, line + "\r\n", openLine.id(), EndReason.REFUSED_BY_SESSION);
     }
   }
 
   /** Guards the promise of an answer in time, should the module let a request lie. */
-  private void overdue() {
+  private void deadlineExpired() {
     if (state == State.WAITING) {
-      refuse(EndReason.OVERDUE);
+      failAndAbandon(EndReason.OVERDUE);
     }
   }
 
   /** Ends the request from this side, with an answer and whatever the module makes of it. */
-  private void refuse(EndReason reason) {
+  private void failAndAbandon(EndReason reason) {
     fail(reason);
-    gone();
+    abandonRequest();
   }
 
   private void clientGone() {
-    context.trace().ended(open.id(), EndReason.CLIENT_GONE);
-    leave();
+    context.trace().ended(openLine.id(), EndReason.CLIENT_GONE);
+    endRequest();
     link.close();
-    gone();
+    abandonRequest();
   }
 
   /** Tells the module that no answer is owed any more; an execution that it leaves out is ended all the same. */
-  private void gone() {
+  private void abandonRequest() {
     if (admitted) {
-      context.decisions().tell(new ClientGone(id));
+      context.dispatcher().dispatch(new ClientGone(id));
     }
     if (execution != null) {
       execution.cancel();
     }
   }
 
-  private void leave() {
+  private void endRequest() {
     state = State.OVER;
     rules.answered();
     Timers.cancel(timer);
-    admission.leave(id);
-    overForContinuity();
+    admission.unregister(id);
+    endContinuity();
   }
 
   /** Nothing goes on from here once the connection is over and no attempt of it can come up any more. */
-  private void overForContinuity() {
-    if (state == State.OVER && execution == null && !told) {
-      told = true;
+  private void endContinuity() {
+    if (state == State.OVER && execution == null && !continuityEnded) {
+      continuityEnded = true;
       continuity.over();
     }
   }
@@ -323,7 +323,7 @@
 
   @Override
   public boolean say(String line) {
-    return state == State.UP && tunnel.say(line);
+    return state == State.UP && tunnel.sendLine(line);
   }
 
   @Override
@@ -346,14 +346,14 @@
     if (state == State.UP) {
       tunnel.moveNow(Outcome.CANCELLED, EndReason.STOPPING);
     } else if (state == State.WAITING) {
-      refuse(EndReason.STOPPING);
+      failAndAbandon(EndReason.STOPPING);
     }
   }
 
   /** The process ends with it inside. All of them had their last word before; one that had not gets it now. */
-  void endWithoutTime() {
+  void endAtProcessExit() {
     if (state == State.WAITING || (state == State.UP && tunnel.isMovable())) {
-      context.guard().count(Breach.ENDED_WITHOUT_ANSWER, open.id(), "inside at the process's end, in state " + state);
+      context.violations().count(Violation.ENDED_WITHOUT_ANSWER, openLine.id(), "inside at the process's end, in state " + state);
       endNow();
     }
   }
@@ -367,7 +367,7 @@
   /** Most have left altogether; one that has only ended its sending still reads what it is owed. */
   @Override
   public void ended() {
-    refuse(EndReason.CLIENT_DID_NOT_WAIT);
+    failAndAbandon(EndReason.CLIENT_DID_NOT_WAIT);
   }
 
   @Override
--- a/proxy/src/main/java/lemondeal/proxy/Clock.java
+++ b/proxy/src/main/java/lemondeal/proxy/Clock.java
@@ -2,15 +2,15 @@
 
 /** The system's time in microseconds since 1970, read once and then moved by the clock that never goes back. */
 class Clock {
-  private final long base = System.currentTimeMillis() * 1000;
-  private final long started = System.nanoTime();
+  private final long wallMicrosAtStart = System.currentTimeMillis() * 1000;
+  private final long nanosAtStart = System.nanoTime();
 
   long now() {
-    return base + (System.nanoTime() - started) / 1000;
+    return wallMicrosAtStart + (System.nanoTime() - nanosAtStart) / 1000;
   }
 
   /** The system's time as it is now, in microseconds: it may be stepped in either direction. */
-  long wall() {
+  long wallTime() {
     return System.currentTimeMillis() * 1000;
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Context.java
+++ b/proxy/src/main/java/lemondeal/proxy/Context.java
@@ -11,9 +11,9 @@
 import lemondeal.resume.Continuity;
 
 /** What a connection works with: the settings under which it came, and what goes by them. */
-record Context(Generations generations, Config config, Net net, Timers timers, Decisions decisions, DelayMeter delays,
-    Figures figures, FinalAnswer answers, KnownServers servers, RuleGuard guard, RequestTrace trace,
-    Function<OpenLine, Continuity> continuities) {
+record Context(Generations generations, Config config, Net net, Timers timers, EventDispatcher dispatcher, DelayMeter delayMeter,
+    Figures figures, FinalAnswer answers, KnownServers servers, ViolationCounter violations, RequestTrace trace,
+    Function<OpenLine, Continuity> continuityFactory) {
 
   /** What a request works with that begins now. */
   Context newest() {
@@ -26,8 +26,8 @@
   }
 
   /** How a new client's connection hangs together with others. */
-  Continuity continuity(OpenLine open) {
-    return continuities.apply(open);
+  Continuity continuity(OpenLine openLine) {
+    return continuityFactory.apply(openLine);
   }
 
   Limits limits() {
--- a/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
+++ b/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
@@ -19,38 +19,38 @@
 
   private static final long NEVER = Long.MIN_VALUE / 2;
   /** A delay told by a server comes within this part of a second after the last one. */
-  private static final long IN_TIME = 20;
+  private static final long INTERVAL_TOLERANCE_DIVISOR = 20;
   /** Seconds of work that pile up or are done in one, with a little to spare. */
-  private static final double WORK_FLOWS = 1.2;
+  private static final double MAX_BACKLOG_CHANGE_RATE = 1.2;
 
-  private static final class Server {
-    long notedAt = NEVER;
+  private static final class ServerDelays {
+    long reportedAt = NEVER;
     boolean slow;
     /** The last delay that it told itself, in milliseconds, and when. */
-    double toldMillis;
-    long toldAt = NEVER;
+    double serverReportedMillis;
+    long serverReportedAt = NEVER;
     /** When something last came from it. */
-    long heardAt = NEVER;
+    long lastReceivedAt = NEVER;
     /** The connection that was last told to wait while nothing came, and when; null if there is none. */
-    String waiting;
-    long waitingAt = NEVER;
+    String waitingConnection;
+    long waitingSince = NEVER;
   }
 
   private final long threshold;
-  private final long pause;
-  private final long together;
-  private final Consumer<Event> told;
-  private final Map<String, Server> servers = new HashMap<>();
+  private final long reportInterval;
+  private final long coincidenceWindow;
+  private final Consumer<Event> eventSink;
+  private final Map<String, ServerDelays> servers = new HashMap<>();
 
-  DelayMeter(Settings settings, Limits limits, Consumer<Event> told) {
-    long shortest = Long.MAX_VALUE;
-    for (RequestClass c : settings.classes()) {
-      shortest = c.messageLatencyTarget() > 0 ? Math.min(shortest, c.messageLatencyTarget()) : shortest;
+  DelayMeter(Settings settings, Limits limits, Consumer<Event> eventSink) {
+    long shortestAim = Long.MAX_VALUE;
+    for (RequestClass requestClass : settings.classes()) {
+      shortestAim = requestClass.messageLatencyTarget() > 0 ? Math.min(shortestAim, requestClass.messageLatencyTarget()) : shortestAim;
     }
-    threshold = shortest == Long.MAX_VALUE ? shortest : (long) (shortest * limits.noteShare());
-    pause = limits.noteEvery();
-    together = limits.noteEvery() + limits.unease();
-    this.told = told;
+    threshold = shortestAim == Long.MAX_VALUE ? shortestAim : (long) (shortestAim * limits.noteShare());
+    reportInterval = limits.noteEvery();
+    coincidenceWindow = limits.noteEvery() + limits.unease();
+    this.eventSink = eventSink;
   }
 
   /** Forgets all but these servers. */
@@ -59,14 +59,14 @@
   }
 
   /** Something came from this server, on whichever connection. */
-  void heard(long now, String server) {
-    Server s = server(server);
-    s.heardAt = now;
-    s.waiting = null;
+  void recordReceived(long now, String server) {
+    ServerDelays delays = delaysOf(server);
+    delays.lastReceivedAt = now;
+    delays.waitingConnection = null;
   }
 
-  private Server server(String name) {
-    return servers.computeIfAbsent(name, added -> new Server());
+  private ServerDelays delaysOf(String name) {
+    return servers.computeIfAbsent(name, added -> new ServerDelays());
   }
 
   /**
@@ -76,45 +76,45 @@
    * Where a large fleet leaves one proxy a connection or two at a server, a second one may never wait: so the module
    * hears of the first one too, as a reason to ask the server.
    */
-  void waiting(long now, String id, int attempt, String server, long micros) {
-    Server s = server(server);
-    if (s.heardAt > now - micros) {
+  void recordWaiting(long now, String id, int attempt, String server, long micros) {
+    ServerDelays delays = delaysOf(server);
+    if (delays.lastReceivedAt > now - micros) {
       return;
     }
-    boolean another = s.waiting != null && !s.waiting.equals(id) && now - s.waitingAt <= together;
-    s.waiting = id;
-    s.waitingAt = now;
-    told.accept(new Unanswered(id, attempt, server));
-    if (another) {
-      measured(now, id, attempt, server, micros);
+    boolean anotherWaits = delays.waitingConnection != null && !delays.waitingConnection.equals(id) && now - delays.waitingSince <= coincidenceWindow;
+    delays.waitingConnection = id;
+    delays.waitingSince = now;
+    eventSink.accept(new Unanswered(id, attempt, server));
+    if (anotherWaits) {
+      recordMeasured(now, id, attempt, server, micros);
     }
   }
 
   /** The server told this delay itself, in milliseconds. */
-  void told(long now, String server, double millis) {
-    Server s = server(server);
-    s.toldMillis = millis;
-    s.toldAt = now;
+  void recordServerReported(long now, String server, double millis) {
+    ServerDelays delays = delaysOf(server);
+    delays.serverReportedMillis = millis;
+    delays.serverReportedAt = now;
   }
 
   /**
    * Whether the figure goes on a row of delays that the server tells, one a second: it comes in time, and differs from
    * the last by no more than the work that can have piled up or been done since.
    */
-  boolean goesOn(long now, String server, double millis) {
-    Server s = server(server);
-    long since = now - s.toldAt;
-    return Math.abs(since - pause) <= pause / IN_TIME && Math.abs(millis - s.toldMillis) * 1000 <= WORK_FLOWS * since;
+  boolean continuesDelaySeries(long now, String server, double millis) {
+    ServerDelays delays = delaysOf(server);
+    long elapsed = now - delays.serverReportedAt;
+    return Math.abs(elapsed - reportInterval) <= reportInterval / INTERVAL_TOLERANCE_DIVISOR && Math.abs(millis - delays.serverReportedMillis) * 1000 <= MAX_BACKLOG_CHANGE_RATE * elapsed;
   }
 
   /** A message of this execution took so long from line to answering line. */
-  void measured(long now, String id, int attempt, String server, long micros) {
-    Server s = server(server);
-    boolean over = micros > threshold;
-    if ((over || s.slow) && now - s.notedAt >= pause) {
-      s.notedAt = now;
-      s.slow = over;
-      told.accept(new MessageDelay(id, attempt, server, micros / 1e3));
+  void recordMeasured(long now, String id, int attempt, String server, long micros) {
+    ServerDelays delays = delaysOf(server);
+    boolean overThreshold = micros > threshold;
+    if ((overThreshold || delays.slow) && now - delays.reportedAt >= reportInterval) {
+      delays.reportedAt = now;
+      delays.slow = overThreshold;
+      eventSink.accept(new MessageDelay(id, attempt, server, micros / 1e3));
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Decisions.java
+++ b/proxy/src/main/java/lemondeal/proxy/EventDispatcher.java
@@ -11,40 +11,40 @@
  * The way into the module and out of it. Carrying out an action may cause the next event at once; that one
  * waits until the actions of this one are done, so that the module never sees events out of order.
  */
-final class Decisions {
+final class EventDispatcher {
   /** Null once nothing is decided any more. */
   private Balancer module;
   private final LongSupplier clock;
-  private final Consumer<Action> actor;
-  private final ArrayDeque<Event> waiting = new ArrayDeque<>();
-  private boolean busy;
+  private final Consumer<Action> actionHandler;
+  private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+  private boolean dispatching;
 
-  Decisions(Balancer module, LongSupplier clock, Consumer<Action> actor) {
+  EventDispatcher(Balancer module, LongSupplier clock, Consumer<Action> actionHandler) {
     this.module = module;
     this.clock = clock;
-    this.actor = actor;
+    this.actionHandler = actionHandler;
   }
 
   /** From now on nobody decides: what the module has learnt can be forgotten. */
-  void end() {
+  void stop() {
     module = null;
-    waiting.clear();
+    pendingEvents.clear();
   }
 
-  void tell(Event event) {
-    waiting.add(event);
-    if (busy) {
+  void dispatch(Event event) {
+    pendingEvents.add(event);
+    if (dispatching) {
       return;
     }
-    busy = true;
+    dispatching = true;
     try {
-      for (Event next = waiting.poll(); next != null && module != null; next = waiting.poll()) {
+      for (Event next = pendingEvents.poll(); next != null && module != null; next = pendingEvents.poll()) {
         for (Action action : module.on(clock.getAsLong(), next)) {
-          actor.accept(action);
+          actionHandler.accept(action);
         }
       }
     } finally {
-      busy = false;
+      dispatching = false;
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Execution.java
+++ b/proxy/src/main/java/lemondeal/proxy/Execution.java
@@ -14,32 +14,32 @@
 /** One attempt of a request at one server, with its server link. Ends once and tells its client link. */
 final class Execution implements Link.Owner {
   /** Until its first line's last byte is written, in SENT, a server can't have acted on it. */
-  private enum State { DIALLING, SENDING, SENT, UP, OVER }
+  private enum State { DIALLING, SENDING, SENT, UP, ENDED }
 
   private final Context context;
   private final ClientLink client;
   private final String server;
   private final int number;
-  private final long begun;
-  private final LineParser lines;
+  private final long startedAt;
+  private final LineParser lineParser;
   private State state = State.DIALLING;
   private long deadline;
   private Dial dial;
   private Link link;
-  private Timers.Timer timeout;
+  private Timers.Timer timeoutTimer;
   /** What the server said before the first line was written; it may be its answer all the same. */
-  private ByteBuffer early = ByteBuffer.allocate(0);
+  private ByteBuffer earlyBytes = ByteBuffer.allocate(0);
   /** From UP on. */
   private Tunnel tunnel;
-  private ServerLine last = ServerLine.parse("");
+  private ServerLine lastLine = ServerLine.parse("");
 
   Execution(Context context, ClientLink client, String server, int number) {
     this.context = context;
     this.client = client;
     this.server = server;
     this.number = number;
-    begun = context.now();
-    lines = new LineParser(context.limits().lineBytes());
+    startedAt = context.now();
+    lineParser = new LineParser(context.limits().lineBytes());
   }
 
   String server() {
@@ -51,12 +51,12 @@
   }
 
   long elapsed() {
-    return context.now() - begun;
+    return context.now() - startedAt;
   }
 
   /** Whether nothing of a line has come that is not whole yet. */
-  boolean betweenLines() {
-    return !lines.midLine();
+  boolean isBetweenLines() {
+    return !lineParser.midLine();
   }
 
   /** Whether it came up, also after its end. */
@@ -71,15 +71,15 @@
   // ---- Until UP ------------------------------------------------------------------------------
 
   /** Dials, and waits for {@code UP} until the time is up. */
-  void start(long patience) {
-    deadline = begun + patience;
+  void start(long timeoutMicros) {
+    deadline = startedAt + timeoutMicros;
     InetSocketAddress address = context.group().address(server);
-    if (patience < 0 || address == null) {
-      Outcome outcome = patience < 0 ? Outcome.NOT_SENT : Outcome.NO_CONNECTION;
+    if (timeoutMicros < 0 || address == null) {
+      Outcome outcome = timeoutMicros < 0 ? Outcome.NOT_SENT : Outcome.NO_CONNECTION;
       context.net().later(() -> client.link().guarded(() -> end(outcome, null)));
       return;
     }
-    timeout = client.link().after(patience, this::timedOut);
+    timeoutTimer = client.link().after(timeoutMicros, this::timedOut);
     dial = context.net().dial(address, Math.min(context.limits().dial(), drainGrace()), this::connected,
         () -> end(Outcome.NO_CONNECTION, null));
   }
@@ -88,9 +88,9 @@
    * Writes the first line, unless there is nobody to write it for or to: a dial takes its time, and either side may
    * have ended meanwhile without this turn having come to it.
    */
-  private void connected(Link opened) {
-    link = opened;
-    if (!client.stillWaits()) {
+  private void connected(Link serverLink) {
+    link = serverLink;
+    if (!client.isStillWaiting()) {
       return;
     }
     if (elapsed() > drainGrace()) {
@@ -105,7 +105,7 @@
     }
     if (state == State.SENDING) {
       link.send(client.firstLine(Math.max(0, deadline - context.now()), number));
-      sent();
+      countIfSent();
     }
   }
 
@@ -120,12 +120,12 @@
   }
 
   /** Counts the attempt once its line's last byte is written, which may be at once or later. */
-  private void sent() {
+  private void countIfSent() {
     if (state == State.SENDING && link.isFlushed()) {
       state = State.SENT;
       context.figures().attempted();
-      if (early.hasRemaining()) {
-        received(early);
+      if (earlyBytes.hasRemaining()) {
+        received(earlyBytes);
       }
     }
   }
@@ -136,70 +136,70 @@
       link.readNow();
     }
     if (state != State.UP) {
-      end(unlessUnsent(Outcome.TIMED_OUT), null);
+      end(noConnectionUnlessSent(Outcome.TIMED_OUT), null);
     }
   }
 
   /** PROTOCOL: what ends before the line's last byte was written has never run. */
-  private Outcome unlessUnsent(Outcome outcome) {
+  private Outcome noConnectionUnlessSent(Outcome outcome) {
     return state == State.SENT ? outcome : Outcome.NO_CONNECTION;
   }
 
-  private void awaitUp(ByteBuffer bytes) throws ProtocolException {
-    String line = lines.next(bytes);
+  private void readAnswer(ByteBuffer bytes) throws ProtocolException {
+    String line = lineParser.next(bytes);
     if (line == null) {
       return;
     }
     ServerLine answer = ServerLine.parse(line);
     switch (answer.kind()) {
       case UP -> cameUp(line, answer);
-      case BUSY -> end(Outcome.REFUSED, Reports.read(answer));
+      case BUSY -> end(Outcome.REFUSED, LoadReportParser.parse(answer));
       case MOVE -> end(Outcome.CANCELLED, null);
-      case BYE -> client.servedAtOnce(this, line, Reports.read(answer));
-      default -> end(Outcome.ERROR, Reports.read(answer));
+      case BYE -> client.servedAtOnce(this, line, LoadReportParser.parse(answer));
+      default -> end(Outcome.ERROR, LoadReportParser.parse(answer));
     }
   }
 
   /** Guards against an answer that is none: one without a receipt. */
   private void cameUp(String line, ServerLine answer) {
-    if (answer.rest().isEmpty() || !client.takes(line)) {
+    if (answer.rest().isEmpty() || !client.acceptsUp(line)) {
       end(Outcome.ERROR, null);
       return;
     }
     state = State.UP;
-    Timers.cancel(timeout);
-    tunnel = client.open(this);
-    client.up(this, line);
+    Timers.cancel(timeoutTimer);
+    tunnel = client.openTunnel(this);
+    client.forwardUp(this, line);
   }
 
   // ---- From UP on ----------------------------------------------------------------------------
 
   @Override
   public int room() {
-    int line = context.limits().lineBytes();
+    int lineBytes = context.limits().lineBytes();
     return switch (state) {
-      case UP -> Math.max(0, tunnel.roomTowardsClient() - lines.pending());
-      case SENDING -> line - early.remaining();
-      default -> line;
+      case UP -> Math.max(0, tunnel.clientRoom() - lineParser.pending());
+      case SENDING -> lineBytes - earlyBytes.remaining();
+      default -> lineBytes;
     };
   }
 
   @Override
   public void received(ByteBuffer bytes) {
     if (state == State.SENDING) {
-      early = ByteBuffer.allocate(early.remaining() + bytes.remaining()).put(early).put(bytes).flip();
+      earlyBytes = ByteBuffer.allocate(earlyBytes.remaining() + bytes.remaining()).put(earlyBytes).put(bytes).flip();
       return;
     }
     try {
       if (state != State.UP) {
-        awaitUp(bytes);
+        readAnswer(bytes);
       }
       if (state == State.UP && bytes.hasRemaining()) {
-        context.delays().heard(context.now(), server);
-        pass(bytes);
+        context.delayMeter().recordReceived(context.now(), server);
+        forwardLines(bytes);
       }
     } catch (ProtocolException e) {
-      unreadable();
+      handleProtocolError();
     }
   }
 
@@ -208,28 +208,28 @@
    * middle of a line: with half of it passed on there was no place left for a MOVE. A line goes out before it is told:
    * what the module decides on it may be a move, which must not overtake or swallow the line.
    */
-  private void pass(ByteBuffer bytes) throws ProtocolException {
-    while (bytes.hasRemaining() && state != State.OVER) {
-      String line = lines.next(bytes);
+  private void forwardLines(ByteBuffer bytes) throws ProtocolException {
+    while (bytes.hasRemaining() && state != State.ENDED) {
+      String line = lineParser.next(bytes);
       if (line != null) {
-        tunnel.passLine(line);
-        ServerLine read = ServerLine.parse(line);
-        note(read);
-        tunnel.lineFromServer(read);
+        tunnel.forwardLine(line);
+        ServerLine parsed = ServerLine.parse(line);
+        recordLastLine(parsed);
+        tunnel.onServerLine(parsed);
       }
     }
     bytes.position(bytes.limit());
   }
 
   /** What comes behind a server's last word belongs to nobody, and does not change how the connection ended. */
-  private void note(ServerLine line) {
+  private void recordLastLine(ServerLine line) {
     if (endOutcome() == Outcome.RESET) {
-      last = line;
+      lastLine = line;
     }
   }
 
   /** Its client has had whole lines alone, and so can be moved. */
-  private void unreadable() {
+  private void handleProtocolError() {
     if (state == State.UP) {
       tunnel.moveNow(Outcome.ERROR, EndReason.SERVER_UNREADABLE);
     } else {
@@ -257,11 +257,11 @@
   }
 
   void end(Outcome outcome, LoadReport report) {
-    if (state == State.OVER) {
+    if (state == State.ENDED) {
       return;
     }
-    state = State.OVER;
-    Timers.cancel(timeout);
+    state = State.ENDED;
+    Timers.cancel(timeoutTimer);
     if (dial != null) {
       dial.cancel();
     }
@@ -276,7 +276,7 @@
     if (state == State.UP) {
       tunnel.serverEnded();
     } else {
-      end(unlessUnsent(Outcome.RESET), null);
+      end(noConnectionUnlessSent(Outcome.RESET), null);
     }
   }
 
@@ -284,16 +284,16 @@
   @Override
   public void broken() {
     if (state != State.UP) {
-      end(unlessUnsent(Outcome.RESET), null);
+      end(noConnectionUnlessSent(Outcome.RESET), null);
     } else if (endOutcome() == Outcome.RESET) {
-      tunnel.breakOff(Outcome.RESET, EndReason.SERVER_RESET);
+      tunnel.abort(Outcome.RESET, EndReason.SERVER_RESET);
     } else {
       tunnel.finish(true);
     }
   }
 
   private Outcome endOutcome() {
-    return switch (last.kind()) {
+    return switch (lastLine.kind()) {
       case BYE -> Outcome.SERVED;
       case MOVE -> Outcome.CANCELLED;
       default -> Outcome.RESET;
@@ -302,7 +302,7 @@
 
   @Override
   public void flushed() {
-    sent();
+    countIfSent();
     client.link().resume();
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
+++ b/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
@@ -18,36 +18,36 @@
   }
 
   /** Throttles: trying again is harmless, after this time if it is not 0. */
-  void busy(Link link, int requestClass, long micros, String id, EndReason reason) {
+  void sendBusy(Link link, int requestClass, long retryAfterMicros, String id, EndReason reason) {
     trace.ended(id, reason);
     figures.refused(requestClass);
-    end(link, micros <= 0 ? THROTTLED : "BUSY " + (micros + MILLI - 1) / MILLI + "\r\n");
+    sendAndFinish(link, retryAfterMicros <= 0 ? THROTTLED : "BUSY " + (retryAfterMicros + MILLI - 1) / MILLI + "\r\n");
   }
 
-  void failed(Link link, int requestClass, String id, EndReason reason) {
-    failed(link, requestClass, FAILED, id, reason);
+  void sendFailure(Link link, int requestClass, String id, EndReason reason) {
+    sendFailure(link, requestClass, FAILED, id, reason);
   }
 
   /** Any other line tells a client that its request has failed. */
-  void failed(Link link, int requestClass, String line, String id, EndReason reason) {
+  void sendFailure(Link link, int requestClass, String line, String id, EndReason reason) {
     trace.ended(id, reason);
     figures.failed(requestClass);
-    end(link, line);
+    sendAndFinish(link, line);
   }
 
   /** Answers one whose class can't be told, so that it counts in none. */
-  void unreadable(Link link) {
+  void rejectUnreadable(Link link) {
     trace.ended(null, EndReason.BAD_FIRST_LINE);
-    end(link, FAILED);
+    sendAndFinish(link, FAILED);
   }
 
   /** Ends one that has sent no request; should one be under way, trying again is harmless. */
-  void withoutRequest(Link link, EndReason reason) {
+  void endWithoutRequest(Link link, EndReason reason) {
     trace.ended(null, reason);
-    end(link, THROTTLED);
+    sendAndFinish(link, THROTTLED);
   }
 
-  private static void end(Link link, String line) {
+  private static void sendAndFinish(Link link, String line) {
     link.send(line);
     link.finish();
   }
--- a/proxy/src/main/java/lemondeal/proxy/Generation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generation.java
@@ -47,48 +47,48 @@
 final class Generation {
 
   /** What all generations of a proxy have in common. */
-  record Means(Net net, TimerWheel wheel, Requests requests, ListSource.Maker sources, EventLog log, String name,
-      StartTimes starts, RuleGuard guard, RequestTrace trace, Function<OpenLine, Continuity> continuities) {}
+  record SharedServices(Net net, TimerWheel wheel, ActiveRequests requests, ListSource.Maker sourceFactory, EventLog log, String name,
+      StartTimes startTimes, ViolationCounter violations, RequestTrace trace, Function<OpenLine, Continuity> continuityFactory) {}
 
-  private final Generations all;
-  private final Means means;
+  private final Generations generations;
+  private final SharedServices shared;
   /** Without the list of servers. */
   private final Config config;
   /** Null once this generation was dropped. */
   private Balancer module;
   private final HostGroup group;
-  private final Decisions decisions;
+  private final EventDispatcher dispatcher;
   private final ListSource source;
   private final Figures figures;
   private final Context context;
   private final KnownServers servers;
   private final Map<String, Prober> probers = new HashMap<>();
   /** The clients under way, once newer settings are in force; this generation has no others any more. */
-  private final Set<ClientLink> left = new HashSet<>();
+  private final Set<ClientLink> remainingClients = new HashSet<>();
   /** Whether it began with a list: none from before the process's start is to be told later. */
-  private boolean begunWithList;
+  private boolean startedWithList;
   /** The configuration's list in discovery's form, until this generation has begun: it is large. */
-  private Map<String, Object> known;
+  private Map<String, Object> configuredList;
   /** Of that list, to tell whether newer settings bring another one. */
-  private final long knownFingerprint;
+  private final long configuredListFingerprint;
   private boolean dropped;
 
-  Generation(Generations all, Means means, Config config, Balancer module, Figures figures) {
-    this.all = all;
-    this.means = means;
+  Generation(Generations generations, SharedServices shared, Config config, Balancer module, Figures figures) {
+    this.generations = generations;
+    this.shared = shared;
     this.config = config.withoutKnown();
-    known = config.known();
-    knownFingerprint = config.knownFingerprint();
+    configuredList = config.known();
+    configuredListFingerprint = config.knownFingerprint();
     this.module = module;
     this.figures = figures;
     group = new HostGroup(config.names());
-    servers = new KnownServers(config.names(), means.wheel()::now);
-    decisions = new Decisions(module, means.wheel()::now, this::act);
-    source = means.sources().make(means.net(), means.wheel(), config.limits(), config, group,
-        list -> all.listed(this, list));
-    DelayMeter delays = new DelayMeter(config.settings(), config.limits(), decisions::tell);
-    context = new Context(all, this.config, means.net(), means.wheel(), decisions, delays, figures,
-        new FinalAnswer(figures, means.trace()), servers, means.guard(), means.trace(), means.continuities());
+    servers = new KnownServers(config.names(), shared.wheel()::now);
+    dispatcher = new EventDispatcher(module, shared.wheel()::now, this::perform);
+    source = shared.sourceFactory().make(shared.net(), shared.wheel(), config.limits(), config, group,
+        list -> generations.listReceived(this, list));
+    DelayMeter delayMeter = new DelayMeter(config.settings(), config.limits(), dispatcher::dispatch);
+    context = new Context(generations, this.config, shared.net(), shared.wheel(), dispatcher, delayMeter, figures,
+        new FinalAnswer(figures, shared.trace()), servers, shared.violations(), shared.trace(), shared.continuityFactory());
   }
 
   Config config() {
@@ -108,20 +108,20 @@
   }
 
   ServerSummary standing() {
-    return module.serverSummary(means.wheel().now());
+    return module.serverSummary(shared.wheel().now());
   }
 
-  void tell(Event event) {
-    decisions.tell(event);
+  void dispatch(Event event) {
+    dispatcher.dispatch(event);
   }
 
   // ---- Beginning and end ---------------------------------------------------------------------
 
   /** The first one of a process: it knows the list of the configuration. */
   void start(long seed) throws ProtocolException {
-    known = Map.of();
-    decisions.tell(new Start(seed, config.settings()));
-    source.saved().forEach(this::hear);
+    configuredList = Map.of();
+    dispatcher.dispatch(new Start(seed, config.settings()));
+    source.saved().forEach(this::applyOwnList);
   }
 
   /**
@@ -130,24 +130,24 @@
    *
    * @throws ProtocolException if the new list can't be read: nothing has begun then
    */
-  void startAfter(Generation before, long seed) throws ProtocolException {
-    ServerList listed = group.saved(known);
-    known = Map.of();
-    boolean same = knownFingerprint == before.knownFingerprint || listed.entries().isEmpty();
-    if (same && before.servers.names().isEmpty()) {
+  void startAfter(Generation previous, long seed) throws ProtocolException {
+    ServerList configured = group.saved(configuredList);
+    configuredList = Map.of();
+    boolean sameList = configuredListFingerprint == previous.configuredListFingerprint || configured.entries().isEmpty();
+    if (sameList && previous.servers.serverIds().isEmpty()) {
       start(seed);
       return;
     }
-    ServerList list = same ? servers.takenOver(before.servers, listed) : before.servers.withEndsTold(listed);
-    begunWithList = true;
-    decisions.tell(new Start(seed, config.settings()));
+    ServerList list = sameList ? servers.takeOver(previous.servers, configured) : previous.servers.withEndsApplied(configured);
+    startedWithList = true;
+    dispatcher.dispatch(new Start(seed, config.settings()));
     source.saved();
-    if (same) {
-      group.tell(group.generation(), list.kind(), list.entries(), before.addresses(), 0);
+    if (sameList) {
+      group.tell(group.generation(), list.kind(), list.entries(), previous.addresses(), 0);
     }
-    servers.take(list);
-    tellList(list);
-    if (config.settings().mustSubscribe() && !config.discovery().equals(before.config.discovery())) {
+    servers.apply(list);
+    dispatchList(list);
+    if (config.settings().mustSubscribe() && !config.discovery().equals(previous.config.discovery())) {
       // What discovery has there counts soon, and no watch of before goes on in the meantime.
       source.watchAhead();
     }
@@ -155,7 +155,7 @@
 
   private Map<String, InetSocketAddress> addresses() {
     Map<String, InetSocketAddress> addresses = new HashMap<>();
-    for (String server : servers.names()) {
+    for (String server : servers.serverIds()) {
       if (group.address(server) != null) {
         addresses.put(server, group.address(server));
       }
@@ -165,28 +165,28 @@
 
   /** Newer settings are in force: only these clients are left here. */
   void supersede(Set<ClientLink> clients) {
-    left.addAll(clients);
+    remainingClients.addAll(clients);
   }
 
   /** How many servers it keeps in memory. */
-  int serversHeld() {
-    return servers.names().size();
+  int serverCount() {
+    return servers.serverIds().size();
   }
 
   /** Sends the clients away that are up: they come again and are served by the newest settings. */
   void moveAll() {
-    left.forEach(client -> client.link().guarded(() -> client.move(EndReason.SETTINGS_REPLACED)));
+    remainingClients.forEach(client -> client.link().guarded(() -> client.move(EndReason.SETTINGS_REPLACED)));
   }
 
   /** Discovery is asked no more under these settings. */
-  void stopAsking() {
+  void stopWatching() {
     source.watch(false);
   }
 
   /** Those left here that are still under way. */
-  Set<ClientLink> left(Set<ClientLink> underWay) {
-    left.retainAll(underWay);
-    return left;
+  Set<ClientLink> remainingClients(Set<ClientLink> activeClients) {
+    remainingClients.retainAll(activeClients);
+    return remainingClients;
   }
 
   /** Ends what is kept for requests; there are none any more. */
@@ -194,7 +194,7 @@
     dropped = true;
     List.copyOf(probers.values()).forEach(prober -> prober.end(Outcome.CANCELLED));
     // Timers that it has set may hold it for seconds yet.
-    decisions.end();
+    dispatcher.stop();
     module = null;
     servers.clear();
     group.clear();
@@ -208,79 +208,79 @@
   }
 
   /** What this generation's own source tells. */
-  void hear(ServerList list) {
-    if (list.kind() == ListKind.SAVED && begunWithList) {
+  void applyOwnList(ServerList list) {
+    if (list.kind() == ListKind.SAVED && startedWithList) {
       return;
     }
-    servers.take(list);
+    servers.apply(list);
     if (!dropped) {
-      tellList(list);
+      dispatchList(list);
     }
   }
 
   /** What the source of other settings tells, in their terms: drains and ends are for all to know. */
-  void overhear(ServerList list, Generation other) {
+  void applyForeignList(ServerList list, Generation other) {
     if (list.kind() == ListKind.FULL || list.kind() == ListKind.CHANGES) {
-      ServerList own = servers.translated(list, other.servers);
-      group.tell(group.generation(), own.kind(), own.entries(), other.addresses(), 0);
-      tellList(own);
+      ServerList translated = servers.translate(list, other.servers);
+      group.tell(group.generation(), translated.kind(), translated.entries(), other.addresses(), 0);
+      dispatchList(translated);
     }
   }
 
-  private void tellList(ServerList list) {
-    decisions.tell(means.starts().here(list));
+  private void dispatchList(ServerList list) {
+    dispatcher.dispatch(shared.startTimes().toLocalClock(list));
     if (list.kind() == ListKind.FULL || list.entries().stream().anyMatch(entry -> entry.state() == ServerState.GONE)) {
-      forgetGone();
+      pruneRemovedServers();
     }
   }
 
   /** Guards the memory of a process that runs for months, in a fleet where each new server has a new name. */
-  private void forgetGone() {
-    means.starts().keepOnly(servers.names());
-    context.delays().keepOnly(servers.names());
+  private void pruneRemovedServers() {
+    shared.startTimes().keepOnly(servers.serverIds());
+    context.delayMeter().keepOnly(servers.serverIds());
   }
 
   // ---- Actions -------------------------------------------------------------------------------
 
   /** A chain of tests rather than a switch: pattern switches are only a preview in Java 17. */
-  private void act(Action action) {
+  private void perform(Action action) {
     if (action instanceof Send a) {
-      with(a.id(), client -> client.execute(a.server(), a.timeout()));
+      withClient(a.id(), client -> client.execute(a.server(), a.timeout()));
     } else if (action instanceof WakeAfter a) {
-      means.wheel().after(a.delay(), () -> wake(a.token()));
+      shared.wheel().after(a.delay(), () -> wake(a.token()));
     } else if (action instanceof Move a) {
-      with(a.id(), client -> client.move(EndReason.MOVED_BY_MODULE));
+      withClient(a.id(), client -> client.move(EndReason.MOVED_BY_MODULE));
     } else if (action instanceof Refuse a) {
-      with(a.id(), client -> client.throttle(a.retryAfter(), EndReason.REFUSED_BY_MODULE));
+      withClient(a.id(), client -> client.throttle(a.retryAfter(), EndReason.REFUSED_BY_MODULE));
     } else if (action instanceof Fail a) {
-      with(a.id(), client -> client.fail(EndReason.FAILED_BY_MODULE));
+      withClient(a.id(), client -> client.fail(EndReason.FAILED_BY_MODULE));
     } else if (action instanceof CancelAttempt a) {
-      with(a.id(), client -> client.cancel(a.attempt()));
+      withClient(a.id(), client -> client.cancel(a.attempt()));
     } else if (action instanceof Probe a) {
       probe(a.server());
     } else if (action instanceof CloseIdle a && probers.get(a.server()) != null) {
       probers.get(a.server()).end(Outcome.CANCELLED);
-    } else if (action instanceof Subscribe a && all.isNewest(this)) {
+    } else if (action instanceof Subscribe a && generations.isNewest(this)) {
       source.watch(a.on());
-    } else if (action instanceof FetchList && all.isNewest(this)) {
+    } else if (action instanceof FetchList && generations.isNewest(this)) {
       source.fetch();
     } else if (action instanceof Log a) {
-      means.log().info("module", means.name() + " " + a.text());
+      shared.log().info("module", shared.name() + " " + a.text());
     }
   }
 
   /** A module that has no request left must not go on by itself. */
   private void wake(long token) {
     if (!dropped) {
-      decisions.tell(new Wake(token));
+      dispatcher.dispatch(new Wake(token));
     }
   }
 
   /** The module may name a request that has gone in the meantime; its slot may have a new holder. */
-  private void with(String id, Consumer<ClientLink> act) {
-    ClientLink client = means.requests().find(id);
+  private void withClient(String id, Consumer<ClientLink> task) {
+    ClientLink client = shared.requests().find(id);
     if (client != null) {
-      client.link().guarded(() -> act.accept(client));
+      client.link().guarded(() -> task.accept(client));
     }
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/Generations.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generations.java
@@ -22,30 +22,30 @@
  */
 final class Generations {
   /** How often it is looked whether an older generation has ended: what it keeps is little. */
-  private static final long LOOK_EVERY = 1_000_000;
+  private static final long CHECK_INTERVAL = 1_000_000;
   /**
    * Servers that older settings keep in memory together at most: as many as the largest fleet has (STANDING), some
    * 800 bytes each. One client that stays was enough to keep them all.
    */
-  private static final int OLDER_SERVERS_MOST = 3_200;
+  private static final int MAX_OLDER_SERVERS = 3_200;
 
-  private final Generation.Means means;
-  private final Runnable told;
+  private final Generation.SharedServices shared;
+  private final Runnable onListReceived;
   private final long seed;
   private final Set<Generation> older = new LinkedHashSet<>();
   private Generation newest;
   /** The one before, while its watch goes on because the newest one's has told nothing yet; null otherwise. */
-  private Generation watching;
-  private Timers.Timer look;
+  private Generation previousWatching;
+  private Timers.Timer checkTimer;
   /** Null where settings count from the next start. */
-  private Supplier<Balancer> modules;
+  private Supplier<Balancer> moduleFactory;
 
   /** {@code told} is run whenever discovery has told a list. */
-  Generations(Generation.Means means, Config config, Balancer module, Runnable told) {
-    this.means = means;
-    this.told = told;
+  Generations(Generation.SharedServices shared, Config config, Balancer module, Runnable onListReceived) {
+    this.shared = shared;
+    this.onListReceived = onListReceived;
     seed = config.seed();
-    newest = new Generation(this, means, config, module, new Figures(config.names().classes()));
+    newest = new Generation(this, shared, config, module, new Figures(config.names().classes()));
   }
 
   void start() throws ProtocolException {
@@ -53,8 +53,8 @@
   }
 
   /** From now on each change of the settings is taken over, with a module of its own. */
-  void renewBy(Supplier<Balancer> modules) {
-    this.modules = modules;
+  void setModuleFactory(Supplier<Balancer> moduleFactory) {
+    this.moduleFactory = moduleFactory;
   }
 
   Generation newest() {
@@ -71,118 +71,118 @@
   }
 
   /** Discovery is elsewhere; the settings stay as they are. */
-  void moveDiscovery(Config fresh) {
+  void reconfigureDiscovery(Config fresh) {
     newest.reconfigure(fresh);
   }
 
   /** Takes a configuration over that was read anew and checked. What can't be served is one line in the log. */
   void reconfigure(Config fresh) {
     if (fresh.servesAs(newest.config())) {
-      moveDiscovery(fresh);
-    } else if (modules == null) {
-      means.log().info("settings-kept", "lemondeal: the new settings count from the next start");
-      moveDiscovery(fresh);
+      reconfigureDiscovery(fresh);
+    } else if (moduleFactory == null) {
+      shared.log().info("settings-kept", "lemondeal: the new settings count from the next start");
+      reconfigureDiscovery(fresh);
     } else {
-      renew(fresh);
+      startNewGeneration(fresh);
     }
   }
 
-  private void renew(Config fresh) {
-    Generation before = newest;
-    Set<ClientLink> clients = underWay();
-    older.forEach(generation -> clients.removeAll(generation.left(underWay())));
-    newest = new Generation(this, means, fresh, modules.get(), before.figures().next(fresh.names().classes()));
+  private void startNewGeneration(Config fresh) {
+    Generation previous = newest;
+    Set<ClientLink> clients = activeClients();
+    older.forEach(generation -> clients.removeAll(generation.remainingClients(activeClients())));
+    newest = new Generation(this, shared, fresh, moduleFactory.get(), previous.figures().next(fresh.names().classes()));
     try {
-      newest.startAfter(before, seed);
+      newest.startAfter(previous, seed);
     } catch (ProtocolException e) {
-      refuse(before, "known: " + e.getMessage());
+      rollBack(previous, "known: " + e.getMessage());
       return;
     } catch (RuntimeException | OutOfMemoryError e) {
       // One that has begun by half would serve whoever comes by half a list.
-      refuse(before, e.toString());
+      rollBack(previous, e.toString());
       return;
     }
-    before.supersede(clients);
-    older.add(before);
-    takeOverWatch(before);
-    boundOlder();
+    previous.supersede(clients);
+    older.add(previous);
+    takeOverWatch(previous);
+    limitOlder();
     dropEnded();
-    means.log().info("settings", "lemondeal: new settings serve what comes from now on; " + clients.size()
+    shared.log().info("settings", "lemondeal: new settings serve what comes from now on; " + clients.size()
         + " under way end by those that they came in with");
   }
 
-  private void refuse(Generation before, String why) {
-    newest.stopAsking();
+  private void rollBack(Generation previous, String reason) {
+    newest.stopWatching();
     newest.drop();
-    newest = before;
-    means.log().warn("reload-refused", "lemondeal: the configuration stays as it was: " + why);
+    newest = previous;
+    shared.log().warn("reload-refused", "lemondeal: the configuration stays as it was: " + reason);
   }
 
   /**
    * Discovery is not asked by two sources for longer than it takes the new one to be told, nor at an address that is no
    * longer the one. Guards against drains that nobody hears: proxies that are all told to reload ask one after another.
    */
-  private void takeOverWatch(Generation before) {
-    stopWatching();
-    if (before.config().discovery().equals(newest.config().discovery())) {
-      watching = before;
+  private void takeOverWatch(Generation previous) {
+    stopPreviousWatch();
+    if (previous.config().discovery().equals(newest.config().discovery())) {
+      previousWatching = previous;
     } else {
-      before.stopAsking();
+      previous.stopWatching();
     }
   }
 
-  private void stopWatching() {
-    if (watching != null) {
-      watching.stopAsking();
-      watching = null;
+  private void stopPreviousWatch() {
+    if (previousWatching != null) {
+      previousWatching.stopWatching();
+      previousWatching = null;
     }
   }
 
   /** What a source tells goes to all; one that is no longer asked is not heard any more. */
-  void listed(Generation from, ServerList list) {
-    if (from != newest && from != watching) {
+  void listReceived(Generation sender, ServerList list) {
+    if (sender != newest && sender != previousWatching) {
       return;
     }
-    if (from == newest && list.kind() != ListKind.FAILED && list.kind() != ListKind.SAVED) {
-      stopWatching();
+    if (sender == newest && list.kind() != ListKind.FAILED && list.kind() != ListKind.SAVED) {
+      stopPreviousWatch();
     }
-    from.hear(list);
+    sender.applyOwnList(list);
     Set<Generation> others = new LinkedHashSet<>(older);
     others.add(newest);
-    others.remove(from);
-    others.forEach(generation -> generation.overhear(list, from));
-    told.run();
+    others.remove(sender);
+    others.forEach(generation -> generation.applyForeignList(list, sender));
+    onListReceived.run();
   }
 
   /**
    * Guards the memory when settings change again and again while a client of each stays: the oldest ones' clients are
    * moved, and what is kept for them goes with them. Requests that wait end by their own deadlines.
    */
-  private void boundOlder() {
+  private void limitOlder() {
     List<Generation> newestFirst = new ArrayList<>(older);
     Collections.reverse(newestFirst);
-    int held = 0;
+    int heldServers = 0;
     for (Generation generation : newestFirst) {
-      held += generation.serversHeld();
-      if (held > OLDER_SERVERS_MOST) {
+      heldServers += generation.serverCount();
+      if (heldServers > MAX_OLDER_SERVERS) {
         generation.moveAll();
       }
     }
   }
 
-  private Set<ClientLink> underWay() {
-    return new HashSet<>(means.requests().all());
+  private Set<ClientLink> activeClients() {
+    return new HashSet<>(shared.requests().all());
   }
 
   private void dropEnded() {
-    Set<ClientLink> underWay = underWay();
+    Set<ClientLink> activeClients = activeClients();
     for (Generation generation : List.copyOf(older)) {
-      if (generation.left(underWay).isEmpty()) {
+      if (generation.remainingClients(activeClients).isEmpty()) {
         older.remove(generation);
         generation.drop();
       }
     }
-    Timers.cancel(look);
-    look = older.isEmpty() ? null : means.wheel().after(LOOK_EVERY, this::dropEnded);
+    Timers.cancel(checkTimer);
+    checkTimer = older.isEmpty() ? null : shared.wheel().after(CHECK_INTERVAL, this::dropEnded);
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Stop.java
+++ b/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
@@ -14,68 +14,68 @@
  * who has the listening socket: if it is this process's own, they are throttled until it closes; if another
  * process accepts from it too, nothing more is accepted here, and all that was is served.
  */
-final class Stop {
+final class GracefulShutdown {
   /** In this order, and never back. */
-  private enum State { NOT_ORDERED, SERVING, MOVING, OVER }
+  private enum State { NOT_STARTED, SERVING, MOVING, DONE }
 
   private final Limits limits;
   private final Timers timers;
   private final AdmissionControl admission;
-  private final Requests requests;
+  private final ActiveRequests requests;
   /** Whether connections wait here whose first line has not come. */
-  private final BooleanSupplier awaited;
+  private final BooleanSupplier hasPendingLinks;
   /** Ends those with an answer. */
-  private final Runnable endAwaited;
+  private final Runnable endPendingLinks;
   private final CountDownLatch done = new CountDownLatch(1);
-  private State state = State.NOT_ORDERED;
+  private State state = State.NOT_STARTED;
   private Listener listener;
-  private long movedBy;
+  private long moveDeadline;
 
-  Stop(Limits limits, Timers timers, AdmissionControl admission, Requests requests, BooleanSupplier awaited,
-      Runnable endAwaited) {
+  GracefulShutdown(Limits limits, Timers timers, AdmissionControl admission, ActiveRequests requests, BooleanSupplier hasPendingLinks,
+      Runnable endPendingLinks) {
     this.limits = limits;
     this.timers = timers;
     this.admission = admission;
     this.requests = requests;
-    this.awaited = awaited;
-    this.endAwaited = endAwaited;
+    this.hasPendingLinks = hasPendingLinks;
+    this.endPendingLinks = endPendingLinks;
   }
 
   /** For a process that has the clients' listening socket for itself. */
-  void begin(Listener own) {
-    if (ordered(own)) {
+  void begin(Listener ownListener) {
+    if (startOnce(ownListener)) {
       admission.throttle();
       timers.after(limits.drainAccept(), () -> {
         long closesAt = timers.now();
-        own.acceptRestAndClose(() -> hold(closesAt));
+        ownListener.acceptRestAndClose(() -> serveOn(closesAt));
       });
     }
   }
 
   /** The socket is closed: those inside stay for a while, counted from when it was to close. */
-  private void hold(long closesAt) {
-    long left = requests.isEmpty() ? 0 : closesAt + limits.drainHold() - timers.now();
-    timers.after(Math.max(0, left), () -> moveWithin(limits.drainSpread()));
+  private void serveOn(long closesAt) {
+    long remaining = requests.isEmpty() ? 0 : closesAt + limits.drainHold() - timers.now();
+    timers.after(Math.max(0, remaining), () -> moveWithin(limits.drainSpread()));
   }
 
   /**
    * For a process that shares it. Guards those whose line is still on its way: turned away, each of them would
    * count against the upgrade. The others have where to go at once, and so all of the time is used to move them.
    */
-  void handOver(Listener shared) {
-    if (ordered(shared)) {
-      shared.suspend();
+  void handOver(Listener sharedListener) {
+    if (startOnce(sharedListener)) {
+      sharedListener.suspend();
       moveWithin(limits.drainAccept() + limits.drainHold() + limits.drainSpread());
     }
   }
 
   /** Whether this is the first order; its times count, and another one changes nothing. */
-  private boolean ordered(Listener clients) {
-    if (state != State.NOT_ORDERED) {
+  private boolean startOnce(Listener clientListener) {
+    if (state != State.NOT_STARTED) {
       return false;
     }
     state = State.SERVING;
-    listener = clients;
+    listener = clientListener;
     timers.after(limits.drainMost() - limits.linger(), this::endRequests);
     timers.after(limits.drainMost(), this::end);
     return true;
@@ -90,14 +90,14 @@
    * in the middle of a line, and a request that would wait longer than this process may, were cut off without a word.
    */
   private void endRequests() {
-    requests.all().forEach(client -> sendAway(client, ClientLink::endNow));
+    requests.all().forEach(client -> readThenApply(client, ClientLink::endNow));
   }
 
   private void end() {
-    if (state != State.OVER) {
-      state = State.OVER;
-      endAwaited.run();
-      requests.all().forEach(ClientLink::endWithoutTime);
+    if (state != State.DONE) {
+      state = State.DONE;
+      endPendingLinks.run();
+      requests.all().forEach(ClientLink::endAtProcessExit);
       listener.endAll();
       done.countDown();
     }
@@ -105,25 +105,25 @@
 
   private void moveWithin(long micros) {
     state = State.MOVING;
-    movedBy = timers.now() + micros;
-    moveSome();
+    moveDeadline = timers.now() + micros;
+    moveNextBatch();
   }
 
   /**
    * Moves a few clients, and the others step by step. Guards the other proxies, their servers and what stands
    * behind set-ups against a crowd: clients that are moved come again within a moment, all of them together.
    */
-  private void moveSome() {
-    long steps = Math.max(0, movedBy - timers.now()) / limits.drainStep();
+  private void moveNextBatch() {
+    long remainingSteps = Math.max(0, moveDeadline - timers.now()) / limits.drainStep();
     List<ClientLink> movable = requests.all().stream().filter(ClientLink::isMovable).toList();
-    long share = (movable.size() + steps) / (steps + 1);
-    movable.subList(0, (int) share).forEach(client -> sendAway(client, moved -> moved.move(EndReason.STOPPING)));
-    boolean allSeen = movable.size() <= share && !awaited.getAsBoolean();
-    if (steps == 0 || allSeen) {
+    long batchSize = (movable.size() + remainingSteps) / (remainingSteps + 1);
+    movable.subList(0, (int) batchSize).forEach(client -> readThenApply(client, moved -> moved.move(EndReason.STOPPING)));
+    boolean noneRemaining = movable.size() <= batchSize && !hasPendingLinks.getAsBoolean();
+    if (remainingSteps == 0 || noneRemaining) {
       // Who comes up from now on is moved at once.
-      admission.close(() -> timers.after(limits.linger(), this::endUnlessAwaited));
+      admission.close(() -> timers.after(limits.linger(), this::endUnlessPending));
     } else {
-      timers.after(limits.drainStep(), this::moveSome);
+      timers.after(limits.drainStep(), this::moveNextBatch);
     }
   }
 
@@ -131,8 +131,8 @@
    * What was written last has arrived by now. Guards those whose first line is on its way when nobody else is left:
    * they were cut off while there was time.
    */
-  private void endUnlessAwaited() {
-    if (!awaited.getAsBoolean()) {
+  private void endUnlessPending() {
+    if (!hasPendingLinks.getAsBoolean()) {
       end();
     }
   }
@@ -141,8 +141,8 @@
    * Ends this client's connection after a look at what it has written. Guards the last line to it: many go at once,
    * more sides than may linger, and one that was closed over unread bytes was reset.
    */
-  private static void sendAway(ClientLink client, Consumer<ClientLink> away) {
+  private static void readThenApply(ClientLink client, Consumer<ClientLink> action) {
     client.link().readNow();
-    client.link().guarded(() -> away.accept(client));
+    client.link().guarded(() -> action.accept(client));
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Reports.java
+++ b/proxy/src/main/java/lemondeal/proxy/LoadReportParser.java
@@ -5,11 +5,11 @@
 import lemondeal.codec.ServerLine;
 
 /** Turns the names of a load report, as servers or as the settings write them, into the module's figures. */
-final class Reports {
-  private Reports() {}
+final class LoadReportParser {
+  private LoadReportParser() {}
 
   /** The report behind a line's word, or null where there is none. */
-  static LoadReport read(ServerLine line) {
+  static LoadReport parse(ServerLine line) {
     if (line.rest().isEmpty()) {
       return null;
     }
@@ -19,8 +19,8 @@
         figure(figures, "util", "cpu_share"));
   }
 
-  private static double figure(Map<String, Double> figures, String onSockets, String inSettings) {
-    Double figure = figures.get(onSockets);
-    return figure != null ? figure : figures.getOrDefault(inSettings, Double.NaN);
+  private static double figure(Map<String, Double> figures, String wireName, String settingsName) {
+    Double figure = figures.get(wireName);
+    return figure != null ? figure : figures.getOrDefault(settingsName, Double.NaN);
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
+++ b/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
@@ -12,72 +12,72 @@
    * Share of its usual load, by the client's hint, that a connection at rest still asks for; a delay in milliseconds
    * stays far below. Of 32,932 loads in the simulator none was under 0.057, of 4,400 delays 98 in 100 were.
    */
-  private static final double LEAST_LOAD = 0.05;
+  private static final double MIN_LOAD_SHARE = 0.05;
 
   private final Context context;
-  private final String id;
+  private final String requestId;
   private final double usualLoad;
   private final Execution execution;
-  private final ResponseTimeout responses;
+  private final ResponseTimeout responseTimeout;
 
   /** {@code silent} is run when the server has left a line unanswered for too long. */
-  PassiveHealthCheck(Context context, Link client, Request request, Execution execution, Runnable silent) {
+  PassiveHealthCheck(Context context, Link client, Request request, Execution execution, Runnable onSilent) {
     this.context = context;
-    id = request.id();
+    requestId = request.id();
     usualLoad = request.cost();
     this.execution = execution;
-    responses = new ResponseTimeout(context, client, this::waiting, silent);
+    responseTimeout = new ResponseTimeout(context, client, this::onWaiting, onSilent);
   }
 
-  void clientLine() {
-    responses.lineSent();
+  void onClientLine() {
+    responseTimeout.lineSent();
   }
 
-  void serverLine(ServerLine line) {
+  void onServerLine(ServerLine line) {
     if (line.kind() == ServerLine.Kind.LOAD) {
-      load(line.number());
+      onLoad(line.number());
     } else {
-      answer();
+      onAnswer();
     }
   }
 
-  private void answer() {
-    long took = responses.lineCame();
-    if (took >= 0) {
-      context.delays().measured(context.now(), id, execution.number(), execution.server(), took);
+  private void onAnswer() {
+    long elapsed = responseTimeout.lineReceived();
+    if (elapsed >= 0) {
+      context.delayMeter().recordMeasured(context.now(), requestId, execution.number(), execution.server(), elapsed);
     }
   }
 
-  private void waiting(long micros) {
-    context.delays().waiting(context.now(), id, execution.number(), execution.server(), micros);
+  private void onWaiting(long micros) {
+    context.delayMeter().recordWaiting(context.now(), requestId, execution.number(), execution.server(), micros);
   }
 
   /**
    * Guards against a server's delay being taken for a connection's load: both come as LOAD. The answer to a client's
    * line comes at once even from a slow server, so that this is where its delay shows.
    */
-  private void load(double figure) {
-    if (!(figure >= 0)) {
+  private void onLoad(double value) {
+    if (!(value >= 0)) {
       return;
     }
-    if (isDelay(figure)) {
-      context.delays().told(context.now(), execution.server(), figure);
-      context.decisions().tell(new MessageDelay(id, execution.number(), execution.server(), figure));
+    if (isDelay(value)) {
+      context.delayMeter().recordServerReported(context.now(), execution.server(), value);
+      context.dispatcher().dispatch(new MessageDelay(requestId, execution.number(), execution.server(), value));
     } else {
-      context.decisions().tell(new LoadChanged(id, execution.number(), execution.server(), figure));
+      context.dispatcher().dispatch(new LoadChanged(requestId, execution.number(), execution.server(), value));
     }
   }
 
   /** Where the settings say that servers tell both, and the client gave no hint, a figure counts as a load. */
-  private boolean isDelay(double figure) {
+  private boolean isDelay(double value) {
     return switch (context.config().loadLines()) {
       case LOADS -> false;
       case DELAYS -> true;
-      case BOTH -> figure < LEAST_LOAD * usualLoad || context.delays().goesOn(context.now(), execution.server(), figure);
+      case BOTH -> value < MIN_LOAD_SHARE * usualLoad || context.delayMeter().continuesDelaySeries(context.now(), execution.server(), value);
     };
   }
 
   void stop() {
-    responses.stop();
+    responseTimeout.stop();
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/PendingLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/PendingLink.java
@@ -14,27 +14,27 @@
  */
 final class PendingLink implements Link.Owner {
   /** The longest answer that may be owed behind those to {@code PING}, and what a cut line may still add. */
-  private static final int ANSWER_ROOM = 64;
+  private static final int RESERVED_ANSWER_BYTES = 64;
 
   private final Context context;
   private final AdmissionControl admission;
   private final EvictingSet<PendingLink> pending;
   private final Link link;
-  private final LineParser lines;
+  private final LineParser lineParser;
   private Timers.Timer timer;
   private boolean pinged;
-  private boolean over;
+  private boolean closed;
 
   PendingLink(Context context, AdmissionControl admission, EvictingSet<PendingLink> pending, Link link) {
     this.context = context;
     this.admission = admission;
     this.pending = pending;
     this.link = link;
-    lines = new LineParser(context.limits().lineBytes());
+    lineParser = new LineParser(context.limits().lineBytes());
   }
 
   void start() {
-    timer = link.after(context.limits().firstLine(), this::rested);
+    timer = link.after(context.limits().firstLine(), this::firstLineTimedOut);
     link.start(this);
     pending.enter(this);
   }
@@ -45,73 +45,73 @@
    */
   @Override
   public int room() {
-    return Math.min(context.limits().lineBytes(), link.free() - ANSWER_ROOM);
+    return Math.min(context.limits().lineBytes(), link.free() - RESERVED_ANSWER_BYTES);
   }
 
   @Override
   public void received(ByteBuffer bytes) {
     try {
-      while (!over && bytes.hasRemaining()) {
-        String line = lines.next(bytes);
+      while (!closed && bytes.hasRemaining()) {
+        String line = lineParser.next(bytes);
         if (line != null) {
-          firstLine(line, bytes.hasRemaining());
+          handleFirstLine(line, bytes.hasRemaining());
         }
       }
     } catch (ProtocolException e) {
-      leave();
-      context.answers().unreadable(link);
+      removeFromPending();
+      context.answers().rejectUnreadable(link);
     }
     bytes.position(bytes.limit());
   }
 
-  private void firstLine(String line, boolean moreFollows) throws ProtocolException {
+  private void handleFirstLine(String line, boolean moreFollows) throws ProtocolException {
     if (line.equals("PING")) {
       if (!admission.isOpen()) {
         // Whoever asks whether to send clients here is not to; a request behind it is answered with that.
-        leave();
-        context.answers().withoutRequest(link, EndReason.STOPPING);
+        removeFromPending();
+        context.answers().endWithoutRequest(link, EndReason.STOPPING);
         return;
       }
       pinged = true;
       link.send("PONG\r\n");
       return;
     }
-    OpenLine open = OpenLine.parse(line);
+    OpenLine openLine = OpenLine.parse(line);
     // The connection may have come under other settings than its request does.
-    Context now = context.newest();
-    int requestClass = now.config().names().classes().indexOf(open.value("c"));
+    Context current = context.newest();
+    int requestClass = current.config().names().classes().indexOf(openLine.value("c"));
     if (requestClass < 0) {
-      throw new ProtocolException("unknown class " + open.value("c"));
+      throw new ProtocolException("unknown class " + openLine.value("c"));
     }
-    leave();
-    if (moreFollows || admission.holds(open.id())) {
+    removeFromPending();
+    if (moreFollows || admission.isIdInUse(openLine.id())) {
       // A client waits behind its first line; and nobody else may use the id of an open request.
-      now.answers().failed(link, requestClass, open.id(), EndReason.BAD_FIRST_LINE);
-    } else if (!admission.admits()) {
+      current.answers().sendFailure(link, requestClass, openLine.id(), EndReason.BAD_FIRST_LINE);
+    } else if (!admission.canAdmit()) {
       EndReason reason = admission.isOpen() ? EndReason.NO_ROOM : EndReason.STOPPING;
-      now.answers().busy(link, requestClass, now.limits().throttleFor(), open.id(), reason);
+      current.answers().sendBusy(link, requestClass, current.limits().throttleFor(), openLine.id(), reason);
     } else {
-      new ClientLink(now, admission, link, open, requestClass).start();
+      new ClientLink(current, admission, link, openLine, requestClass).start();
       pending.trim();
     }
   }
 
   /** It has rested for too long. */
-  private void rested() {
-    sendAway(EndReason.RESTED);
+  private void firstLineTimedOut() {
+    endWithoutRequest(EndReason.RESTED);
   }
 
   /**
    * Leaves for others that come. Guards against usual clients that come in a burst: they are accepted by the hundred
    * before the first of them is read.
    */
-  void makeRoom() {
-    sendAway(EndReason.EVICTED);
+  void evict() {
+    endWithoutRequest(EndReason.EVICTED);
   }
 
   /** The process ends. */
   void endNow() {
-    sendAway(EndReason.STOPPING);
+    endWithoutRequest(EndReason.STOPPING);
   }
 
   /**
@@ -119,41 +119,41 @@
    * under way just then: what it gets must be an answer, and a true one, since nothing that comes behind it is sent on.
    * Who asks with PING is told nothing else.
    */
-  private void sendAway(EndReason reason) {
+  private void endWithoutRequest(EndReason reason) {
     link.readNow();
-    if (over) {
+    if (closed) {
       return;
     }
     if (pinged) {
-      drop(reason);
+      endSilently(reason);
     } else {
-      leave();
-      context.answers().withoutRequest(link, reason);
+      removeFromPending();
+      context.answers().endWithoutRequest(link, reason);
     }
   }
 
   /** Ends the connection without a word, but such that what was answered to {@code PING} arrives. */
-  private void drop(EndReason reason) {
+  private void endSilently(EndReason reason) {
     context.trace().ended(null, reason);
-    leave();
+    removeFromPending();
     link.finish();
   }
 
-  private void leave() {
-    over = true;
+  private void removeFromPending() {
+    closed = true;
     Timers.cancel(timer);
     pending.leave(this);
   }
 
   @Override
   public void ended() {
-    drop(EndReason.ENDED_BEFORE_LINE);
+    endSilently(EndReason.ENDED_BEFORE_LINE);
   }
 
   @Override
   public void broken() {
     context.trace().ended(null, EndReason.ENDED_BEFORE_LINE);
-    leave();
+    removeFromPending();
   }
 
   @Override
--- a/proxy/src/main/java/lemondeal/proxy/Prober.java
+++ b/proxy/src/main/java/lemondeal/proxy/Prober.java
@@ -21,34 +21,34 @@
 final class Prober implements Link.Owner, LinkPool.Holder {
   private final Context context;
   private final String server;
-  private final Runnable closed;
+  private final Runnable onClosed;
   /** When the probes were asked for that are not answered yet. */
-  private final ArrayDeque<Long> asked = new ArrayDeque<>();
-  private LineParser lines;
+  private final ArrayDeque<Long> probeStarts = new ArrayDeque<>();
+  private LineParser lineParser;
   private Dial dial;
   private Link link;
   private long openedAt;
   private Timers.Timer timer;
   /** Whether the link has a place in the pool. */
-  private boolean placed;
+  private boolean inPool;
   /** Whether the link has brought an answer already: then its server may have ended it as a probe went out. */
-  private boolean proven;
-  private boolean over;
+  private boolean hasAnswered;
+  private boolean closed;
 
   /** {@code closed} is run when this prober is of no more use. */
-  Prober(Context context, String server, Runnable closed) {
+  Prober(Context context, String server, Runnable onClosed) {
     this.context = context;
     this.server = server;
-    this.closed = closed;
+    this.onClosed = onClosed;
   }
 
   void probe() {
-    asked.add(context.now());
+    probeStarts.add(context.now());
     if (link != null) {
       pool().busy(this);
-      ask();
+      sendProbe();
     } else if (dial == null) {
-      open();
+      connect();
     }
   }
 
@@ -56,63 +56,63 @@
     return context.net().probeLinks();
   }
 
-  private void open() {
+  private void connect() {
     InetSocketAddress address = context.group().address(server);
     if (address == null) {
       context.net().later(() -> end(Outcome.NO_CONNECTION));
       return;
     }
-    placed = placed || pool().take();
-    if (!placed) {
+    inPool = inPool || pool().take();
+    if (!inPool) {
       context.net().later(() -> end(Outcome.NOT_SENT));
       return;
     }
-    lines = new LineParser(context.limits().lineBytes());
+    lineParser = new LineParser(context.limits().lineBytes());
     dial = context.net().dial(address, context.limits().dial(), opened -> {
       link = opened;
       openedAt = context.now();
       link.start(this);
-      for (int i = asked.size(); i > 0 && !over; i--) {
-        ask();
+      for (int i = probeStarts.size(); i > 0 && !closed; i--) {
+        sendProbe();
       }
     }, () -> end(Outcome.NO_CONNECTION));
   }
 
-  private void ask() {
+  private void sendProbe() {
     if (link.free() < context.limits().lineBytes()) {
       end(Outcome.TIMED_OUT);
       return;
     }
     link.send("STATS\r\n");
-    awaitAnswer();
+    armAnswerTimeout();
   }
 
   /**
    * Waits for the answer that is due first. Guards against a server that hangs and is asked again before the time is
    * up: counted from the last probe, the time never was.
    */
-  private void awaitAnswer() {
-    arm(Math.max(asked.peek(), openedAt) + context.limits().probe() - context.now(), Outcome.TIMED_OUT);
+  private void armAnswerTimeout() {
+    armTimer(Math.max(probeStarts.peek(), openedAt) + context.limits().probe() - context.now(), Outcome.TIMED_OUT);
   }
 
-  private void arm(long micros, Outcome outcome) {
+  private void armTimer(long micros, Outcome outcome) {
     Timers.cancel(timer);
     timer = context.timers().after(micros, () -> end(outcome));
   }
 
   /** Ends the link; probes still out are told this outcome. */
   void end(Outcome outcome) {
-    if (over) {
+    if (closed) {
       return;
     }
-    over = true;
+    closed = true;
     disconnect();
-    if (placed) {
+    if (inPool) {
       pool().release(this);
     }
-    closed.run();
-    while (!asked.isEmpty()) {
-      tell(outcome, null);
+    onClosed.run();
+    while (!probeStarts.isEmpty()) {
+      reportResult(outcome, null);
     }
   }
 
@@ -133,8 +133,8 @@
     end(Outcome.CANCELLED);
   }
 
-  private void tell(Outcome outcome, LoadReport report) {
-    context.decisions().tell(new ProbeResult(server, outcome, context.now() - asked.poll(), report));
+  private void reportResult(Outcome outcome, LoadReport report) {
+    context.dispatcher().dispatch(new ProbeResult(server, outcome, context.now() - probeStarts.poll(), report));
   }
 
   @Override
@@ -145,8 +145,8 @@
   @Override
   public void received(ByteBuffer bytes) {
     try {
-      for (String line = lines.next(bytes); line != null && !over; line = lines.next(bytes)) {
-        answered(ServerLine.parse(line));
+      for (String line = lineParser.next(bytes); line != null && !closed; line = lineParser.next(bytes)) {
+        handleAnswer(ServerLine.parse(line));
       }
     } catch (ProtocolException e) {
       end(Outcome.ERROR);
@@ -154,45 +154,45 @@
     bytes.position(bytes.limit());
   }
 
-  private void answered(ServerLine line) {
-    if (asked.isEmpty()) {
+  private void handleAnswer(ServerLine line) {
+    if (probeStarts.isEmpty()) {
       end(Outcome.ERROR);
       return;
     }
-    proven = true;
-    if (asked.size() == 1) {
+    hasAnswered = true;
+    if (probeStarts.size() == 1) {
       pool().idle(this);
-      arm(context.limits().probeIdle(), Outcome.CANCELLED);
+      armTimer(context.limits().probeIdle(), Outcome.CANCELLED);
     }
     switch (line.kind()) {
-      case PONG -> tell(Outcome.SERVED, Reports.read(line));
-      case BUSY -> tell(Outcome.REFUSED, null);
-      default -> tell(Outcome.ERROR, null);
+      case PONG -> reportResult(Outcome.SERVED, LoadReportParser.parse(line));
+      case BUSY -> reportResult(Outcome.REFUSED, null);
+      default -> reportResult(Outcome.ERROR, null);
     }
-    if (!over && !asked.isEmpty()) {
-      awaitAnswer();
+    if (!closed && !probeStarts.isEmpty()) {
+      armAnswerTimeout();
     }
   }
 
   @Override
   public void ended() {
-    lost();
+    handleConnectionLost();
   }
 
   @Override
   public void broken() {
-    lost();
+    handleConnectionLost();
   }
 
   /**
    * Guards the server that closes an idle link as a probe is written to it: the probe is made anew, once, on a link of
    * its own, and only what comes of that is told.
    */
-  private void lost() {
-    if (proven && !asked.isEmpty()) {
-      proven = false;
+  private void handleConnectionLost() {
+    if (hasAnswered && !probeStarts.isEmpty()) {
+      hasAnswered = false;
       disconnect();
-      open();
+      connect();
     } else {
       end(Outcome.RESET);
     }
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -35,24 +35,24 @@
   private final Config config;
   private final Net net;
   private final TimerWheel wheel;
-  private final StartTimes starts;
-  private final RuleGuard guard;
+  private final StartTimes startTimes;
+  private final ViolationCounter violations;
   private final RequestTrace trace;
   private final Generations generations;
-  private final Requests requests;
+  private final ActiveRequests requests;
   private final AdmissionControl admission;
-  private final EvictingSet<PendingLink> pending;
+  private final EvictingSet<PendingLink> pendingLinks;
   private final EventLog log;
   private final Resumption resumption;
-  private Listener clients;
-  private Listener secondAddress;
+  private Listener clientListener;
+  private Listener adminListener;
   private boolean accepting;
   private boolean stopping;
   /** Null until the order has come; another order finds the same. */
-  private Stop stop;
+  private GracefulShutdown shutdown;
   private XnioIoThread.Key nextAdvance;
   /** Null where nothing else is counted. */
-  private Consumer<Map<String, Long>> more;
+  private Consumer<Map<String, Long>> extraFigures;
 
   /** A proxy without anything of an operator's own. */
   public Proxy(Config config, Balancer module, PrintStream log) throws IOException {
@@ -65,13 +65,13 @@
   }
 
   /** The same, with servers listed by {@code sources}. */
-  public Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Maker sources)
+  public Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Maker sourceFactory)
       throws IOException {
-    this(config, module, log, resumption, sources, new Clock());
+    this(config, module, log, resumption, sourceFactory, new Clock());
   }
 
   /** The same, by this clock. */
-  Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Maker sources, Clock clock)
+  Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Maker sourceFactory, Clock clock)
       throws IOException {
     this.resumption = resumption;
     this.config = config.withoutKnown();
@@ -81,14 +81,14 @@
     net = new Net(limits, faults);
     wheel = new TimerWheel(clock::now, limits.tick(), limits.wheelSlots(), faults, this::scheduleAdvance);
     net.use(wheel);
-    starts = new StartTimes(clock::now, clock::wall);
-    guard = new RuleGuard(log);
+    startTimes = new StartTimes(clock::now, clock::wallTime);
+    violations = new ViolationCounter(log);
     trace = new RequestTrace(log, config.name(), System::currentTimeMillis);
-    requests = new Requests(limits.clients());
+    requests = new ActiveRequests(limits.clients());
     admission = new AdmissionControl(requests);
-    pending = new EvictingSet<>(() -> limits.pending(requests.left()), PendingLink::makeRoom);
-    generations = new Generations(new Generation.Means(net, wheel, requests, sources, log, config.name(), starts, guard, trace,
-        resumption == null ? Continuity.Plain::new : resumption::of), config, module, this::listed);
+    pendingLinks = new EvictingSet<>(() -> limits.pending(requests.freeSlots()), PendingLink::evict);
+    generations = new Generations(new Generation.SharedServices(net, wheel, requests, sourceFactory, log, config.name(), startTimes, violations, trace,
+        resumption == null ? Continuity.Plain::new : resumption::of), config, module, this::listReceived);
   }
 
   /** Starts on the I/O thread; returns when the addresses are listened on, or throws what went wrong. */
@@ -100,33 +100,33 @@
   void start(ServerSocketChannel socket) throws IOException {
     net.run(() -> {
       Limits limits = config.limits();
-      clients = net.listen(socket, limits.accepted(), this::accepted);
+      clientListener = net.listen(socket, limits.accepted(), this::clientAccepted);
       if (config.admin() != null) {
         Admin admin = new Admin(limits, this);
-        secondAddress = net.listen(Listener.bind(config.admin()), limits.adminCallers() + 1, admin::accepted);
-        secondAddress.resume();
+        adminListener = net.listen(Listener.bind(config.admin()), limits.adminCallers() + 1, admin::accepted);
+        adminListener.resume();
       }
       generations.start();
       if (!config.inherited()) {
-        clients.resume();
+        clientListener.resume();
       }
-      wheel.after(limits.listWithin(), this::serve);
+      wheel.after(limits.listWithin(), this::startAccepting);
       return null;
     });
   }
 
   public InetSocketAddress localAddress() {
-    return clients.address();
+    return clientListener.address();
   }
 
   /** The second address, or null if there is none. */
   public InetSocketAddress adminAddress() {
-    return secondAddress == null ? null : secondAddress.address();
+    return adminListener == null ? null : adminListener.address();
   }
 
-  private void listed() {
+  private void listReceived() {
     if (generations.newest().standing().listReceived()) {
-      serve();
+      startAccepting();
     }
   }
 
@@ -135,16 +135,16 @@
    * good time and the list from before the start must do. Only then does it accept from a socket that another
    * process may be accepting from.
    */
-  private void serve() {
+  private void startAccepting() {
     if (!accepting && !stopping && generations.newest().standing().known() > 0) {
       accepting = true;
-      clients.resume();
+      clientListener.resume();
       log.info("ready", "lemondeal: ready");
     }
   }
 
-  private void accepted(Link link) {
-    new PendingLink(generations.newest().context(), admission, pending, link).start();
+  private void clientAccepted(Link link) {
+    new PendingLink(generations.newest().context(), admission, pendingLinks, link).start();
   }
 
   /** Runs tasks on the I/O thread, for what comes from threads of others; from any thread. */
@@ -159,25 +159,25 @@
 
   /** Wakes the module, for what stands between it and this proxy; on the I/O thread alone. */
   public void wake(long token) {
-    generations.newest().tell(new Wake(token));
+    generations.newest().dispatch(new Wake(token));
   }
 
   /** From now on what becomes of each request is told in the log. */
   public void traceRequests() {
-    net.later(trace::switchOn);
+    net.later(trace::enable);
   }
 
   /** Has these figures told on the second address, too. */
-  public void count(Consumer<Map<String, Long>> figuresOfMore) {
-    net.later(() -> more = figuresOfMore);
+  public void addFigures(Consumer<Map<String, Long>> source) {
+    net.later(() -> extraFigures = source);
   }
 
   /**
    * From now on settings read anew are taken over, each with a module made by this; without it they count from the next
    * start. May be called on any thread.
    */
-  public void renewBy(Supplier<Balancer> modules) {
-    net.later(() -> generations.renewBy(modules));
+  public void setModuleFactory(Supplier<Balancer> moduleFactory) {
+    net.later(() -> generations.setModuleFactory(moduleFactory));
   }
 
   /**
@@ -187,7 +187,7 @@
   public void reconfigure(Config fresh) {
     net.later(() -> {
       if (stopping) {
-        generations.moveDiscovery(fresh);
+        generations.reconfigureDiscovery(fresh);
       } else {
         generations.reconfigure(fresh);
       }
@@ -196,21 +196,21 @@
 
   /** Stops politely; returns when all is done or the time is up. */
   public void stop() throws InterruptedException {
-    BlockingQueue<Stop> begun = new ArrayBlockingQueue<>(1);
+    BlockingQueue<GracefulShutdown> started = new ArrayBlockingQueue<>(1);
     net.later(() -> {
       stopping = true;
       // How long it may take is for the settings to say that are in force by now.
       Limits limits = generations.newest().config().limits();
-      stop = stop != null ? stop : new Stop(limits, wheel, admission, requests, () -> !pending.isEmpty(),
-          () -> pending.clear(PendingLink::endNow));
-      begun.add(stop);
+      shutdown = shutdown != null ? shutdown : new GracefulShutdown(limits, wheel, admission, requests, () -> !pendingLinks.isEmpty(),
+          () -> pendingLinks.clear(PendingLink::endNow));
+      started.add(shutdown);
       if (config.inherited()) {
-        stop.handOver(clients);
+        shutdown.handOver(clientListener);
       } else {
-        stop.begin(clients);
+        shutdown.begin(clientListener);
       }
     });
-    begun.take().await();
+    started.take().await();
   }
 
   /** Ends the I/O thread at once. */
@@ -228,8 +228,8 @@
   // ---- What the operators' staff ask ----------------------------------------------------------
 
   /** Servers whose starts are kept in mind, for a test that none is for good. */
-  int startsRemembered() {
-    return starts.held();
+  int startTimesHeld() {
+    return startTimes.size();
   }
 
   @Override
@@ -239,21 +239,21 @@
 
   @Override
   public Map<String, Long> figures() {
-    Map<String, Long> all = new LinkedHashMap<>();
-    generations.newest().figures().addTo(all);
+    Map<String, Long> result = new LinkedHashMap<>();
+    generations.newest().figures().addTo(result);
     ServerSummary standing = generations.newest().standing();
-    all.put("in_flight", (long) requests.size());
-    all.put("servers_known", (long) standing.known());
-    all.put("servers_excluded", (long) standing.avoided());
-    guard.addTo(all);
-    trace.addTo(all);
+    result.put("in_flight", (long) requests.size());
+    result.put("servers_known", (long) standing.known());
+    result.put("servers_excluded", (long) standing.avoided());
+    violations.addTo(result);
+    trace.addTo(result);
     if (resumption != null) {
-      resumption.addTo(all);
+      resumption.addTo(result);
     }
-    if (more != null) {
-      more.accept(all);
+    if (extraFigures != null) {
+      extraFigures.accept(result);
     }
-    return all;
+    return result;
   }
 
   // ---- Time ----------------------------------------------------------------------------------
@@ -262,14 +262,14 @@
     if (nextAdvance != null) {
       nextAdvance.remove();
     }
-    long pause = wheel.untilNext();
-    nextAdvance = pause == Long.MAX_VALUE ? null : net.laterBy(pause, this::advance);
+    long delay = wheel.untilNext();
+    nextAdvance = delay == Long.MAX_VALUE ? null : net.laterBy(delay, this::advance);
   }
 
   private void advance() {
     nextAdvance = null;
     try {
-      starts.sample();
+      startTimes.sample();
       wheel.advance();
     } finally {
       // Whatever failed: without the next one no deadline would ever come.
--- a/proxy/src/main/java/lemondeal/proxy/RequestRules.java
+++ b/proxy/src/main/java/lemondeal/proxy/RequestRules.java
@@ -18,15 +18,15 @@
   static final long NOT_DRAINING = Long.MAX_VALUE;
 
   /** STANDING: a proxy may be held up for so long between reading its clock and writing, in microseconds. */
-  private static final long HELD_UP_MOST = 150_000;
+  private static final long MAX_PROCESS_PAUSE = 150_000;
 
   private final RequestClass requestClass;
   private final long drainGrace;
   private State state = State.NEVER_RAN;
-  private boolean attemptOut;
+  private boolean attemptInProgress;
   /** The first attempt that may have run, null for a server that the list did not have; and when it was sent. */
-  private ServerEntry ranAt;
-  private long ranSince;
+  private ServerEntry firstRunServer;
+  private long firstRunSentAt;
   private ServerEntry sentTo;
   private long sentAt;
 
@@ -37,17 +37,17 @@
   }
 
   /** The rule that an attempt at this server would break if its first byte went out now, or null. */
-  Breach ofSending(long now, ServerEntry server, long drainingSince) {
+  Violation violationBySending(long now, ServerEntry server, long drainingSince) {
     if (state == State.ANSWERED) {
-      return Breach.SENT_AFTER_ANSWER;
+      return Violation.SENT_AFTER_ANSWER;
     }
-    if (attemptOut) {
-      return Breach.PARALLEL_ATTEMPT;
+    if (attemptInProgress) {
+      return Violation.PARALLEL_ATTEMPT;
     }
     if (drainGrace > 0 && drainingSince != NOT_DRAINING && now - drainingSince > drainGrace) {
-      return Breach.SENT_TO_DRAINING;
+      return Violation.SENT_TO_DRAINING;
     }
-    return state == State.MAY_HAVE_RUN ? ofRepeating(now, server) : null;
+    return state == State.MAY_HAVE_RUN ? violationByRepeating(now, server) : null;
   }
 
   /**
@@ -56,52 +56,52 @@
    * no rule yet: its dial began before the notice.
    */
   boolean isLateForDraining(long now, long drainingSince) {
-    return drainGrace > 0 && drainingSince != NOT_DRAINING && now - drainingSince > drainGrace - 2 * HELD_UP_MOST;
+    return drainGrace > 0 && drainingSince != NOT_DRAINING && now - drainingSince > drainGrace - 2 * MAX_PROCESS_PAUSE;
   }
 
-  private Breach ofRepeating(long now, ServerEntry server) {
+  private Violation violationByRepeating(long now, ServerEntry server) {
     return switch (requestClass.idempotency()) {
       case SAFE -> null;
-      case KEYED -> !dropsRepeats(server) ? Breach.REPEATED
-          : now > ranSince + requestClass.dedupWindow() ? Breach.REPEATED_LATE : null;
-      case UNSAFE -> Breach.REPEATED;
+      case KEYED -> !deduplicatesRepeats(server) ? Violation.REPEATED
+          : now > firstRunSentAt + requestClass.dedupWindow() ? Violation.REPEATED_LATE : null;
+      case UNSAFE -> Violation.REPEATED;
     };
   }
 
   /** Whether the server is of those that drop the repeats of what may have run. */
-  private boolean dropsRepeats(ServerEntry server) {
+  private boolean deduplicatesRepeats(ServerEntry server) {
     if (requestClass.dedupScope() == DedupScope.ALL) {
       return true;
     }
-    if (server == null || ranAt == null || server.zone() != ranAt.zone()) {
+    if (server == null || firstRunServer == null || server.zone() != firstRunServer.zone()) {
       return false;
     }
-    return requestClass.dedupScope() == DedupScope.ZONE || server.cell() == ranAt.cell();
+    return requestClass.dedupScope() == DedupScope.ZONE || server.cell() == firstRunServer.cell();
   }
 
   /** An attempt begins: its first bytes go out. */
-  void sent(long now, ServerEntry server) {
-    attemptOut = true;
+  void attemptSent(long now, ServerEntry server) {
+    attemptInProgress = true;
     sentTo = server;
     sentAt = now;
   }
 
   /** The attempt that was out has ended so. */
-  void ended(Outcome outcome) {
-    if (attemptOut && outcome.mayHaveRun && state == State.NEVER_RAN) {
+  void attemptEnded(Outcome outcome) {
+    if (attemptInProgress && outcome.mayHaveRun && state == State.NEVER_RAN) {
       state = State.MAY_HAVE_RUN;
-      ranAt = sentTo;
-      ranSince = sentAt;
+      firstRunServer = sentTo;
+      firstRunSentAt = sentAt;
     }
-    attemptOut = false;
+    attemptInProgress = false;
   }
 
   /** The rule that a promise that trying again is harmless would break now, or null. */
-  Breach ofRefusing() {
-    boolean mayHaveRun = attemptOut || state == State.MAY_HAVE_RUN;
+  Violation violationByRefusing() {
+    boolean mayHaveRun = attemptInProgress || state == State.MAY_HAVE_RUN;
     boolean harmless = requestClass.idempotency() == Idempotency.SAFE
         || (requestClass.idempotency() == Idempotency.KEYED && requestClass.dedupScope() == DedupScope.ALL);
-    return mayHaveRun && !harmless ? Breach.REFUSED_AFTER_RUNNING : null;
+    return mayHaveRun && !harmless ? Violation.REFUSED_AFTER_RUNNING : null;
   }
 
   /** Its one final answer goes out, or its client has left: nothing is owed any more. */
--- a/proxy/src/main/java/lemondeal/proxy/RequestTrace.java
+++ b/proxy/src/main/java/lemondeal/proxy/RequestTrace.java
@@ -10,73 +10,73 @@
  * wall clock, as the lines of the module's own trace.
  */
 final class RequestTrace {
-  private static final String FIGURE = "ended.";
+  private static final String METRIC_PREFIX = "ended.";
   private static final String NO_REQUEST = "-";
 
   private final EventLog log;
   private final String prefix;
-  private final LongSupplier millis;
-  private final long[] ends = new long[EndReason.values().length];
-  private boolean told;
+  private final LongSupplier wallClockMillis;
+  private final long[] endCounts = new long[EndReason.values().length];
+  private boolean enabled;
 
-  RequestTrace(EventLog log, String proxy, LongSupplier millis) {
+  RequestTrace(EventLog log, String proxy, LongSupplier wallClockMillis) {
     this.log = log;
     prefix = "request " + proxy + " ";
-    this.millis = millis;
+    this.wallClockMillis = wallClockMillis;
   }
 
   /** From now on lines are told. */
-  void switchOn() {
-    told = true;
+  void enable() {
+    enabled = true;
   }
 
   /** A client's connection ends, or gets its last word; {@code id} is null before its first line was read. */
   void ended(String id, EndReason reason) {
-    ends[reason.ordinal()]++;
-    if (told) {
-      tell(id == null ? NO_REQUEST : id, "end reason=" + reason.label);
+    endCounts[reason.ordinal()]++;
+    if (enabled) {
+      writeLine(id == null ? NO_REQUEST : id, "end reason=" + reason.label);
     }
   }
 
   void taken(String id, String requestClass, double deadlineMillis) {
-    if (told) {
-      tell(id, "taken class=" + requestClass + " d=" + deadlineMillis);
+    if (enabled) {
+      writeLine(id, "taken class=" + requestClass + " d=" + deadlineMillis);
     }
   }
 
   void attempt(String id, int attempt, String server) {
-    if (told) {
-      tell(id, "attempt n=" + attempt + " server=" + server);
+    if (enabled) {
+      writeLine(id, "attempt n=" + attempt + " server=" + server);
     }
   }
 
   /** The first line of an attempt goes out. */
   void sent(String id, int attempt) {
-    if (told) {
-      tell(id, "sent n=" + attempt);
+    if (enabled) {
+      writeLine(id, "sent n=" + attempt);
     }
   }
 
   void attemptEnded(String id, int attempt, Object outcome) {
-    if (told) {
-      tell(id, "attempt-end n=" + attempt + " outcome=" + outcome);
+    if (enabled) {
+      writeLine(id, "attempt-end n=" + attempt + " outcome=" + outcome);
     }
   }
 
   void up(String id, int attempt) {
-    if (told) {
-      tell(id, "up n=" + attempt);
+    if (enabled) {
+      writeLine(id, "up n=" + attempt);
     }
   }
 
-  private void tell(String id, String words) {
-    log.info("request", prefix + millis.getAsLong() + " " + id + " " + words);
+  private void writeLine(String id, String text) {
+    log.info("request", prefix + wallClockMillis.getAsLong() + " " + id + " " + text);
   }
 
   /** Adds the counts of ends under their names. */
   void addTo(Map<String, Long> figures) {
     for (EndReason reason : EndReason.values()) {
-      figures.put(FIGURE + reason.label, ends[reason.ordinal()]);
+      figures.put(METRIC_PREFIX + reason.label, endCounts[reason.ordinal()]);
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
+++ b/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
@@ -13,34 +13,34 @@
 final class ResponseTimeout {
   private final Context context;
   private final Link link;
-  private final LongConsumer waiting;
-  private final Runnable silent;
+  private final LongConsumer onWaiting;
+  private final Runnable onSilent;
   /** When they went out; bounded, since a client may send lines without end to a server that answers none. */
-  private final ArrayDeque<Long> sent = new ArrayDeque<>();
-  private Timers.Timer silence;
+  private final ArrayDeque<Long> sentTimes = new ArrayDeque<>();
+  private Timers.Timer timer;
   /**
    * Before this nothing is counted: what the server had said could not be read, since the client left no room for it. Guards
    * a sound server against clients that flood it and don't read: it was taken for slow, then for silent.
    */
-  private long countsFrom = Long.MIN_VALUE;
+  private long measuredFrom = Long.MIN_VALUE;
   private boolean stopped;
 
   /**
    * @param waiting is told now and then how long the oldest line has waited, once that is long
    * @param silent is run when it has waited too long
    */
-  ResponseTimeout(Context context, Link link, LongConsumer waiting, Runnable silent) {
+  ResponseTimeout(Context context, Link link, LongConsumer onWaiting, Runnable onSilent) {
     this.context = context;
     this.link = link;
-    this.waiting = waiting;
-    this.silent = silent;
+    this.onWaiting = onWaiting;
+    this.onSilent = onSilent;
   }
 
   void lineSent() {
-    if (sent.size() < context.limits().unanswered()) {
-      sent.add(context.now());
-      if (sent.size() == 1) {
-        arm();
+    if (sentTimes.size() < context.limits().unanswered()) {
+      sentTimes.add(context.now());
+      if (sentTimes.size() == 1) {
+        armTimer();
       }
     }
   }
@@ -49,52 +49,52 @@
    * Takes a line of the server as the answer to the oldest one, and returns how long that took, or -1 where there is none or
    * the client kept the answer waiting itself.
    */
-  long lineCame() {
-    if (sent.isEmpty()) {
+  long lineReceived() {
+    if (sentTimes.isEmpty()) {
       return -1;
     }
-    long from = sent.poll();
-    arm();
-    return from <= countsFrom ? -1 : context.now() - from;
+    long sentAt = sentTimes.poll();
+    armTimer();
+    return sentAt <= measuredFrom ? -1 : context.now() - sentAt;
   }
 
-  private void arm() {
-    Timers.cancel(silence);
-    if (!sent.isEmpty()) {
-      silence = link.after(context.limits().unease() - waited(), this::uneasy);
+  private void armTimer() {
+    Timers.cancel(timer);
+    if (!sentTimes.isEmpty()) {
+      timer = link.after(context.limits().unease() - oldestWait(), this::scheduleCheck);
     }
   }
 
-  private long waited() {
-    return context.now() - Math.max(sent.peek(), countsFrom);
+  private long oldestWait() {
+    return context.now() - Math.max(sentTimes.peek(), measuredFrom);
   }
 
   /** Looks again a moment later: after a pause of the proxy itself the answer may be there, only not read. */
-  private void uneasy() {
-    silence = link.after(context.limits().moment(), this::tell);
+  private void scheduleCheck() {
+    timer = link.after(context.limits().moment(), this::checkOldestWait);
   }
 
-  private void tell() {
+  private void checkOldestWait() {
     if (!link.isFlushed()) {
-      countsFrom = context.now();
-      arm();
+      measuredFrom = context.now();
+      armTimer();
       return;
     }
-    long waited = waited();
+    long waited = oldestWait();
     if (waited >= context.limits().silence()) {
-      silent.run();
+      onSilent.run();
       return;
     }
-    waiting.accept(waited);
+    onWaiting.accept(waited);
     // What was told may have moved this very client.
-    if (!stopped && !sent.isEmpty()) {
-      long next = Math.min(context.limits().silence() - waited, context.limits().noteEvery());
-      silence = link.after(next - context.limits().moment(), this::uneasy);
+    if (!stopped && !sentTimes.isEmpty()) {
+      long nextCheck = Math.min(context.limits().silence() - waited, context.limits().noteEvery());
+      timer = link.after(nextCheck - context.limits().moment(), this::scheduleCheck);
     }
   }
 
   void stop() {
     stopped = true;
-    Timers.cancel(silence);
+    Timers.cancel(timer);
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/SlotTable.java
+++ b/proxy/src/main/java/lemondeal/proxy/SlotTable.java
@@ -11,19 +11,19 @@
   private final List<T> values = new ArrayList<>();
   private final List<Integer> generations = new ArrayList<>();
   private final List<Integer> free = new ArrayList<>();
-  private final int most;
+  private final int capacity;
   private int size;
 
-  SlotTable(int most) {
-    this.most = most;
+  SlotTable(int capacity) {
+    this.capacity = capacity;
   }
 
   boolean isFull() {
-    return size >= most;
+    return size >= capacity;
   }
 
-  int left() {
-    return most - size;
+  int freeSlots() {
+    return capacity - size;
   }
 
   int size() {
@@ -33,7 +33,7 @@
   /** Puts the value in a free slot; there must be one. */
   long add(T value) {
     if (isFull()) {
-      throw new IllegalStateException("all " + most + " slots are taken");
+      throw new IllegalStateException("all " + capacity + " slots are taken");
     }
     if (free.isEmpty()) {
       free.add(values.size());
@@ -49,8 +49,8 @@
   /** The value, or null if the slot was freed since. */
   T get(long handle) {
     int slot = (int) handle;
-    boolean stands = handle >= 0 && slot < values.size() && generations.get(slot) == (int) (handle >>> 32);
-    return stands ? values.get(slot) : null;
+    boolean isCurrent = handle >= 0 && slot < values.size() && generations.get(slot) == (int) (handle >>> 32);
+    return isCurrent ? values.get(slot) : null;
   }
 
   void remove(long handle) {
--- a/proxy/src/main/java/lemondeal/proxy/StartTimes.java
+++ b/proxy/src/main/java/lemondeal/proxy/StartTimes.java
@@ -22,29 +22,29 @@
  */
 final class StartTimes {
   /** Differences that lie closer together are one, which drifts: clocks are set right in such small steps. */
-  private static final long STEP_LEAST = 50_000;
+  private static final long MIN_STEP = 50_000;
   /** Steps kept in mind: a start is told soon after it was stamped. */
-  private static final int STEPS_MOST = 16;
+  private static final int MAX_STEPS = 16;
 
   /** A difference of the clocks, and when it was first and last seen, on this process's clock. */
-  private static final class Difference {
+  private static final class ClockOffset {
     private final long firstSeen;
     private long lastSeen;
     private long micros;
 
-    Difference(long seen, long micros) {
+    ClockOffset(long seen, long micros) {
       firstSeen = seen;
       lastSeen = seen;
       this.micros = micros;
     }
   }
 
-  private record Start(long told, long here) {}
+  private record ConvertedStart(long wallTime, long localTime) {}
 
   private final LongSupplier clock;
   private final LongSupplier wallClock;
-  private final Deque<Difference> differences = new ArrayDeque<>();
-  private final Map<String, Start> starts = new HashMap<>();
+  private final Deque<ClockOffset> offsets = new ArrayDeque<>();
+  private final Map<String, ConvertedStart> starts = new HashMap<>();
 
   /** {@code clock} never goes back; {@code wallClock} may be stepped. */
   StartTimes(LongSupplier clock, LongSupplier wallClock) {
@@ -57,29 +57,29 @@
   void sample() {
     long now = clock.getAsLong();
     long micros = wallClock.getAsLong() - now;
-    Difference last = differences.peekLast();
-    if (last != null && Math.abs(micros - last.micros) < STEP_LEAST) {
+    ClockOffset last = offsets.peekLast();
+    if (last != null && Math.abs(micros - last.micros) < MIN_STEP) {
       last.micros = micros;
       last.lastSeen = now;
       return;
     }
-    differences.addLast(new Difference(now, micros));
-    if (differences.size() > STEPS_MOST) {
-      differences.removeFirst();
+    offsets.addLast(new ClockOffset(now, micros));
+    if (offsets.size() > MAX_STEPS) {
+      offsets.removeFirst();
     }
   }
 
   /** Starts that are kept in mind, for a test that none is for good. */
-  int held() {
+  int size() {
     return starts.size();
   }
 
   /** The list with its starts on this process's clock. A start that was told before stays where it was. */
-  ServerList here(ServerList list) {
+  ServerList toLocalClock(ServerList list) {
     sample();
     List<ServerEntry> entries = new ArrayList<>(list.entries().size());
     for (ServerEntry entry : list.entries()) {
-      long start = here(entry.server(), entry.startedAt());
+      long start = toLocalClock(entry.server(), entry.startedAt());
       entries.add(new ServerEntry(entry.server(), entry.zone(), entry.cell(), entry.model(), start, entry.state(),
           entry.weight()));
       if (entry.state() == ServerState.GONE) {
@@ -95,37 +95,37 @@
   }
 
   /** 0 is told for a start long ago. */
-  private long here(String server, long told) {
-    if (told == 0) {
+  private long toLocalClock(String server, long wallTime) {
+    if (wallTime == 0) {
       return 0;
     }
-    Start known = starts.get(server);
-    if (known == null || known.told != told) {
-      known = new Start(told, reckoned(told));
+    ConvertedStart known = starts.get(server);
+    if (known == null || known.wallTime != wallTime) {
+      known = new ConvertedStart(wallTime, convert(wallTime));
       starts.put(server, known);
     }
-    return known.here;
+    return known.localTime;
   }
 
-  private long reckoned(long told) {
+  private long convert(long wallTime) {
     long now = clock.getAsLong();
-    long youngest = Long.MIN_VALUE;
-    long earliest = Long.MIN_VALUE;
-    Difference before = null;
-    for (Difference difference : differences) {
-      if (before != null) {
+    long latestStart = Long.MIN_VALUE;
+    long earliestStart = Long.MIN_VALUE;
+    ClockOffset previous = null;
+    for (ClockOffset offset : offsets) {
+      if (previous != null) {
         // The step came between these two looks.
-        youngest = Math.max(youngest, within(told - before.micros, earliest, difference.firstSeen));
-        earliest = before.lastSeen;
+        latestStart = Math.max(latestStart, ifWithin(wallTime - previous.micros, earliestStart, offset.firstSeen));
+        earliestStart = previous.lastSeen;
       }
-      before = difference;
+      previous = offset;
     }
-    youngest = Math.max(youngest, within(told - before.micros, earliest, now));
+    latestStart = Math.max(latestStart, ifWithin(wallTime - previous.micros, earliestStart, now));
     // Stamped by a clock that is ahead of this machine's: it has only just started.
-    return youngest == Long.MIN_VALUE ? now : youngest;
+    return latestStart == Long.MIN_VALUE ? now : latestStart;
   }
 
-  private static long within(long start, long from, long to) {
+  private static long ifWithin(long start, long from, long to) {
     return start >= from && start <= to ? start : Long.MIN_VALUE;
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
+++ b/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
@@ -13,24 +13,24 @@
   private final long tick;
   private final Entry[] slots;
   private final Faults faults;
-  private final Runnable earlier;
-  private long current;
+  private final Runnable onEarlierDeadline;
+  private long currentTick;
   private long nextTick = Long.MAX_VALUE;
   private int size;
 
   /**
    * @param earlier is run when a deadline comes in before all others, so that the wheel is moved in time
    */
-  TimerWheel(LongSupplier clock, long tick, int slotCount, Faults faults, Runnable earlier) {
+  TimerWheel(LongSupplier clock, long tick, int slotCount, Faults faults, Runnable onEarlierDeadline) {
     this.clock = clock;
     this.tick = tick;
     this.faults = faults;
-    this.earlier = earlier;
+    this.onEarlierDeadline = onEarlierDeadline;
     slots = new Entry[slotCount];
     for (int i = 0; i < slotCount; i++) {
       slots[i] = new Entry(0, null);
     }
-    current = clock.getAsLong() / tick;
+    currentTick = clock.getAsLong() / tick;
   }
 
   @Override
@@ -41,13 +41,13 @@
   @Override
   public Timer after(long micros, Runnable task) {
     // Rounded up: a deadline never comes early.
-    long due = Math.max(current + 1, (now() + Math.max(0, micros) + tick - 1) / tick);
-    Entry entry = new Entry(due, task);
-    entry.putBefore(slot(due));
+    long dueTick = Math.max(currentTick + 1, (now() + Math.max(0, micros) + tick - 1) / tick);
+    Entry entry = new Entry(dueTick, task);
+    entry.insertBefore(slot(dueTick));
     size++;
-    if (due < nextTick) {
-      nextTick = due;
-      earlier.run();
+    if (dueTick < nextTick) {
+      nextTick = dueTick;
+      onEarlierDeadline.run();
     }
     return entry;
   }
@@ -59,20 +59,20 @@
 
   /** Runs all deadlines that have come. */
   void advance() {
-    long end = now() / tick;
-    while (current < end) {
+    long nowTick = now() / tick;
+    while (currentTick < nowTick) {
       if (size == 0) {
         // All were called off: a deadline in the past left standing here would be asked for without end.
         nextTick = Long.MAX_VALUE;
       }
-      if (nextTick > end) {
-        current = end;
+      if (nextTick > nowTick) {
+        currentTick = nowTick;
         return;
       }
       // Empty ticks are passed over: after a long pause there may be very many.
-      current = Math.max(current + 1, Math.min(nextTick, end));
+      currentTick = Math.max(currentTick + 1, Math.min(nextTick, nowTick));
       runTick();
-      findNext();
+      findNextTick();
     }
   }
 
@@ -90,55 +90,55 @@
   }
 
   private Entry firstDue() {
-    for (Entry e = slot(current).next; e.task != null; e = e.next) {
-      if (e.due <= current) {
-        return e;
+    for (Entry entry = slot(currentTick).next; entry.task != null; entry = entry.next) {
+      if (entry.dueTick <= currentTick) {
+        return entry;
       }
     }
     return null;
   }
 
   /** The nearest tick with an entry, at most one round on: entries of later rounds are looked at then. */
-  private void findNext() {
+  private void findNextTick() {
     if (size == 0) {
       // Guards against a search through all ticks to come: it never ended once the wheel had run empty.
       nextTick = Long.MAX_VALUE;
       return;
     }
-    nextTick = current + slots.length;
-    for (long tickAt = current + 1; tickAt < nextTick; tickAt++) {
-      if (holdsEntryFor(tickAt)) {
-        nextTick = tickAt;
+    nextTick = currentTick + slots.length;
+    for (long candidateTick = currentTick + 1; candidateTick < nextTick; candidateTick++) {
+      if (holdsEntryFor(candidateTick)) {
+        nextTick = candidateTick;
       }
     }
   }
 
-  private boolean holdsEntryFor(long tickAt) {
-    for (Entry e = slot(tickAt).next; e.task != null; e = e.next) {
-      if (e.due <= tickAt) {
+  private boolean holdsEntryFor(long candidateTick) {
+    for (Entry entry = slot(candidateTick).next; entry.task != null; entry = entry.next) {
+      if (entry.dueTick <= candidateTick) {
         return true;
       }
     }
     return false;
   }
 
-  private Entry slot(long due) {
-    return slots[(int) (due % slots.length)];
+  private Entry slot(long dueTick) {
+    return slots[(int) (dueTick % slots.length)];
   }
 
   /** A deadline in the list of its slot; the list's head has no task. */
   private final class Entry implements Timer {
-    private final long due;
+    private final long dueTick;
     private final Runnable task;
     private Entry previous = this;
     private Entry next = this;
 
-    Entry(long due, Runnable task) {
-      this.due = due;
+    Entry(long dueTick, Runnable task) {
+      this.dueTick = dueTick;
       this.task = task;
     }
 
-    void putBefore(Entry head) {
+    void insertBefore(Entry head) {
       previous = head.previous;
       next = head;
       previous.next = this;
--- a/proxy/src/main/java/lemondeal/proxy/Tunnel.java
+++ b/proxy/src/main/java/lemondeal/proxy/Tunnel.java
@@ -14,16 +14,16 @@
 /** What passes between a client link and its server link from UP on, and how the two of them end. */
 final class Tunnel implements Link.Owner {
   /** MOVING waits for the end of a server's line; ENDING grants the other side a moment after one has ended. */
-  private enum State { OPEN, MOVING, ENDING, OVER }
+  private enum State { OPEN, MOVING, HALF_CLOSED, CLOSED }
 
   private final Context context;
   private final Link client;
   private final Continuity continuity;
   private final Execution execution;
-  private final PassiveHealthCheck health;
-  private final Runnable left;
+  private final PassiveHealthCheck healthCheck;
+  private final Runnable onClosed;
   private final Consumer<EndReason> ended;
-  private final LineParser lines;
+  private final LineParser lineParser;
   private State state = State.OPEN;
   private Timers.Timer timer;
   /** Why it is to be moved, while that waits for the end of a line. */
@@ -32,16 +32,16 @@
   private boolean serverEnded;
 
   /** {@code left} is run as soon as it is over, before the module hears of the execution's end. */
-  Tunnel(Context context, Link client, Continuity continuity, Request request, Execution execution, Runnable left,
+  Tunnel(Context context, Link client, Continuity continuity, Request request, Execution execution, Runnable onClosed,
       Consumer<EndReason> ended) {
     this.context = context;
     this.client = client;
     this.continuity = continuity;
     this.execution = execution;
-    this.left = left;
+    this.onClosed = onClosed;
     this.ended = ended;
-    health = new PassiveHealthCheck(context, client, request, execution, () -> moveNow(Outcome.RESET, EndReason.SERVER_SILENT));
-    lines = new LineParser(context.limits().lineBytes());
+    healthCheck = new PassiveHealthCheck(context, client, request, execution, () -> moveNow(Outcome.RESET, EndReason.SERVER_SILENT));
+    lineParser = new LineParser(context.limits().lineBytes());
   }
 
   /** Whether its client has not been sent away and does not go by itself. */
@@ -59,18 +59,18 @@
   @Override
   public void received(ByteBuffer bytes) {
     try {
-      toServer(bytes);
+      forwardToServer(bytes);
     } catch (ProtocolException e) {
-      breakOff(Outcome.CANCELLED, EndReason.CLIENT_UNREADABLE);
+      abort(Outcome.CANCELLED, EndReason.CLIENT_UNREADABLE);
     }
     bytes.position(bytes.limit());
   }
 
-  private void toServer(ByteBuffer bytes) throws ProtocolException {
-    ByteBuffer looked = bytes.duplicate();
-    while (looked.hasRemaining()) {
-      if (lines.next(looked) != null) {
-        health.clientLine();
+  private void forwardToServer(ByteBuffer bytes) throws ProtocolException {
+    ByteBuffer unparsed = bytes.duplicate();
+    while (unparsed.hasRemaining()) {
+      if (lineParser.next(unparsed) != null) {
+        healthCheck.onClientLine();
         continuity.fromClient();
       }
     }
@@ -81,19 +81,19 @@
    * Bytes that {@link #passLine} takes now, with room for a MOVE kept back. Guards against a client that reads
    * slowly: what the server's side has room for says nothing of the client's.
    */
-  int roomTowardsClient() {
+  int clientRoom() {
     return Math.max(0, client.free() - continuity.moveBytes());
   }
 
   /** Passes a whole line of the server on, for which there was room. */
-  void passLine(String line) {
+  void forwardLine(String line) {
     client.send(continuity.fromServer(line));
   }
 
   /** Hears of a line that was passed on. */
-  void lineFromServer(ServerLine line) {
+  void onServerLine(ServerLine line) {
     if (continuity.answers(line)) {
-      health.serverLine(line);
+      healthCheck.onServerLine(line);
     }
     if (state == State.MOVING) {
       moveNow(Outcome.CANCELLED, moveReason);
@@ -101,9 +101,9 @@
   }
 
   /** Passes a line of the proxy's own between two others, if there is room. */
-  boolean say(String line) {
+  boolean sendLine(String line) {
     int bytes = line.length() + 2;
-    if (state == State.OVER || client.free() < bytes + continuity.moveBytes()) {
+    if (state == State.CLOSED || client.free() < bytes + continuity.moveBytes()) {
       return false;
     }
     client.send(line + "\r\n");
@@ -123,7 +123,7 @@
       return;
     }
     moveReason = reason;
-    if (execution.betweenLines()) {
+    if (execution.isBetweenLines()) {
       moveNow(Outcome.CANCELLED, reason);
     } else {
       state = State.MOVING;
@@ -133,10 +133,10 @@
 
   /** A line of which only a part has come is left out: all that was passed on are whole ones. */
   void moveNow(Outcome outcome, EndReason reason) {
-    if (state == State.OVER) {
+    if (state == State.CLOSED) {
       return;
     }
-    leave(reason);
+    close(reason);
     if (client.free() >= continuity.moveBytes()) {
       client.send(continuity.move());
     }
@@ -155,21 +155,21 @@
     }
     serverEnded = true;
     client.endSending();
-    oneEnded(!clientEnded);
+    onOneSideEnded(!clientEnded);
   }
 
   @Override
   public void ended() {
     clientEnded = true;
     execution.link().endSending();
-    oneEnded(serverEnded);
+    onOneSideEnded(serverEnded);
   }
 
-  private void oneEnded(boolean serverFirst) {
+  private void onOneSideEnded(boolean serverFirst) {
     if (clientEnded && serverEnded) {
       finish(serverFirst);
     } else {
-      state = State.ENDING;
+      state = State.HALF_CLOSED;
       Timers.cancel(timer);
       timer = client.after(context.limits().linger(), () -> finish(serverFirst));
     }
@@ -177,16 +177,16 @@
 
   /** Ends both sides in good order: what was sent to them still arrives. */
   void finish(boolean serverFirst) {
-    if (state != State.OVER) {
-      leave(serverFirst ? EndReason.SERVER_ENDED : EndReason.CLIENT_ENDED);
+    if (state != State.CLOSED) {
+      close(serverFirst ? EndReason.SERVER_ENDED : EndReason.CLIENT_ENDED);
       client.finish();
       execution.finish(serverFirst);
     }
   }
 
   /** Ends both sides at once: the server's connection broke, or the client does not keep to the protocol. */
-  void breakOff(Outcome outcome, EndReason reason) {
-    leave(reason);
+  void abort(Outcome outcome, EndReason reason) {
+    close(reason);
     client.reset();
     execution.end(outcome, null);
   }
@@ -194,17 +194,17 @@
   /** The client was reset. */
   @Override
   public void broken() {
-    if (state != State.OVER) {
-      leave(EndReason.CLIENT_RESET);
+    if (state != State.CLOSED) {
+      close(EndReason.CLIENT_RESET);
       execution.reset();
     }
   }
 
-  private void leave(EndReason reason) {
-    state = State.OVER;
+  private void close(EndReason reason) {
+    state = State.CLOSED;
     ended.accept(reason);
     Timers.cancel(timer);
-    health.stop();
-    left.run();
+    healthCheck.stop();
+    onClosed.run();
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Breach.java
+++ b/proxy/src/main/java/lemondeal/proxy/Violation.java
@@ -1,7 +1,7 @@
 package lemondeal.proxy;
 
 /** The rules of the protocol that a step of this process could break, with the names under which they are counted. */
-enum Breach {
+enum Violation {
   /** A second attempt while the one before is out. */
   PARALLEL_ATTEMPT("parallel-attempt"),
   /** An attempt for a request that has had its final answer. */
@@ -20,7 +20,7 @@
   /** The figure's name behind {@code violations.}. */
   final String label;
 
-  Breach(String label) {
+  Violation(String label) {
     this.label = label;
   }
 }
--- /dev/null
+++ b/proxy/src/main/java/lemondeal/proxy/ViolationCounter.java
@@ -0,0 +1,40 @@
+package lemondeal.proxy;
+
+import java.util.Map;
+import lemondeal.log.EventLog;
+
+/**
+ * Counts the steps that would have broken a rule of the protocol. Whoever is about to take a step asks
+ * {@link RequestRules} first and does not take one that breaks a rule: so a count here is a fault of whoever ordered it,
+ * seen before it did harm. One log line each, bounded.
+ */
+final class ViolationCounter {
+  private static final String METRIC_PREFIX = "violations.";
+  /** Lines told in all: a fault that comes back with each request must not fill the log. */
+  private static final int MAX_LOG_LINES = 100;
+
+  private final EventLog log;
+  private final long[] counts = new long[Violation.values().length];
+  private int loggedLines;
+
+  ViolationCounter(EventLog log) {
+    this.log = log;
+  }
+
+  /** A step was about to break this rule, or had to. */
+  void count(Violation violation, String request, String detail) {
+    counts[violation.ordinal()]++;
+    if (loggedLines < MAX_LOG_LINES) {
+      loggedLines++;
+      log.warn("rule-broken", "lemondeal: rule broken: " + violation.label + ", request " + request + ", " + detail,
+          "rule", violation.label, "request", request);
+    }
+  }
+
+  /** Adds every count under its name. */
+  void addTo(Map<String, Long> figures) {
+    for (Violation violation : Violation.values()) {
+      figures.put(METRIC_PREFIX + violation.label, counts[violation.ordinal()]);
+    }
+  }
+}
--- a/proxy/src/test/java/lemondeal/proxy/DiscoveryClockTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DiscoveryClockTest.java
@@ -138,7 +138,7 @@
         site.await(ServerList.class);
       }
       site.settle();
-      assertEquals(1, site.proxy.startsRemembered());
+      assertEquals(1, site.proxy.startTimesHeld());
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/KnownServersTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/KnownServersTest.java
@@ -21,7 +21,7 @@
   private final KnownServers servers = new KnownServers(new Names(List.of(), List.of("a"), List.of("m")), () -> now);
 
   private void take(ListKind kind, ServerEntry... entries) {
-    servers.take(new ServerList(1, kind, List.of(entries)));
+    servers.apply(new ServerList(1, kind, List.of(entries)));
   }
 
   private static ServerEntry server(String name, ServerState state) {
@@ -70,12 +70,12 @@
   @Test
   void aWholeListOfOneServiceEndsNoServerOfAnother() {
     for (ListKind whole : List.of(ListKind.SAVED, ListKind.FULL)) {
-      servers.take(new ServerList(1, whole, List.of(server("f1", ServerState.READY)), 1));
-      servers.take(new ServerList(1, whole, List.of(server("s1", ServerState.READY)), 0));
+      servers.apply(new ServerList(1, whole, List.of(server("f1", ServerState.READY)), 1));
+      servers.apply(new ServerList(1, whole, List.of(server("s1", ServerState.READY)), 0));
       assertEquals(RequestRules.NOT_DRAINING, servers.drainingSince("f1"));
-      assertEquals(Set.of("f1", "s1"), servers.names());
+      assertEquals(Set.of("f1", "s1"), servers.serverIds());
     }
-    servers.take(new ServerList(2, ListKind.FULL, List.of(server("f2", ServerState.READY)), 1));
+    servers.apply(new ServerList(2, ListKind.FULL, List.of(server("f2", ServerState.READY)), 1));
     assertEquals(now, servers.drainingSince("f1"));
     assertEquals(RequestRules.NOT_DRAINING, servers.drainingSince("s1"));
   }
--- a/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
@@ -36,11 +36,11 @@
     Settings settings = new Settings(0, 1, 0, List.of(), List.of(), null, null, null, null, false, false, false, false,
         false, 0);
     DelayMeter delays = new DelayMeter(settings, Limits.of(1024, 192, 150_000, 5_000_000, 3_000_000), event -> { });
-    delays.told(5_000_000, "s", 1106.7);
-    assertTrue(delays.goesOn(6_010_000, "s", 1840.7));
-    assertFalse(delays.goesOn(6_010_000, "s", 5178.7), "too far from it");
-    assertFalse(delays.goesOn(5_600_000, "s", 1840.7), "not a second later");
-    assertFalse(delays.goesOn(6_010_000, "other", 1840.7));
+    delays.recordServerReported(5_000_000, "s", 1106.7);
+    assertTrue(delays.continuesDelaySeries(6_010_000, "s", 1840.7));
+    assertFalse(delays.continuesDelaySeries(6_010_000, "s", 5178.7), "too far from it");
+    assertFalse(delays.continuesDelaySeries(5_600_000, "s", 1840.7), "not a second later");
+    assertFalse(delays.continuesDelaySeries(6_010_000, "other", 1840.7));
   }
 
   @Test
--- a/proxy/src/test/java/lemondeal/proxy/ReloadCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReloadCrossingsTest.java
@@ -149,7 +149,7 @@
       setup.module = new DecisionModule();
       setup.config = given -> text = given.replace("\"cancelling\":true", "\"cancelling\":true,\"tryLimit\":3");
     })) {
-      site.proxy.renewBy(DecisionModule::new);
+      site.proxy.setModuleFactory(DecisionModule::new);
       new DiscoveryPeer(site).list(2, site.instance("in_service"));
       site.await(ServerList.class);
       Peer old = site.client(CHAT);
--- a/proxy/src/test/java/lemondeal/proxy/Reloads.java
+++ b/proxy/src/test/java/lemondeal/proxy/Reloads.java
@@ -51,7 +51,7 @@
       setup.longestDeadline = 5_000_000;
       setup.config = given -> text = change.apply(given);
     });
-    site.proxy.renewBy(() -> {
+    site.proxy.setModuleFactory(() -> {
       BlockingQueue<Event> events = new LinkedBlockingQueue<>();
       heard.add(events);
       return new ScriptedBalancer(event -> {
--- a/proxy/src/test/java/lemondeal/proxy/Site.java
+++ b/proxy/src/test/java/lemondeal/proxy/Site.java
@@ -96,8 +96,8 @@
     }
 
     @Override
-    long wall() {
-      return super.wall() + added;
+    long wallTime() {
+      return super.wallTime() + added;
     }
   }
 
--- a/proxy/src/test/java/lemondeal/proxy/StartTimesTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/StartTimesTest.java
@@ -40,7 +40,7 @@
 
   private long here(String server, long told) {
     ServerEntry entry = new ServerEntry(server, 0, 0, 0, told, ServerState.READY, 1);
-    return starts.here(new ServerList(1, ListKind.CHANGES, List.of(entry))).entries().get(0).startedAt();
+    return starts.toLocalClock(new ServerList(1, ListKind.CHANGES, List.of(entry))).entries().get(0).startedAt();
   }
 
   @Test
@@ -118,7 +118,7 @@
       here("s" + i, now);
     }
     starts.keepOnly(Set.of("s7"));
-    assertEquals(1, starts.held());
+    assertEquals(1, starts.size());
     passes(SECOND, true);
     steps(HOUR);
     assertEquals(now - SECOND, here("s7", now - SECOND), "kept as it was");
