--- a/lab/src/main/java/lemondeal/lab/consul/FilterMatch.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FilterMatch.java
@@ -15,12 +15,12 @@
   private FilterMatch() {}
 
   static boolean passes(Filter filter, JsonNode entry) {
-    if (filter instanceof Filter.Both both) {
+    if (filter instanceof Filter.And both) {
       return passes(both.left(), entry) && passes(both.right(), entry);
-    } else if (filter instanceof Filter.Either either) {
+    } else if (filter instanceof Filter.Or either) {
       return passes(either.left(), entry) || passes(either.right(), entry);
     } else if (filter instanceof Filter.Not not) {
-      return !passes(not.what(), entry);
+      return !passes(not.operand(), entry);
     }
     Filter.Match match = (Filter.Match) filter;
     return switch (match.operator()) {
--- a/lab/src/test/java/lemondeal/lab/consul/JudgedStandInTest.java
+++ b/lab/src/test/java/lemondeal/lab/consul/JudgedStandInTest.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import lemondeal.consul.HealthAnswer;
-import lemondeal.consul.Mapping;
+import lemondeal.consul.HealthResponseParser;
+import lemondeal.consul.MemberMapping;
 import lemondeal.membership.Health;
 import lemondeal.membership.Member;
 import org.junit.jupiter.api.AfterEach;
@@ -82,12 +82,12 @@
         .timeout(Duration.ofSeconds(10)).build(), HttpResponse.BodyHandlers.ofInputStream());
     assertEquals(200, answer.statusCode());
     Map<String, String> seen = new TreeMap<>();
-    new HealthAnswer(1000).read(answer.body(), entry -> {
+    new HealthResponseParser(1000).read(answer.body(), entry -> {
       try {
-        Member member = Mapping.DEFAULT.member(entry);
+        Member member = MemberMapping.DEFAULT.member(entry);
         seen.put(member.id(), member.health() + " " + member.address().getPort() + " " + member.passingWeight() + "/"
             + member.warningWeight());
-      } catch (Mapping.Unusable e) {
+      } catch (MemberMapping.UnusableEntryException e) {
         throw new AssertionError(e);
       }
     });
--- a/proxy/src/main/java/lemondeal/Extras.java
+++ b/proxy/src/main/java/lemondeal/Extras.java
@@ -150,9 +150,9 @@
   }
 
   /** Where the proxy's servers are listed: Consul where the file names it, else the platform's discovery. */
-  ListSource.Maker sources() {
+  ListSource.Factory sources() {
     return operator.consul().isEmpty() ? ListSource.PLATFORM
-        : ConsulServices.maker(settings(operator), log, made -> consul = made);
+        : ConsulServices.factory(settings(operator), log, made -> consul = made);
   }
 
   private static List<ConsulSettings> settings(Operator operator) {
--- a/proxy/src/main/java/lemondeal/consul/ConsulClient.java
+++ b/proxy/src/main/java/lemondeal/consul/ConsulClient.java
@@ -33,54 +33,54 @@
  * of ten thousand neither holds up the proxy's I/O thread nor fills its heap; each call ends once, with a {@link Reply}.
  */
 final class ConsulClient implements AutoCloseable {
-  private static final long CONNECT_MILLIS = 2_000;
+  private static final long CONNECT_TIMEOUT_MILLIS = 2_000;
   /** Beyond the wait: Consul adds up to a sixteenth of it, and the answer has to come over. */
-  private static final long SLACK_MILLIS = 3_000;
+  private static final long RESPONSE_SLACK_MILLIS = 3_000;
   /** A body has as long again: the JDK's client bounds the time until an answer begins, not until it ends. */
-  private static final long BODY_MILLIS = 10_000;
+  private static final long BODY_TIMEOUT_MILLIS = 10_000;
 
   /** How a call ended: an answer of the catalogue's, or why there is none. */
   record Reply(int status, long index, boolean knownLeader, long lastContact, List<Member> members,
-      List<String> unusable, String fault, long took) {
-    boolean answered() {
-      return fault.isEmpty() && status == 200;
+      List<String> unusableEntries, String error, long durationMillis) {
+    boolean successful() {
+      return error.isEmpty() && status == 200;
     }
 
-    static Reply failed(String why, long took) {
-      return new Reply(0, -1, false, 0, List.of(), List.of(), why, took);
+    static Reply failed(String reason, long durationMillis) {
+      return new Reply(0, -1, false, 0, List.of(), List.of(), reason, durationMillis);
     }
   }
 
   /** A call that is out. */
   static final class Call {
-    private CompletableFuture<HttpResponse<InputStream>> answer;
+    private CompletableFuture<HttpResponse<InputStream>> responseFuture;
     private InputStream body;
     private boolean cancelled;
 
     /** Gives it up, in whichever state it is; a body that is being read ends for its reader. Any thread. */
     synchronized void cancel() {
       cancelled = true;
-      if (answer != null) {
-        answer.cancel(true);
+      if (responseFuture != null) {
+        responseFuture.cancel(true);
       }
       closeQuietly(body);
     }
 
-    private synchronized void sent(CompletableFuture<HttpResponse<InputStream>> out) {
-      answer = out;
+    private synchronized void setResponseFuture(CompletableFuture<HttpResponse<InputStream>> future) {
+      responseFuture = future;
     }
 
-    private synchronized void reading(InputStream open) {
-      body = open;
+    private synchronized void setBody(InputStream stream) {
+      body = stream;
       if (cancelled) {
-        closeQuietly(open);
+        closeQuietly(stream);
       }
     }
 
-    private static void closeQuietly(InputStream open) {
+    private static void closeQuietly(InputStream stream) {
       try {
-        if (open != null) {
-          open.close();
+        if (stream != null) {
+          stream.close();
         }
       } catch (IOException e) {
         // It is given up in any case.
@@ -90,13 +90,13 @@
 
   private final ConsulSettings settings;
   /** The library's own work; a body is read elsewhere, since reading waits for what these threads bring. */
-  private final ExecutorService library = daemons("consul-http");
-  private final ExecutorService reader = daemons("consul");
-  private final HttpClient http;
+  private final ExecutorService httpExecutor = daemonExecutor("consul-http");
+  private final ExecutorService bodyExecutor = daemonExecutor("consul");
+  private final HttpClient httpClient;
   private final String token;
-  private final HealthAnswer parser;
+  private final HealthResponseParser parser;
   /** Members of the last answer, on the reader's thread: one that is as before is the same object again. */
-  private Map<String, Member> known = Map.of();
+  private Map<String, Member> previousMembers = Map.of();
 
   /**
    * Reads the token and the certificates now; throws where they can't be used.
@@ -106,16 +106,16 @@
   ConsulClient(ConsulSettings settings) throws IOException {
     this.settings = settings;
     token = settings.tokenFile() == null ? "" : Files.readString(settings.tokenFile()).strip();
-    parser = new HealthAnswer(settings.mostInstances());
-    HttpClient.Builder builder = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(library)
-        .connectTimeout(Duration.ofMillis(CONNECT_MILLIS)).followRedirects(HttpClient.Redirect.NEVER);
+    parser = new HealthResponseParser(settings.maxInstances());
+    HttpClient.Builder builder = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(httpExecutor)
+        .connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MILLIS)).followRedirects(HttpClient.Redirect.NEVER);
     if (settings.tls() != null) {
       builder.sslContext(sslContext()).sslParameters(sslParameters());
     }
-    http = builder.build();
+    httpClient = builder.build();
   }
 
-  private static ExecutorService daemons(String name) {
+  private static ExecutorService daemonExecutor(String name) {
     return Executors.newSingleThreadExecutor(work -> {
       Thread thread = new Thread(work, name);
       thread.setDaemon(true);
@@ -139,11 +139,11 @@
   }
 
   /** Milliseconds after which a call with this index is to be given up, whatever it is at. */
-  long patience(long index) {
-    return settledWait(index) * 17 / 16 + SLACK_MILLIS + BODY_MILLIS;
+  long callTimeoutMillis(long index) {
+    return effectiveWaitMillis(index) * 17 / 16 + RESPONSE_SLACK_MILLIS + BODY_TIMEOUT_MILLIS;
   }
 
-  private long settledWait(long index) {
+  private long effectiveWaitMillis(long index) {
     return index > 0 ? settings.waitMillis() : 0;
   }
 
@@ -153,18 +153,18 @@
    *
    * @param index wait for changes after it; 0 for an answer at once
    */
-  Call ask(int agent, long index, Consumer<Reply> told) {
+  Call query(int agent, long index, Consumer<Reply> onReply) {
     long started = System.nanoTime();
     Call call = new Call();
-    CompletableFuture<HttpResponse<InputStream>> answer = http.sendAsync(
-        request(settings.agents().get(agent), index, settledWait(index)), HttpResponse.BodyHandlers.ofInputStream());
-    call.sent(answer);
-    answer.whenCompleteAsync((response, failure) -> told.accept(failure != null ? Reply.failed(describe(failure),
-        since(started)) : read(call, response, started)), reader);
+    CompletableFuture<HttpResponse<InputStream>> responseFuture = httpClient.sendAsync(
+        request(settings.agents().get(agent), index, effectiveWaitMillis(index)), HttpResponse.BodyHandlers.ofInputStream());
+    call.setResponseFuture(responseFuture);
+    responseFuture.whenCompleteAsync((response, failure) -> onReply.accept(failure != null ? Reply.failed(describe(failure),
+        elapsedMillis(started)) : read(call, response, started)), bodyExecutor);
     return call;
   }
 
-  private static long since(long started) {
+  private static long elapsedMillis(long started) {
     return (System.nanoTime() - started) / 1_000_000;
   }
 
@@ -185,7 +185,7 @@
     URI uri = URI.create((settings.tls() == null ? "http" : "https") + "://" + Addresses.text(agent)
         + "/v1/health/service/" + URLEncoder.encode(settings.service(), StandardCharsets.UTF_8) + query);
     HttpRequest.Builder builder = HttpRequest.newBuilder(uri).GET().header("Accept", "application/json")
-        .timeout(Duration.ofMillis(wait + wait / 16 + SLACK_MILLIS));
+        .timeout(Duration.ofMillis(wait + wait / 16 + RESPONSE_SLACK_MILLIS));
     if (!token.isEmpty()) {
       builder.header("X-Consul-Token", token);
     }
@@ -200,53 +200,53 @@
   }
 
   private Reply read(Call call, HttpResponse<InputStream> response, long started) {
-    try (InputStream body = new BoundedStream(response.body(), settings.mostBytes())) {
-      call.reading(body);
+    try (InputStream body = new BoundedStream(response.body(), settings.maxBytes())) {
+      call.setBody(body);
       long index = header(response, "X-Consul-Index", -1);
       boolean leader = !response.headers().firstValue("X-Consul-KnownLeader").orElse("true").equals("false");
       long lastContact = header(response, "X-Consul-LastContact", 0);
       if (response.statusCode() != 200) {
         return new Reply(response.statusCode(), index, leader, lastContact, List.of(), List.of(),
-            "status " + response.statusCode(), since(started));
+            "status " + response.statusCode(), elapsedMillis(started));
       }
       if (index < 0) {
-        return Reply.failed("an answer without X-Consul-Index", since(started));
+        return Reply.failed("an answer without X-Consul-Index", elapsedMillis(started));
       }
-      List<Member> members = new ArrayList<>(known.size());
-      List<String> unusable = new ArrayList<>();
+      List<Member> members = new ArrayList<>(previousMembers.size());
+      List<String> unusableEntries = new ArrayList<>();
       parser.read(body, entry -> {
         try {
-          members.add(asBefore(settings.mapping().member(entry)));
-        } catch (Mapping.Unusable e) {
-          unusable.add(e.getMessage());
+          members.add(reuseUnchanged(settings.mapping().member(entry)));
+        } catch (MemberMapping.UnusableEntryException e) {
+          unusableEntries.add(e.getMessage());
         }
       });
-      remember(members);
-      return new Reply(200, index, leader, lastContact, members, unusable, "", since(started));
+      updatePreviousMembers(members);
+      return new Reply(200, index, leader, lastContact, members, unusableEntries, "", elapsedMillis(started));
     } catch (ProtocolException | IOException e) {
-      return Reply.failed(e.getMessage(), since(started));
+      return Reply.failed(e.getMessage(), elapsedMillis(started));
     }
   }
 
-  private Member asBefore(Member member) {
-    Member before = known.get(member.id());
-    return member.equals(before) ? before : member;
+  private Member reuseUnchanged(Member member) {
+    Member previous = previousMembers.get(member.id());
+    return member.equals(previous) ? previous : member;
   }
 
-  private void remember(List<Member> members) {
-    Map<String, Member> fresh = new HashMap<>(members.size() * 2);
+  private void updatePreviousMembers(List<Member> members) {
+    Map<String, Member> byId = new HashMap<>(members.size() * 2);
     for (Member member : members) {
-      fresh.putIfAbsent(member.id(), member);
+      byId.putIfAbsent(member.id(), member);
     }
-    known = fresh;
+    previousMembers = byId;
   }
 
-  private static long header(HttpResponse<?> response, String name, long absent) {
+  private static long header(HttpResponse<?> response, String name, long defaultValue) {
     String text = response.headers().firstValue(name).orElse("");
     try {
-      return text.isEmpty() ? absent : Long.parseLong(text);
+      return text.isEmpty() ? defaultValue : Long.parseLong(text);
     } catch (NumberFormatException e) {
-      return absent;
+      return defaultValue;
     }
   }
 
@@ -258,18 +258,18 @@
   /** Ends the threads; calls that are out are to be cancelled before. */
   @Override
   public void close() {
-    library.shutdownNow();
-    reader.shutdownNow();
+    httpExecutor.shutdownNow();
+    bodyExecutor.shutdownNow();
   }
 
   /** Reads up to a bound and refuses the rest: an answer comes from outside. */
   private static final class BoundedStream extends FilterInputStream {
-    private final long most;
-    private long size;
+    private final long maxBytes;
+    private long bytesRead;
 
-    BoundedStream(InputStream in, long most) {
+    BoundedStream(InputStream in, long maxBytes) {
       super(in);
-      this.most = most;
+      this.maxBytes = maxBytes;
     }
 
     @Override
@@ -280,16 +280,16 @@
     }
 
     @Override
-    public int read(byte[] bytes, int from, int length) throws IOException {
-      int got = super.read(bytes, from, length);
-      count(Math.max(0, got));
-      return got;
+    public int read(byte[] bytes, int offset, int length) throws IOException {
+      int count = super.read(bytes, offset, length);
+      count(Math.max(0, count));
+      return count;
     }
 
     private void count(int more) throws IOException {
-      size += more;
-      if (size > most) {
-        throw new IOException("an answer of more than " + most + " bytes");
+      bytesRead += more;
+      if (bytesRead > maxBytes) {
+        throw new IOException("an answer of more than " + maxBytes + " bytes");
       }
     }
   }
--- a/proxy/src/main/java/lemondeal/consul/ConsulServices.java
+++ b/proxy/src/main/java/lemondeal/consul/ConsulServices.java
@@ -22,27 +22,27 @@
   }
 
   /** A maker for {@link lemondeal.proxy.Proxy}; the settings are checked, the files read when the proxy is made. */
-  public static ListSource.Maker maker(List<ConsulSettings> services, EventLog log, Consumer<ConsulServices> made) {
-    return (net, timers, limits, config, group, told) -> {
+  public static ListSource.Factory factory(List<ConsulSettings> services, EventLog log, Consumer<ConsulServices> onCreated) {
+    return (net, timers, limits, config, group, onServerList) -> {
       List<ConsulSource> sources = new ArrayList<>();
       try {
         for (ConsulSettings settings : services) {
-          sources.add(new ConsulSource(net, timers, group, told, settings, log, sources.size(), config.seed()));
+          sources.add(new ConsulSource(net, timers, group, onServerList, settings, log, sources.size(), config.seed()));
         }
       } catch (IOException e) {
         sources.forEach(ConsulSource::close);
         throw new ConfigException("discovery.consul: " + e.getMessage());
       }
-      ConsulServices all = new ConsulServices(sources);
-      made.accept(all);
-      return all;
+      ConsulServices consulServices = new ConsulServices(sources);
+      onCreated.accept(consulServices);
+      return consulServices;
     };
   }
 
   @Override
-  public List<ServerList> saved() {
+  public List<ServerList> savedLists() {
     List<ServerList> all = new ArrayList<>();
-    sources.forEach(source -> all.addAll(source.saved()));
+    sources.forEach(source -> all.addAll(source.savedLists()));
     return all;
   }
 
@@ -57,8 +57,8 @@
   }
 
   @Override
-  public void reconfigure(Config fresh) {
-    sources.forEach(source -> source.reconfigure(fresh));
+  public void reconfigure(Config newConfig) {
+    sources.forEach(source -> source.reconfigure(newConfig));
   }
 
   /**
@@ -66,13 +66,13 @@
    *
    * @throws IOException where a file can't be used: services before it in the file have taken theirs
    */
-  public void reload(List<ConsulSettings> fresh) throws IOException {
-    if (fresh.size() != sources.size()) {
-      throw new IOException("found " + fresh.size() + " services; allowed: " + sources.size()
+  public void reload(List<ConsulSettings> newSettings) throws IOException {
+    if (newSettings.size() != sources.size()) {
+      throw new IOException("found " + newSettings.size() + " services; allowed: " + sources.size()
           + ", as at the start: a service more or less counts from the next start");
     }
-    for (int i = 0; i < fresh.size(); i++) {
-      sources.get(i).reload(fresh.get(i));
+    for (int i = 0; i < newSettings.size(); i++) {
+      sources.get(i).reload(newSettings.get(i));
     }
   }
 
--- a/proxy/src/main/java/lemondeal/consul/ConsulSettings.java
+++ b/proxy/src/main/java/lemondeal/consul/ConsulSettings.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import lemondeal.config.TlsFiles;
-import lemondeal.membership.AskPace;
+import lemondeal.membership.PollBackoff;
 import lemondeal.membership.Damping;
 import lemondeal.membership.ListGuard;
 import lemondeal.saved.ListFile;
@@ -29,11 +29,11 @@
  */
 public record ConsulSettings(List<InetSocketAddress> agents, String service, String datacenter, String namespace,
     String partition, Consistency consistency, String near, String filter, long waitMillis, Path tokenFile,
-    TlsFiles tls, Mapping mapping, Damping.Settings damping, ListGuard.Settings guard, AskPace.Settings pace,
-    int mostInstances, long mostBytes, ListFile.Settings saved) {
+    TlsFiles tls, MemberMapping mapping, Damping.Settings damping, ListGuard.Settings guard, PollBackoff.Settings backoff,
+    int maxInstances, long maxBytes, ListFile.Settings savedList) {
 
   /** Which list it is, for a saved one: the same for settings that list the same instances. */
-  String source() {
+  String listName() {
     return "consul " + service + (datacenter.isEmpty() ? "" : " dc=" + datacenter)
         + (namespace.isEmpty() ? "" : " ns=" + namespace) + (partition.isEmpty() ? "" : " partition=" + partition)
         + (filter.isEmpty() ? "" : " filter=" + filter);
--- a/proxy/src/main/java/lemondeal/consul/ConsulSource.java
+++ b/proxy/src/main/java/lemondeal/consul/ConsulSource.java
@@ -17,10 +17,10 @@
 import lemondeal.discovery.HostGroup;
 import lemondeal.discovery.ListSource;
 import lemondeal.log.EventLog;
-import lemondeal.membership.AskPace;
+import lemondeal.membership.PollBackoff;
 import lemondeal.membership.ListGuard;
 import lemondeal.membership.Member;
-import lemondeal.membership.Roster;
+import lemondeal.membership.MemberTable;
 import lemondeal.net.Net;
 import lemondeal.net.Timers;
 import lemondeal.saved.ListFile;
@@ -35,92 +35,92 @@
 public final class ConsulSource implements ListSource {
   private static final long MILLI = 1_000;
   /** A log line of one kind at most so often: a hundred proxies in trouble must not flood their logs. */
-  private static final long TELL_EVERY_MILLIS = 10_000;
+  private static final long LOG_INTERVAL_MILLIS = 10_000;
 
   private final Net net;
   private final Timers timers;
   private final HostGroup group;
-  private final Consumer<ServerList> told;
+  private final Consumer<ServerList> onServerList;
   private final EventLog log;
   private final int fleet;
   private final SplittableRandom random;
-  private final Map<String, Long> toldAt = new HashMap<>();
-  private final Roster roster;
+  private final Map<String, Long> lastLoggedAt = new HashMap<>();
+  private final MemberTable memberTable;
   /** Null where the list is not kept on disk. */
-  private final ListFile file;
+  private final ListFile listFile;
   private ConsulSettings settings;
   private ConsulClient client;
   private long index;
-  private long keptSince;
+  private long rejectedSince;
   private long version;
-  private boolean listed;
+  private boolean fullListSent;
   /** The operator named another list: that none of those held is in it says nothing against it. */
-  private boolean otherList;
-  private int agent;
+  private boolean listChanged;
+  private int agentIndex;
   private int failures;
   private boolean watching;
   /** Null while none is out. */
-  private ConsulClient.Call out;
-  private Timers.Timer patience;
-  private Timers.Timer next;
-  private Timers.Timer recheck;
-  private Timers.Timer confirm;
+  private ConsulClient.Call pendingCall;
+  private Timers.Timer callTimeout;
+  private Timers.Timer nextCallTimer;
+  private Timers.Timer recheckTimer;
+  private Timers.Timer confirmTimer;
   /** Grows with each call given up and each change of settings: a reply to a call of before is not heard. */
-  private int epoch;
+  private int callEpoch;
 
   /**
    * @param fleet the source's place among those that list servers for classes of their own
    * @param seed for the draws of pauses: proxies turned away together come back apart
    * @throws IOException where the token or the certificates can't be read
    */
-  public ConsulSource(Net net, Timers timers, HostGroup group, Consumer<ServerList> told, ConsulSettings settings,
+  public ConsulSource(Net net, Timers timers, HostGroup group, Consumer<ServerList> onServerList, ConsulSettings settings,
       EventLog log, int fleet, long seed) throws IOException {
     this.net = net;
     this.timers = timers;
     this.group = group;
-    this.told = told;
+    this.onServerList = onServerList;
     this.settings = settings;
     this.log = log;
     this.fleet = fleet;
     random = new SplittableRandom(seed + fleet);
-    roster = new Roster(settings.damping());
+    memberTable = new MemberTable(settings.damping());
     client = new ConsulClient(settings);
-    file = settings.saved() == null ? null
-        : new ListFile(settings.saved(), System::currentTimeMillis, log);
+    listFile = settings.savedList() == null ? null
+        : new ListFile(settings.savedList(), System::currentTimeMillis, log);
   }
 
   /** The list on disk where there is one: the guard holds the first answers to it, too. */
   @Override
-  public List<ServerList> saved() {
-    List<Member> members = file == null ? List.of() : file.read(settings.source());
-    List<Roster.Place> places = members.isEmpty() ? List.of()
-        : roster.take(members, now(), System.currentTimeMillis()).changed();
-    return List.of(list(ListKind.SAVED, places, List.of()));
+  public List<ServerList> savedLists() {
+    List<Member> members = listFile == null ? List.of() : listFile.read(settings.listName());
+    List<MemberTable.EffectiveMember> effectiveMembers = members.isEmpty() ? List.of()
+        : memberTable.apply(members, now(), System.currentTimeMillis()).changed();
+    return List.of(toServerList(ListKind.SAVED, effectiveMembers, List.of()));
   }
 
   @Override
   public void watch(boolean on) {
     if (on && !watching) {
       watching = true;
-      if (out == null) {
-        ask();
+      if (pendingCall == null) {
+        query();
       }
     } else if (!on) {
       watching = false;
-      cancel();
+      cancelCalls();
     }
   }
 
   @Override
   public void fetch() {
-    if (out == null) {
-      ask();
+    if (pendingCall == null) {
+      query();
     }
   }
 
   /** The platform's configuration names no Consul: what changes is in the operator's file, taken by {@link #reload}. */
   @Override
-  public void reconfigure(Config fresh) {
+  public void reconfigure(Config newConfig) {
     // Nothing of the platform's configuration is Consul's.
   }
 
@@ -130,24 +130,24 @@
    *
    * @throws IOException where the files can't be used: the settings before stay
    */
-  public void reload(ConsulSettings fresh) throws IOException {
-    ConsulClient made = new ConsulClient(fresh);
-    net.later(() -> use(fresh, made));
+  public void reload(ConsulSettings newSettings) throws IOException {
+    ConsulClient newClient = new ConsulClient(newSettings);
+    net.later(() -> applySettings(newSettings, newClient));
   }
 
-  private void use(ConsulSettings fresh, ConsulClient made) {
-    otherList |= !fresh.source().equals(settings.source());
-    cancel();
+  private void applySettings(ConsulSettings newSettings, ConsulClient newClient) {
+    listChanged |= !newSettings.listName().equals(settings.listName());
+    cancelCalls();
     client.close();
-    settings = fresh;
-    client = made;
-    roster.use(fresh.damping());
-    agent = 0;
+    settings = newSettings;
+    client = newClient;
+    memberTable.updateSettings(newSettings.damping());
+    agentIndex = 0;
     failures = 0;
     // An answer at once: the mapping may be another one, and the service, too.
     index = 0;
     if (watching) {
-      ask();
+      query();
     }
   }
 
@@ -156,171 +156,171 @@
     return timers.now() / MILLI;
   }
 
-  private void cancel() {
-    giveUp();
-    Timers.cancel(next);
-    next = null;
+  private void cancelCalls() {
+    abandonCall();
+    Timers.cancel(nextCallTimer);
+    nextCallTimer = null;
   }
 
-  private void giveUp() {
-    epoch++;
-    Timers.cancel(patience);
-    patience = null;
-    if (out != null) {
-      out.cancel();
-      out = null;
+  private void abandonCall() {
+    callEpoch++;
+    Timers.cancel(callTimeout);
+    callTimeout = null;
+    if (pendingCall != null) {
+      pendingCall.cancel();
+      pendingCall = null;
     }
   }
 
-  private void ask() {
-    next = null;
-    int asked = ++epoch;
-    long from = watching ? index : 0;
-    long most = client.patience(from);
-    out = client.ask(agent, from, reply -> net.later(() -> {
-      if (asked == epoch) {
-        out = null;
-        Timers.cancel(patience);
-        heard(reply);
+  private void query() {
+    nextCallTimer = null;
+    int queryEpoch = ++callEpoch;
+    long queryIndex = watching ? index : 0;
+    long timeoutMillis = client.callTimeoutMillis(queryIndex);
+    pendingCall = client.query(agentIndex, queryIndex, reply -> net.later(() -> {
+      if (queryEpoch == callEpoch) {
+        pendingCall = null;
+        Timers.cancel(callTimeout);
+        onReply(reply);
       }
     }));
-    patience = timers.after(most * MILLI, () -> {
-      giveUp();
-      heard(ConsulClient.Reply.failed("no whole answer in " + most + " ms", most));
+    callTimeout = timers.after(timeoutMillis * MILLI, () -> {
+      abandonCall();
+      onReply(ConsulClient.Reply.failed("no whole answer in " + timeoutMillis + " ms", timeoutMillis));
     });
   }
 
-  private void heard(ConsulClient.Reply reply) {
-    if (!reply.answered()) {
-      failed(reply);
+  private void onReply(ConsulClient.Reply reply) {
+    if (!reply.successful()) {
+      onFailure(reply);
       return;
     }
     failures = 0;
-    if (!reply.unusable().isEmpty()) {
-      tell("consul-unusable", "", "lemondeal: " + reply.unusable().size() + " of Consul's instances can't be used, as "
-          + reply.unusable().get(0), "count", reply.unusable().size());
+    if (!reply.unusableEntries().isEmpty()) {
+      tell("consul-unusable", "", "lemondeal: " + reply.unusableEntries().size() + " of Consul's instances can't be used, as "
+          + reply.unusableEntries().get(0), "count", reply.unusableEntries().size());
     }
     long now = now();
-    ListGuard.Verdict verdict = ListGuard.judge(new ListGuard.Answer(reply.index(), reply.knownLeader(),
+    ListGuard.Verdict verdict = ListGuard.evaluate(new ListGuard.Answer(reply.index(), reply.knownLeader(),
         reply.lastContact(), settings.consistency() == ConsulSettings.Consistency.STALE, reply.members().size(),
-        otherList ? 0 : roster.lost(reply.members())), new ListGuard.Held(index, roster.serving(), keptSince), now, settings.guard());
-    if (verdict instanceof ListGuard.Take take) {
-      taken(reply, take, now);
-    } else if (verdict instanceof ListGuard.Keep keep) {
-      kept(reply, keep, now);
+        listChanged ? 0 : memberTable.countLost(reply.members())), new ListGuard.HeldList(index, memberTable.servingCount(), rejectedSince), now, settings.guard());
+    if (verdict instanceof ListGuard.Accept accept) {
+      acceptReply(reply, accept, now);
+    } else if (verdict instanceof ListGuard.Reject reject) {
+      rejectReply(reply, reject, now);
     }
   }
 
-  private void taken(ConsulClient.Reply reply, ListGuard.Take take, long now) {
+  private void acceptReply(ConsulClient.Reply reply, ListGuard.Accept accept, long now) {
     // A blocking query that returns with nothing changed, as after its wait, says nothing new.
-    boolean same = reply.index() == index && index > 0 && keptSince == 0 && listed;
-    keptSince = 0;
-    otherList = false;
-    Timers.cancel(confirm);
-    confirm = null;
-    index = take.from();
-    if (!same) {
-      Roster.Change change = roster.take(reply.members(), now, System.currentTimeMillis());
-      if (!listed) {
-        listed = true;
-        told.accept(list(ListKind.FULL, roster.places(), List.of()));
+    boolean unchanged = reply.index() == index && index > 0 && rejectedSince == 0 && fullListSent;
+    rejectedSince = 0;
+    listChanged = false;
+    Timers.cancel(confirmTimer);
+    confirmTimer = null;
+    index = accept.nextIndex();
+    if (!unchanged) {
+      MemberTable.Change change = memberTable.apply(reply.members(), now, System.currentTimeMillis());
+      if (!fullListSent) {
+        fullListSent = true;
+        onServerList.accept(toServerList(ListKind.FULL, memberTable.effectiveMembers(), List.of()));
       } else {
         tell(change);
       }
-      if (file != null) {
-        file.save(settings.source(), reply.members());
+      if (listFile != null) {
+        listFile.save(settings.listName(), reply.members());
       }
-      recheckAt(now);
+      scheduleRecheck(now);
     }
-    again(AskPace.pause(AskPace.Ended.ANSWERED, 0, reply.took(), random.nextDouble(), settings.pace()));
+    scheduleQuery(PollBackoff.nextDelay(PollBackoff.CallOutcome.ANSWERED, 0, reply.durationMillis(), random.nextDouble(), settings.backoff()));
   }
 
-  private void kept(ConsulClient.Reply reply, ListGuard.Keep keep, long now) {
-    tell("consul-kept", keep.why().replaceAll("[0-9]", ""), "lemondeal: Consul's answer is not believed ("
-        + keep.why() + "); the list held stays", "why", keep.why());
-    index = keep.from();
-    if (keep.bySize() && keptSince == 0) {
-      keptSince = now;
-      confirm = timers.after(settings.guard().confirmAfter() * MILLI, this::confirm);
+  private void rejectReply(ConsulClient.Reply reply, ListGuard.Reject reject, long now) {
+    tell("consul-kept", reject.reason().replaceAll("[0-9]", ""), "lemondeal: Consul's answer is not believed ("
+        + reject.reason() + "); the list held stays", "why", reject.reason());
+    index = reject.nextIndex();
+    if (reject.bySize() && rejectedSince == 0) {
+      rejectedSince = now;
+      confirmTimer = timers.after(settings.guard().confirmAfterMillis() * MILLI, this::confirmRejected);
     }
-    again(keep.bySize() ? AskPace.pause(AskPace.Ended.ANSWERED, 0, reply.took(), random.nextDouble(), settings.pace())
-        : AskPace.pause(AskPace.Ended.FAILED, failures++, reply.took(), random.nextDouble(), settings.pace()));
+    scheduleQuery(reject.bySize() ? PollBackoff.nextDelay(PollBackoff.CallOutcome.ANSWERED, 0, reply.durationMillis(), random.nextDouble(), settings.backoff())
+        : PollBackoff.nextDelay(PollBackoff.CallOutcome.FAILED, failures++, reply.durationMillis(), random.nextDouble(), settings.backoff()));
   }
 
   /** An answer kept for its size is asked for once more, at once: if it stands, it is believed. */
-  private void confirm() {
-    confirm = null;
-    if (keptSince > 0 && watching) {
-      cancel();
+  private void confirmRejected() {
+    confirmTimer = null;
+    if (rejectedSince > 0 && watching) {
+      cancelCalls();
       index = 0;
-      ask();
+      query();
     }
   }
 
-  private void failed(ConsulClient.Reply reply) {
-    AskPace.Ended ended = reply.status() == 429 ? AskPace.Ended.TOO_OFTEN : AskPace.Ended.FAILED;
-    InetSocketAddress asked = settings.agents().get(agent);
+  private void onFailure(ConsulClient.Reply reply) {
+    PollBackoff.CallOutcome outcome = reply.status() == 429 ? PollBackoff.CallOutcome.TOO_OFTEN : PollBackoff.CallOutcome.FAILED;
+    InetSocketAddress failedAgent = settings.agents().get(agentIndex);
     // Another agent may answer where this one does not; one that says it is asked too often is asked less.
-    if (ended == AskPace.Ended.FAILED && settings.agents().size() > 1) {
-      agent = (agent + 1) % settings.agents().size();
+    if (outcome == PollBackoff.CallOutcome.FAILED && settings.agents().size() > 1) {
+      agentIndex = (agentIndex + 1) % settings.agents().size();
     }
-    tell("consul-failed", Addresses.text(asked) + " " + reply.status(), "lemondeal: Consul at " + Addresses.text(asked)
-        + " did not answer: " + reply.fault() + "; the list held stays", "agent", Addresses.text(asked), "why",
-        reply.fault());
-    again(AskPace.pause(ended, failures++, reply.took(), random.nextDouble(), settings.pace()));
+    tell("consul-failed", Addresses.text(failedAgent) + " " + reply.status(), "lemondeal: Consul at " + Addresses.text(failedAgent)
+        + " did not answer: " + reply.error() + "; the list held stays", "agent", Addresses.text(failedAgent), "why",
+        reply.error());
+    scheduleQuery(PollBackoff.nextDelay(outcome, failures++, reply.durationMillis(), random.nextDouble(), settings.backoff()));
   }
 
-  private void again(long millis) {
+  private void scheduleQuery(long millis) {
     if (!watching) {
       return;
     }
     if (millis <= 0) {
-      ask();
+      query();
     } else {
-      next = timers.after(millis * MILLI, this::ask);
+      nextCallTimer = timers.after(millis * MILLI, this::query);
     }
   }
 
-  private void tell(Roster.Change change) {
+  private void tell(MemberTable.Change change) {
     if (!change.isEmpty()) {
-      told.accept(list(ListKind.CHANGES, change.changed(), change.gone()));
+      onServerList.accept(toServerList(ListKind.CHANGES, change.changed(), change.removed()));
     }
   }
 
-  private ServerList list(ListKind kind, List<Roster.Place> places, List<String> gone) {
-    List<ServerEntry> entries = new ArrayList<>(places.size() + gone.size());
-    Map<String, InetSocketAddress> addresses = new HashMap<>(places.size() * 2);
-    for (Roster.Place place : places) {
-      Member member = place.member();
-      entries.add(new ServerEntry(member.id(), group.zone(member.zone()), member.cell(), group.model(member.model()),
-          place.startedAt() * MILLI, place.serves() ? ServerState.READY : ServerState.DRAINING, place.weight()));
+  private ServerList toServerList(ListKind kind, List<MemberTable.EffectiveMember> effectiveMembers, List<String> removed) {
+    List<ServerEntry> entries = new ArrayList<>(effectiveMembers.size() + removed.size());
+    Map<String, InetSocketAddress> addresses = new HashMap<>(effectiveMembers.size() * 2);
+    for (MemberTable.EffectiveMember effective : effectiveMembers) {
+      Member member = effective.member();
+      entries.add(new ServerEntry(member.id(), group.zoneIndex(member.zone()), member.cell(), group.modelIndex(member.model()),
+          effective.startedAt() * MILLI, effective.serves() ? ServerState.READY : ServerState.DRAINING, effective.weight()));
       addresses.put(member.id(), member.address());
     }
-    for (String id : gone) {
+    for (String id : removed) {
       entries.add(new ServerEntry(id, 0, 0, 0, 0, ServerState.GONE, 1));
     }
-    return group.tell(++version, kind, entries, addresses, fleet);
+    return group.applySourceUpdate(++version, kind, entries, addresses, fleet);
   }
 
   /** A drained instance that stays well serves again after its quiet time, though Consul has nothing new to say. */
-  private void recheckAt(long now) {
-    Timers.cancel(recheck);
-    recheck = roster.wakeAt() == Long.MAX_VALUE ? null
-        : timers.after(Math.max(1, roster.wakeAt() - now) * MILLI, this::recheck);
+  private void scheduleRecheck(long now) {
+    Timers.cancel(recheckTimer);
+    recheckTimer = memberTable.nextRecheckAt() == Long.MAX_VALUE ? null
+        : timers.after(Math.max(1, memberTable.nextRecheckAt() - now) * MILLI, this::recheck);
   }
 
   private void recheck() {
     long now = now();
-    tell(roster.recheck(now));
-    recheckAt(now);
+    tell(memberTable.recheck(now));
+    scheduleRecheck(now);
   }
 
   /** Tells an event, at most once in a while for each kind of it: {@code kind} tells kinds of one event apart. */
   private void tell(String event, String kind, String line, Object... fields) {
     long now = now();
-    Long last = toldAt.get(event + " " + kind);
-    if (last == null || now - last >= TELL_EVERY_MILLIS) {
-      toldAt.put(event + " " + kind, now);
+    Long last = lastLoggedAt.get(event + " " + kind);
+    if (last == null || now - last >= LOG_INTERVAL_MILLIS) {
+      lastLoggedAt.put(event + " " + kind, now);
       log.warn(event, line, fields);
     }
   }
@@ -328,12 +328,12 @@
   /** Ends the calls, the timers and the threads; what is to be saved is saved. On any thread, at the end. */
   public void close() {
     watching = false;
-    cancel();
-    Timers.cancel(confirm);
-    Timers.cancel(recheck);
+    cancelCalls();
+    Timers.cancel(confirmTimer);
+    Timers.cancel(recheckTimer);
     client.close();
-    if (file != null) {
-      file.close();
+    if (listFile != null) {
+      listFile.close();
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/consul/HealthAnswer.java
+++ b/proxy/src/main/java/lemondeal/consul/HealthResponseParser.java
@@ -19,18 +19,18 @@
  * and {@code Checks}. What the proxy does not use is passed over, whatever it holds; what it uses must have its type.
  * Bounded, since the answer comes from outside: depth, the length of a string, and the number of entries.
  */
-public final class HealthAnswer {
-  private static final int DEPTH = 16;
-  private static final int STRING = 64 * 1024;
+public final class HealthResponseParser {
+  private static final int MAX_DEPTH = 16;
+  private static final int MAX_STRING_LENGTH = 64 * 1024;
 
   private final JsonFactory factory;
-  private final int most;
+  private final int maxEntries;
 
   /** @param most entries read at most; an answer with more is refused */
-  public HealthAnswer(int most) {
-    this.most = most;
+  public HealthResponseParser(int maxEntries) {
+    this.maxEntries = maxEntries;
     factory = JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-        .maxNestingDepth(DEPTH).maxStringLength(STRING).maxNumberLength(32).build()).build();
+        .maxNestingDepth(MAX_DEPTH).maxStringLength(MAX_STRING_LENGTH).maxNumberLength(32).build()).build();
   }
 
   /**
@@ -39,15 +39,15 @@
    *
    * @throws IOException where the body can't be read on
    */
-  public void read(InputStream body, Consumer<CatalogEntry> each) throws ProtocolException, IOException {
+  public void read(InputStream body, Consumer<CatalogEntry> onEntry) throws ProtocolException, IOException {
     try (JsonParser in = factory.createParser(body)) {
       expect(in.nextToken(), JsonToken.START_ARRAY, "the answer");
       int count = 0;
       while (in.nextToken() == JsonToken.START_OBJECT) {
-        if (count++ == most) {
-          throw new ProtocolException("more than " + most + " instances");
+        if (count++ == maxEntries) {
+          throw new ProtocolException("more than " + maxEntries + " instances");
         }
-        each.accept(entry(in));
+        onEntry.accept(entry(in));
       }
       expect(in.currentToken(), JsonToken.END_ARRAY, "the answer");
       if (in.nextToken() != null) {
@@ -76,7 +76,7 @@
       throw new ProtocolException("an entry without " + (node == null ? "Node" : "Service"));
     }
     return new CatalogEntry(node.name, node.address, node.meta, service.id, service.address, service.port, service.tags,
-        service.meta, service.tagged, service.passing, service.warning, service.createIndex, checks);
+        service.meta, service.taggedAddresses, service.passingWeight, service.warningWeight, service.createIndex, checks);
   }
 
   /** The parts of a node that are used. */
@@ -93,9 +93,9 @@
       String name = in.currentName();
       JsonToken value = in.nextToken();
       switch (name) {
-        case "Node" -> node.name = text(in, value, "Node.Node");
-        case "Address" -> node.address = text(in, value, "Node.Address");
-        case "Meta" -> node.meta = texts(in, value, "Node.Meta");
+        case "Node" -> node.name = string(in, value, "Node.Node");
+        case "Address" -> node.address = string(in, value, "Node.Address");
+        case "Meta" -> node.meta = stringMap(in, value, "Node.Meta");
         default -> in.skipChildren();
       }
     }
@@ -112,9 +112,9 @@
     int port;
     List<String> tags = List.of();
     Map<String, String> meta = Map.of();
-    Map<String, String> tagged = Map.of();
-    int passing = 1;
-    int warning = 1;
+    Map<String, String> taggedAddresses = Map.of();
+    int passingWeight = 1;
+    int warningWeight = 1;
     long createIndex;
   }
 
@@ -125,14 +125,14 @@
       String name = in.currentName();
       JsonToken value = in.nextToken();
       switch (name) {
-        case "ID" -> service.id = text(in, value, "Service.ID");
-        case "Address" -> service.address = text(in, value, "Service.Address");
-        case "Port" -> service.port = (int) whole(in, value, "Service.Port", 0, 65_535);
-        case "Tags" -> service.tags = list(in, value, "Service.Tags");
-        case "Meta" -> service.meta = texts(in, value, "Service.Meta");
-        case "TaggedAddresses" -> service.tagged = tagged(in, value);
+        case "ID" -> service.id = string(in, value, "Service.ID");
+        case "Address" -> service.address = string(in, value, "Service.Address");
+        case "Port" -> service.port = (int) integer(in, value, "Service.Port", 0, 65_535);
+        case "Tags" -> service.tags = stringList(in, value, "Service.Tags");
+        case "Meta" -> service.meta = stringMap(in, value, "Service.Meta");
+        case "TaggedAddresses" -> service.taggedAddresses = taggedAddresses(in, value);
         case "Weights" -> weights(in, value, service);
-        case "CreateIndex" -> service.createIndex = whole(in, value, "Service.CreateIndex", 0, Long.MAX_VALUE);
+        case "CreateIndex" -> service.createIndex = integer(in, value, "Service.CreateIndex", 0, Long.MAX_VALUE);
         default -> in.skipChildren();
       }
     }
@@ -151,20 +151,20 @@
       String name = in.currentName();
       JsonToken value = in.nextToken();
       switch (name) {
-        case "Passing" -> service.passing = (int) whole(in, value, "Service.Weights.Passing", 0, 1_000_000);
-        case "Warning" -> service.warning = (int) whole(in, value, "Service.Weights.Warning", 0, 1_000_000);
+        case "Passing" -> service.passingWeight = (int) integer(in, value, "Service.Weights.Passing", 0, 1_000_000);
+        case "Warning" -> service.warningWeight = (int) integer(in, value, "Service.Weights.Warning", 0, 1_000_000);
         default -> in.skipChildren();
       }
     }
   }
 
   /** Each tagged address as "address:port". */
-  private static Map<String, String> tagged(JsonParser in, JsonToken start) throws IOException, ProtocolException {
+  private static Map<String, String> taggedAddresses(JsonParser in, JsonToken start) throws IOException, ProtocolException {
     if (start == JsonToken.VALUE_NULL) {
       return Map.of();
     }
     expect(start, JsonToken.START_OBJECT, "Service.TaggedAddresses");
-    Map<String, String> tagged = new LinkedHashMap<>();
+    Map<String, String> addresses = new LinkedHashMap<>();
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String tag = in.currentName();
       expect(in.nextToken(), JsonToken.START_OBJECT, "Service.TaggedAddresses." + tag);
@@ -174,14 +174,14 @@
         String name = in.currentName();
         JsonToken value = in.nextToken();
         switch (name) {
-          case "Address" -> address = text(in, value, "Service.TaggedAddresses." + tag + ".Address");
-          case "Port" -> port = whole(in, value, "Service.TaggedAddresses." + tag + ".Port", 0, 65_535);
+          case "Address" -> address = string(in, value, "Service.TaggedAddresses." + tag + ".Address");
+          case "Port" -> port = integer(in, value, "Service.TaggedAddresses." + tag + ".Port", 0, 65_535);
           default -> in.skipChildren();
         }
       }
-      tagged.put(tag, address + ":" + port);
+      addresses.put(tag, address + ":" + port);
     }
-    return tagged;
+    return addresses;
   }
 
   private static List<CatalogEntry.Check> checks(JsonParser in, JsonToken start) throws IOException, ProtocolException {
@@ -198,9 +198,9 @@
         String name = in.currentName();
         JsonToken value = in.nextToken();
         switch (name) {
-          case "CheckID" -> id = text(in, value, "Checks.CheckID");
-          case "ServiceID" -> serviceId = text(in, value, "Checks.ServiceID");
-          case "Status" -> status = text(in, value, "Checks.Status");
+          case "CheckID" -> id = string(in, value, "Checks.CheckID");
+          case "ServiceID" -> serviceId = string(in, value, "Checks.ServiceID");
+          case "Status" -> status = string(in, value, "Checks.Status");
           default -> in.skipChildren();
         }
       }
@@ -213,56 +213,56 @@
     return checks;
   }
 
-  private static String text(JsonParser in, JsonToken value, String what) throws IOException, ProtocolException {
+  private static String string(JsonParser in, JsonToken value, String field) throws IOException, ProtocolException {
     if (value == JsonToken.VALUE_NULL) {
       return "";
     }
-    expect(value, JsonToken.VALUE_STRING, what);
+    expect(value, JsonToken.VALUE_STRING, field);
     return in.getText();
   }
 
-  private static long whole(JsonParser in, JsonToken value, String what, long least, long most) throws IOException, ProtocolException {
-    expect(value, JsonToken.VALUE_NUMBER_INT, what);
+  private static long integer(JsonParser in, JsonToken value, String field, long min, long max) throws IOException, ProtocolException {
+    expect(value, JsonToken.VALUE_NUMBER_INT, field);
     long number = in.getLongValue();
-    if (number < least || number > most) {
-      throw new ProtocolException(what + " is " + number + ", not within " + least + " to " + most);
+    if (number < min || number > max) {
+      throw new ProtocolException(field + " is " + number + ", not within " + min + " to " + max);
     }
     return number;
   }
 
-  private static List<String> list(JsonParser in, JsonToken start, String what) throws IOException, ProtocolException {
+  private static List<String> stringList(JsonParser in, JsonToken start, String field) throws IOException, ProtocolException {
     if (start == JsonToken.VALUE_NULL) {
       return List.of();
     }
-    expect(start, JsonToken.START_ARRAY, what);
+    expect(start, JsonToken.START_ARRAY, field);
     List<String> items = new ArrayList<>();
     for (JsonToken value = in.nextToken(); value != JsonToken.END_ARRAY; value = in.nextToken()) {
-      items.add(text(in, value, what));
+      items.add(string(in, value, field));
     }
     return items;
   }
 
-  private static Map<String, String> texts(JsonParser in, JsonToken start, String what) throws IOException, ProtocolException {
+  private static Map<String, String> stringMap(JsonParser in, JsonToken start, String field) throws IOException, ProtocolException {
     if (start == JsonToken.VALUE_NULL) {
       return Map.of();
     }
-    expect(start, JsonToken.START_OBJECT, what);
+    expect(start, JsonToken.START_OBJECT, field);
     Map<String, String> map = new LinkedHashMap<>();
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String key = in.currentName();
-      map.put(key, text(in, in.nextToken(), what + "." + key));
+      map.put(key, string(in, in.nextToken(), field + "." + key));
     }
     return map;
   }
 
-  private static void expect(JsonToken found, JsonToken wanted, String what) throws ProtocolException {
-    if (found != wanted) {
-      throw new ProtocolException(what + " is " + (found == null ? "cut off" : found.asString() == null
-          ? found.name().toLowerCase(java.util.Locale.ROOT) : "'" + found.asString() + "'") + ", not " + name(wanted));
+  private static void expect(JsonToken found, JsonToken expected, String field) throws ProtocolException {
+    if (found != expected) {
+      throw new ProtocolException(field + " is " + (found == null ? "cut off" : found.asString() == null
+          ? found.name().toLowerCase(java.util.Locale.ROOT) : "'" + found.asString() + "'") + ", not " + tokenName(expected));
     }
   }
 
-  private static String name(JsonToken token) {
+  private static String tokenName(JsonToken token) {
     return switch (token) {
       case START_ARRAY -> "a list";
       case START_OBJECT -> "an object";
--- a/proxy/src/main/java/lemondeal/consul/Mapping.java
+++ b/proxy/src/main/java/lemondeal/consul/MemberMapping.java
@@ -15,10 +15,10 @@
  * @param model where the model's name stands, or null
  * @param cell where the cell's number stands, or null
  */
-public record Mapping(AddressFrom address, String tagged, Field zone, Field model, Field cell) {
+public record MemberMapping(AddressSource address, String taggedName, Field zone, Field model, Field cell) {
 
   /** Where an instance's address is taken from. */
-  public enum AddressFrom {
+  public enum AddressSource {
     /** {@code Service.Address}, or the node's where it is empty: as Consul's own DNS does. */
     SERVICE,
     /** {@code Node.Address} with the service's port. */
@@ -28,26 +28,26 @@
   }
 
   /** Where a field stands: a key of the node's or the service's metadata, or a tag that begins with a prefix. */
-  public enum Where { NODE_META, SERVICE_META, TAG }
+  public enum FieldLocation { NODE_META, SERVICE_META, TAG }
 
   /** One field: for {@link Where#TAG} the key is the prefix, and the rest of the tag is the value. */
-  public record Field(Where where, String key) {}
+  public record Field(FieldLocation location, String key) {}
 
   /** The mapping where the operator's file names none. */
-  public static final Mapping DEFAULT = new Mapping(AddressFrom.SERVICE, null, null, null, null);
+  public static final MemberMapping DEFAULT = new MemberMapping(AddressSource.SERVICE, null, null, null, null);
 
   /** Thrown for an entry that can't be used; the others are taken. */
-  public static final class Unusable extends Exception {
+  public static final class UnusableEntryException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Unusable(String what) {
-      super(what, null, false, false);
+    UnusableEntryException(String message) {
+      super(message, null, false, false);
     }
   }
 
   /** The instance, or why it can't be used. */
-  public Member member(CatalogEntry entry) throws Unusable {
-    return new Member(entry.node() + "/" + entry.serviceId(), text(zone, entry), text(model, entry), cell(entry),
+  public Member member(CatalogEntry entry) throws UnusableEntryException {
+    return new Member(entry.node() + "/" + entry.serviceId(), fieldValue(zone, entry), fieldValue(model, entry), cell(entry),
         address(entry), health(entry), entry.passingWeight(), entry.warningWeight(), entry.createIndex());
   }
 
@@ -70,26 +70,26 @@
     return maintenance ? Health.MAINTENANCE : critical ? Health.CRITICAL : warning ? Health.WARNING : Health.PASSING;
   }
 
-  private InetSocketAddress address(CatalogEntry entry) throws Unusable {
+  private InetSocketAddress address(CatalogEntry entry) throws UnusableEntryException {
     String text = switch (address) {
       case SERVICE -> (entry.serviceAddress().isEmpty() ? entry.nodeAddress() : entry.serviceAddress()) + ":"
           + entry.port();
       case NODE -> entry.nodeAddress() + ":" + entry.port();
-      case TAGGED -> entry.taggedAddresses().getOrDefault(tagged, "");
+      case TAGGED -> entry.taggedAddresses().getOrDefault(taggedName, "");
     };
     try {
       return Addresses.parse(text);
     } catch (IllegalArgumentException e) {
       // No names are looked up: the platform has no DNS, and a name's answer could differ from proxy to proxy.
-      throw new Unusable(entry.node() + "/" + entry.serviceId() + ": " + e.getMessage());
+      throw new UnusableEntryException(entry.node() + "/" + entry.serviceId() + ": " + e.getMessage());
     }
   }
 
-  private static String text(Field field, CatalogEntry entry) {
+  private static String fieldValue(Field field, CatalogEntry entry) {
     if (field == null) {
       return "";
     }
-    return switch (field.where()) {
+    return switch (field.location()) {
       case NODE_META -> entry.nodeMeta().getOrDefault(field.key(), "");
       case SERVICE_META -> entry.serviceMeta().getOrDefault(field.key(), "");
       case TAG -> entry.tags().stream().filter(tag -> tag.startsWith(field.key())).findFirst()
@@ -97,15 +97,15 @@
     };
   }
 
-  private int cell(CatalogEntry entry) throws Unusable {
-    String text = text(cell, entry);
+  private int cell(CatalogEntry entry) throws UnusableEntryException {
+    String text = fieldValue(cell, entry);
     if (text.isEmpty()) {
       return 0;
     }
     try {
       return Integer.parseInt(text);
     } catch (NumberFormatException e) {
-      throw new Unusable(entry.node() + "/" + entry.serviceId() + ": cell '" + text + "' is no whole number");
+      throw new UnusableEntryException(entry.node() + "/" + entry.serviceId() + ": cell '" + text + "' is no whole number");
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/consul/Pem.java
+++ b/proxy/src/main/java/lemondeal/consul/Pem.java
@@ -42,28 +42,28 @@
   /** A context that trusts the authority alone and shows the certificate where there is one. */
   public static SSLContext context(TlsFiles files) throws IOException, GeneralSecurityException {
     SSLContext context = SSLContext.getInstance("TLS");
-    KeyManagerFactory keys = null;
+    KeyManagerFactory keyManagers = null;
     if (files.certificate() != null) {
       KeyStore store = KeyStore.getInstance("PKCS12");
       store.load(null, NO_PASSWORD);
       List<Certificate> chain = certificates(files.certificate());
       store.setKeyEntry("proxy", key(files.key()), NO_PASSWORD, chain.toArray(new Certificate[0]));
-      keys = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
-      keys.init(store, NO_PASSWORD);
+      keyManagers = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
+      keyManagers.init(store, NO_PASSWORD);
     }
-    context.init(keys == null ? null : keys.getKeyManagers(),
-        new javax.net.ssl.TrustManager[] {new NameCheck(authority(files.authority()), files.name())}, null);
+    context.init(keyManagers == null ? null : keyManagers.getKeyManagers(),
+        new javax.net.ssl.TrustManager[] {new NameCheckingTrustManager(trustManager(files.authority()), files.name())}, null);
     return context;
   }
 
-  private static X509TrustManager authority(Path file) throws IOException, GeneralSecurityException {
+  private static X509TrustManager trustManager(Path file) throws IOException, GeneralSecurityException {
     KeyStore store = KeyStore.getInstance("PKCS12");
     store.load(null, NO_PASSWORD);
-    int number = 0;
+    int count = 0;
     for (Certificate certificate : certificates(file)) {
-      store.setCertificateEntry("authority-" + number++, certificate);
+      store.setCertificateEntry("authority-" + count++, certificate);
     }
-    if (number == 0) {
+    if (count == 0) {
       throw new CertificateException(file + " holds no certificate");
     }
     TrustManagerFactory trust = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
@@ -104,29 +104,29 @@
    * was dialled: among the certificate's alternative names, as HTTPS would check them. A client's certificate, where this
    * side serves, has the authority's word alone.
    */
-  static final class NameCheck extends X509ExtendedTrustManager {
-    private final X509TrustManager authority;
+  static final class NameCheckingTrustManager extends X509ExtendedTrustManager {
+    private final X509TrustManager delegate;
     private final String name;
 
-    NameCheck(X509TrustManager authority, String name) {
-      this.authority = authority;
+    NameCheckingTrustManager(X509TrustManager delegate, String name) {
+      this.delegate = delegate;
       this.name = name;
     }
 
     @Override
     public void checkServerTrusted(X509Certificate[] chain, String type, SSLEngine engine) throws CertificateException {
-      authority.checkServerTrusted(chain, type);
+      delegate.checkServerTrusted(chain, type);
       String expected = name != null ? name : engine == null ? null : engine.getPeerHost();
-      if (expected == null || !bears(chain[0], expected)) {
+      if (expected == null || !isIssuedFor(chain[0], expected)) {
         throw new CertificateException("the server's certificate does not bear " + expected);
       }
     }
 
     @Override
     public void checkServerTrusted(X509Certificate[] chain, String type, Socket socket) throws CertificateException {
-      authority.checkServerTrusted(chain, type);
+      delegate.checkServerTrusted(chain, type);
       String expected = name != null ? name : socket == null ? null : socket.getInetAddress().getHostAddress();
-      if (expected == null || !bears(chain[0], expected)) {
+      if (expected == null || !isIssuedFor(chain[0], expected)) {
         throw new CertificateException("the server's certificate does not bear " + expected);
       }
     }
@@ -137,8 +137,8 @@
     }
 
     /** Whether the certificate names this address or name: IP addresses exactly, names also under one wildcard. */
-    static boolean bears(X509Certificate certificate, String expected) throws CertificateParsingException {
-      boolean address = expected.matches("[0-9.]+") || expected.contains(":");
+    static boolean isIssuedFor(X509Certificate certificate, String expected) throws CertificateParsingException {
+      boolean isAddress = expected.matches("[0-9.]+") || expected.contains(":");
       Collection<List<?>> alternatives = certificate.getSubjectAlternativeNames();
       if (alternatives == null) {
         return false;
@@ -146,14 +146,14 @@
       for (List<?> alternative : alternatives) {
         int type = (Integer) alternative.get(0);
         String value = String.valueOf(alternative.get(1));
-        if (address && type == 7 && same(value, expected) || !address && type == 2 && matches(value, expected)) {
+        if (isAddress && type == 7 && sameAddress(value, expected) || !isAddress && type == 2 && matchesPattern(value, expected)) {
           return true;
         }
       }
       return false;
     }
 
-    private static boolean same(String one, String other) {
+    private static boolean sameAddress(String one, String other) {
       try {
         return InetAddress.getByName(one).equals(InetAddress.getByName(other));
       } catch (IOException e) {
@@ -161,34 +161,34 @@
       }
     }
 
-    private static boolean matches(String pattern, String name) {
-      String p = pattern.toLowerCase(Locale.ROOT);
-      String n = name.toLowerCase(Locale.ROOT);
-      if (p.startsWith("*.")) {
-        int dot = n.indexOf('.');
-        return dot > 0 && n.substring(dot).equals(p.substring(1));
+    private static boolean matchesPattern(String pattern, String name) {
+      String lowerPattern = pattern.toLowerCase(Locale.ROOT);
+      String lowerName = name.toLowerCase(Locale.ROOT);
+      if (lowerPattern.startsWith("*.")) {
+        int dot = lowerName.indexOf('.');
+        return dot > 0 && lowerName.substring(dot).equals(lowerPattern.substring(1));
       }
-      return p.equals(n);
+      return lowerPattern.equals(lowerName);
     }
 
     @Override
     public void checkClientTrusted(X509Certificate[] chain, String type, SSLEngine engine) throws CertificateException {
-      authority.checkClientTrusted(chain, type);
+      delegate.checkClientTrusted(chain, type);
     }
 
     @Override
     public void checkClientTrusted(X509Certificate[] chain, String type, Socket socket) throws CertificateException {
-      authority.checkClientTrusted(chain, type);
+      delegate.checkClientTrusted(chain, type);
     }
 
     @Override
     public void checkClientTrusted(X509Certificate[] chain, String type) throws CertificateException {
-      authority.checkClientTrusted(chain, type);
+      delegate.checkClientTrusted(chain, type);
     }
 
     @Override
     public X509Certificate[] getAcceptedIssuers() {
-      return authority.getAcceptedIssuers();
+      return delegate.getAcceptedIssuers();
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/consul/filter/Filter.java
+++ b/proxy/src/main/java/lemondeal/consul/filter/Filter.java
@@ -6,12 +6,12 @@
 public sealed interface Filter {
 
   /** Both hold. */
-  record Both(Filter left, Filter right) implements Filter {}
+  record And(Filter left, Filter right) implements Filter {}
 
   /** One holds at least. */
-  record Either(Filter left, Filter right) implements Filter {}
+  record Or(Filter left, Filter right) implements Filter {}
 
-  record Not(Filter what) implements Filter {}
+  record Not(Filter operand) implements Filter {}
 
   /**
    * One comparison.
--- a/proxy/src/main/java/lemondeal/consul/filter/FilterException.java
+++ b/proxy/src/main/java/lemondeal/consul/filter/FilterException.java
@@ -6,8 +6,8 @@
 
   private final int column;
 
-  FilterException(int column, String what) {
-    super("column " + column + ": " + what, null, false, false);
+  FilterException(int column, String detail) {
+    super("column " + column + ": " + detail, null, false, false);
     this.column = column;
   }
 
--- a/proxy/src/main/java/lemondeal/consul/filter/Filters.java
+++ b/proxy/src/main/java/lemondeal/consul/filter/Filters.java
@@ -24,10 +24,10 @@
  */
 public final class Filters {
   /** Nested parentheses and negations; deeper ones would exhaust the stack before they said anything. */
-  private static final int DEEPEST = 100;
+  private static final int MAX_DEPTH = 100;
 
   /** What a field holds, and with it how it may be compared. */
-  private enum Kind {
+  private enum FieldType {
     TEXT(EnumSet.of(Operator.EQUAL, Operator.UNEQUAL, Operator.IN, Operator.NOT_IN, Operator.MATCHES,
         Operator.NOT_MATCHES)),
     NUMBER(EnumSet.of(Operator.EQUAL, Operator.UNEQUAL)),
@@ -38,55 +38,55 @@
 
     private final Set<Operator> operators;
 
-    Kind(Set<Operator> operators) {
+    FieldType(Set<Operator> operators) {
       this.operators = operators;
     }
   }
 
   /** A key of a map stands as *. */
-  private static final Map<String, Kind> FIELDS = new LinkedHashMap<>();
+  private static final Map<String, FieldType> FIELDS = new LinkedHashMap<>();
 
   static {
     for (String text : List.of("Node.ID", "Node.Node", "Node.Address", "Node.Datacenter", "Node.TaggedAddresses.*",
         "Node.Meta.*", "Service.ID", "Service.Service", "Service.Address", "Service.Kind", "Service.Meta.*",
         "Service.TaggedAddresses.*.Address", "Checks.CheckID", "Checks.Name", "Checks.Node", "Checks.Notes",
         "Checks.Output", "Checks.ServiceID", "Checks.ServiceName", "Checks.Status")) {
-      FIELDS.put(text, Kind.TEXT);
+      FIELDS.put(text, FieldType.TEXT);
     }
     for (String number : List.of("Service.Port", "Service.TaggedAddresses.*.Port", "Service.Weights.Passing",
         "Service.Weights.Warning")) {
-      FIELDS.put(number, Kind.NUMBER);
+      FIELDS.put(number, FieldType.NUMBER);
     }
-    FIELDS.put("Service.EnableTagOverride", Kind.BOOLEAN);
-    FIELDS.put("Service.Connect.Native", Kind.BOOLEAN);
-    FIELDS.put("Service.Tags", Kind.TEXTS);
-    FIELDS.put("Checks.ServiceTags", Kind.TEXTS);
-    FIELDS.put("Node.Meta", Kind.MAP);
-    FIELDS.put("Node.TaggedAddresses", Kind.MAP);
-    FIELDS.put("Service.Meta", Kind.MAP);
-    FIELDS.put("Service.TaggedAddresses", Kind.MAP);
-    FIELDS.put("Checks", Kind.OBJECTS);
+    FIELDS.put("Service.EnableTagOverride", FieldType.BOOLEAN);
+    FIELDS.put("Service.Connect.Native", FieldType.BOOLEAN);
+    FIELDS.put("Service.Tags", FieldType.TEXTS);
+    FIELDS.put("Checks.ServiceTags", FieldType.TEXTS);
+    FIELDS.put("Node.Meta", FieldType.MAP);
+    FIELDS.put("Node.TaggedAddresses", FieldType.MAP);
+    FIELDS.put("Service.Meta", FieldType.MAP);
+    FIELDS.put("Service.TaggedAddresses", FieldType.MAP);
+    FIELDS.put("Checks", FieldType.OBJECTS);
   }
 
   private Filters() {}
 
   /** The expression read; throws with its first mistake. */
   public static Filter parse(String expression) throws FilterException {
-    Mistakes mistakes = new Mistakes();
+    FirstErrorListener errors = new FirstErrorListener();
     FilterGrammarLexer lexer = new FilterGrammarLexer(CharStreams.fromString(expression));
     lexer.removeErrorListeners();
-    lexer.addErrorListener(mistakes);
+    lexer.addErrorListener(errors);
     CommonTokenStream tokens = new CommonTokenStream(lexer);
     FilterGrammarParser parser = new FilterGrammarParser(tokens);
     parser.removeErrorListeners();
-    parser.addErrorListener(mistakes);
-    FilterReader reader = new FilterReader();
+    parser.addErrorListener(errors);
+    FilterBuilder builder = new FilterBuilder();
     try {
       tokens.fill();
       checkDepth(tokens);
-      return reader.visit(parser.filter());
+      return builder.visit(parser.filter());
     } catch (ParseCancellationException e) {
-      throw mistakes.first != null ? mistakes.first : reader.mistake();
+      throw errors.firstError != null ? errors.firstError : builder.error();
     }
   }
 
@@ -95,33 +95,33 @@
     for (Token token : tokens.getTokens()) {
       depth += token.getType() == FilterGrammarLexer.OPEN || token.getType() == FilterGrammarLexer.NOT ? 1
           : token.getType() == FilterGrammarLexer.CLOSE ? -1 : 0;
-      if (depth > DEEPEST) {
-        throw new FilterException(token.getStartIndex() + 1, "found more than " + DEEPEST
-            + " parentheses and negations open; allowed: at most " + DEEPEST);
+      if (depth > MAX_DEPTH) {
+        throw new FilterException(token.getStartIndex() + 1, "found more than " + MAX_DEPTH
+            + " parentheses and negations open; allowed: at most " + MAX_DEPTH);
       }
     }
   }
 
   /** Ends the reading at the first mistake, and keeps it. */
-  private static final class Mistakes extends BaseErrorListener {
-    private FilterException first;
+  private static final class FirstErrorListener extends BaseErrorListener {
+    private FilterException firstError;
 
     @Override
-    public void syntaxError(Recognizer<?, ?> at, Object symbol, int line, int inLine, String message,
+    public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int charPositionInLine, String message,
         RecognitionException e) {
       if (symbol instanceof Token token) {
-        String allowed = ((Parser) at).getExpectedTokens().toString(FilterGrammarParser.VOCABULARY);
-        first = new FilterException(token.getStartIndex() + 1, "found " + (token.getType() == Token.EOF ? "the end"
-            : "'" + token.getText() + "'") + "; allowed: " + readable(allowed));
+        String allowed = ((Parser) recognizer).getExpectedTokens().toString(FilterGrammarParser.VOCABULARY);
+        firstError = new FilterException(token.getStartIndex() + 1, "found " + (token.getType() == Token.EOF ? "the end"
+            : "'" + token.getText() + "'") + "; allowed: " + describeTokens(allowed));
       } else {
-        int column = ((FilterGrammarLexer) at)._tokenStartCharIndex + 1;
-        first = new FilterException(column, "found a character that no expression has; allowed: fields, values, "
+        int column = ((FilterGrammarLexer) recognizer)._tokenStartCharIndex + 1;
+        firstError = new FilterException(column, "found a character that no expression has; allowed: fields, values, "
             + "operators and parentheses");
       }
       throw new ParseCancellationException();
     }
 
-    private static String readable(String tokens) {
+    private static String describeTokens(String tokens) {
       return tokens.replace("{", "").replace("}", "").replace("NAME", "a field or value").replace("NUMBER", "a number")
           .replace("QUOTED", "a text in quotes").replace("RAW", "a text in backquotes").replace("<EOF>", "the end");
     }
@@ -129,14 +129,14 @@
 
   /** Throws where a field does not exist in the health endpoint's entries, or can't be compared so. */
   public static void check(Filter filter) throws FilterException {
-    if (filter instanceof Filter.Both both) {
-      check(both.left());
-      check(both.right());
-    } else if (filter instanceof Filter.Either either) {
-      check(either.left());
-      check(either.right());
+    if (filter instanceof Filter.And and) {
+      check(and.left());
+      check(and.right());
+    } else if (filter instanceof Filter.Or or) {
+      check(or.left());
+      check(or.right());
     } else if (filter instanceof Filter.Not not) {
-      check(not.what());
+      check(not.operand());
     } else if (filter instanceof Filter.Match match) {
       check(match);
     }
@@ -144,27 +144,27 @@
 
   private static void check(Filter.Match match) throws FilterException {
     Filter.Selector selector = match.selector();
-    Kind kind = kind(selector.path());
-    if (kind == null) {
+    FieldType type = fieldType(selector.path());
+    if (type == null) {
       throw new FilterException(selector.column(), "found the field " + selector + "; allowed: "
           + String.join(", ", FIELDS.keySet()));
     }
-    if (!kind.operators.contains(match.operator())) {
+    if (!type.operators.contains(match.operator())) {
       List<String> allowed = new ArrayList<>();
-      kind.operators.forEach(operator -> allowed.add(operator.text()));
+      type.operators.forEach(operator -> allowed.add(operator.text()));
       throw new FilterException(selector.column(), "found '" + match.operator().text() + "' on " + selector
           + "; allowed: " + String.join(", ", allowed));
     }
-    checkValue(match, kind);
+    checkValue(match, type);
   }
 
-  private static void checkValue(Filter.Match match, Kind kind) throws FilterException {
+  private static void checkValue(Filter.Match match, FieldType type) throws FilterException {
     int column = match.selector().column();
-    if (kind == Kind.NUMBER && !match.value().matches("-?[0-9]{1,18}")) {
+    if (type == FieldType.NUMBER && !match.value().matches("-?[0-9]{1,18}")) {
       throw new FilterException(column, "found '" + match.value() + "' for " + match.selector()
           + "; allowed: a whole number");
     }
-    if (kind == Kind.BOOLEAN && !match.value().matches("true|false")) {
+    if (type == FieldType.BOOLEAN && !match.value().matches("true|false")) {
       throw new FilterException(column, "found '" + match.value() + "' for " + match.selector()
           + "; allowed: true or false");
     }
@@ -178,14 +178,14 @@
     }
   }
 
-  private static Kind kind(List<String> path) {
-    for (Map.Entry<String, Kind> field : FIELDS.entrySet()) {
+  private static FieldType fieldType(List<String> path) {
+    for (Map.Entry<String, FieldType> field : FIELDS.entrySet()) {
       String[] parts = field.getKey().split("\\.");
-      boolean fits = parts.length == path.size();
-      for (int i = 0; fits && i < parts.length; i++) {
-        fits = parts[i].equals("*") || parts[i].equals(path.get(i));
+      boolean matches = parts.length == path.size();
+      for (int i = 0; matches && i < parts.length; i++) {
+        matches = parts[i].equals("*") || parts[i].equals(path.get(i));
       }
-      if (fits) {
+      if (matches) {
         return field.getValue();
       }
     }
--- a/proxy/src/main/java/lemondeal/discovery/Call.java
+++ b/proxy/src/main/java/lemondeal/discovery/Call.java
@@ -19,14 +19,14 @@
 final class Call implements Link.Owner, HttpParser.Sink {
 
   /** Takes the lists that a call brings. */
-  interface Told {
+  interface ListHandler {
     /**
      * @param list empty for a watch that has nothing new to say at first
      * @param since the version that the call goes on from
      * @return the version that it goes on from now
      * @throws ProtocolException if the list can't be read: the call has failed then
      */
-    long listed(Map<String, Object> list, long since) throws ProtocolException;
+    long onList(Map<String, Object> list, long baseVersion) throws ProtocolException;
   }
 
   private static final int OK = 200;
@@ -35,19 +35,19 @@
   private final Limits limits;
   private final ListClock clock;
   private final String path;
-  private final boolean watch;
-  private final Told told;
-  private final Runnable failed;
-  private final Consumer<String> unreadable;
+  private final boolean isWatch;
+  private final ListHandler listHandler;
+  private final Runnable onFailure;
+  private final Consumer<String> onUnreadable;
   private final HttpParser parser;
   private final ObjectLines objects;
   private Dial dial;
   private Link link;
-  private Timers.Timer silence;
-  private long silentFrom;
-  private long since;
-  private boolean answered;
-  private boolean over;
+  private Timers.Timer silenceTimer;
+  private long silenceDeadline;
+  private long baseVersion;
+  private boolean listReceived;
+  private boolean finished;
 
   /**
    * @param clock is told what this call hears, and says when it has been silent for too long
@@ -55,17 +55,17 @@
    * @param failed is told once, if the call ends without answer or a watch ends at all
    * @param unreadable is told why, if an answer can't be read
    */
-  Call(Timers timers, Limits limits, ListClock clock, String path, boolean watch, long since, Told told,
-      Runnable failed, Consumer<String> unreadable) {
+  Call(Timers timers, Limits limits, ListClock clock, String path, boolean isWatch, long baseVersion, ListHandler listHandler,
+      Runnable onFailure, Consumer<String> onUnreadable) {
     this.timers = timers;
     this.limits = limits;
     this.clock = clock;
     this.path = path;
-    this.watch = watch;
-    this.since = since;
-    this.told = told;
-    this.failed = failed;
-    this.unreadable = unreadable;
+    this.isWatch = isWatch;
+    this.baseVersion = baseVersion;
+    this.listHandler = listHandler;
+    this.onFailure = onFailure;
+    this.onUnreadable = onUnreadable;
     parser = new HttpParser(limits.listLineBytes(), this);
     objects = new ObjectLines(limits.listLineBytes());
   }
@@ -73,24 +73,24 @@
   void start(Net net, InetSocketAddress address) {
     String request = "GET " + path + " HTTP/1.1\r\nHost: " + address.getHostString() + ":" + address.getPort()
         + "\r\nAccept: application/json\r\n\r\n";
-    clock.called(timers.now());
-    awaitMore();
+    clock.callStarted(timers.now());
+    updateSilenceTimer();
     dial = net.dial(address, limits.watchSilence(), opened -> {
       link = opened;
-      clock.back(timers.now());
+      clock.discoveryReachable(timers.now());
       link.start(this);
       link.send(request);
-    }, this::unreached);
+    }, this::onUnreachable);
   }
 
-  boolean isOver() {
-    return over;
+  boolean isFinished() {
+    return finished;
   }
 
   /** Ends the call without a word. */
   void stop() {
-    over = true;
-    Timers.cancel(silence);
+    finished = true;
+    Timers.cancel(silenceTimer);
     if (dial != null) {
       dial.cancel();
     }
@@ -103,31 +103,31 @@
    * Guards against a discovery that is cut off: its connection stays open and says nothing, or nothing whole. Whatever
    * does not move the end of patience must not begin it anew: bytes that come one by one would go on for ever.
    */
-  private void awaitMore() {
-    if (clock.brokenAt() != silentFrom) {
-      silentFrom = clock.brokenAt();
-      Timers.cancel(silence);
-      silence = timers.after(silentFrom - timers.now(), this::late);
+  private void updateSilenceTimer() {
+    if (clock.brokenAt() != silenceDeadline) {
+      silenceDeadline = clock.brokenAt();
+      Timers.cancel(silenceTimer);
+      silenceTimer = timers.after(silenceDeadline - timers.now(), this::onSilence);
     }
   }
 
   /** Looks again a moment later: it may be this process that stood still, with a line waiting to be read. */
-  private void late() {
-    silence = timers.after(limits.moment(), this::fail);
+  private void onSilence() {
+    silenceTimer = timers.after(limits.moment(), this::fail);
   }
 
-  private void unreached() {
-    if (!over) {
-      clock.down(timers.now());
+  private void onUnreachable() {
+    if (!finished) {
+      clock.discoveryUnreachable(timers.now());
       fail();
     }
   }
 
   private void fail() {
-    if (!over) {
-      clock.failed(timers.now());
+    if (!finished) {
+      clock.callFailed(timers.now());
       stop();
-      failed.run();
+      onFailure.run();
     }
   }
 
@@ -140,12 +140,12 @@
   public void received(ByteBuffer bytes) {
     try {
       parser.take(bytes);
-      if (!over) {
-        clock.stirred(timers.now());
-        awaitMore();
+      if (!finished) {
+        clock.bytesReceived(timers.now());
+        updateSilenceTimer();
       }
     } catch (ProtocolException e) {
-      unreadable.accept(e.getMessage());
+      onUnreadable.accept(e.getMessage());
       fail();
     }
   }
@@ -179,36 +179,36 @@
 
   @Override
   public void line(String line) throws ProtocolException {
-    if (over) {
+    if (finished) {
       return;
     }
     if (line.isBlank() && !objects.midObject()) {
-      if (watch && !answered) {
-        tell(Map.of());
-      } else if (answered) {
-        clock.heard(timers.now());
+      if (isWatch && !listReceived) {
+        deliver(Map.of());
+      } else if (listReceived) {
+        clock.lineReceived(timers.now());
       }
       return;
     }
     String object = objects.add(line);
     if (object != null) {
-      tell(Json.object(object));
+      deliver(Json.object(object));
     }
   }
 
-  private void tell(Map<String, Object> list) throws ProtocolException {
-    answered = true;
-    since = told.listed(list, since);
-    if (!over) {
-      clock.heard(timers.now());
+  private void deliver(Map<String, Object> list) throws ProtocolException {
+    listReceived = true;
+    baseVersion = listHandler.onList(list, baseVersion);
+    if (!finished) {
+      clock.lineReceived(timers.now());
     }
   }
 
   @Override
   public void end() {
-    if (!over) {
-      if (answered && !watch && !objects.midObject()) {
-        clock.answered(timers.now());
+    if (!finished) {
+      if (listReceived && !isWatch && !objects.midObject()) {
+        clock.listReceived(timers.now());
         stop();
       } else {
         fail();
--- a/proxy/src/main/java/lemondeal/discovery/Discovery.java
+++ b/proxy/src/main/java/lemondeal/discovery/Discovery.java
@@ -22,83 +22,83 @@
  * first moment: a watch is kept open from the start on, and the list from before the start is told only if none comes.
  */
 public final class Discovery implements ListSource {
-  private static final String LIST = "/api/targets";
+  private static final String LIST_PATH = "/api/targets";
   /** What the rules on sockets add to each time limit, in microseconds. */
-  private static final long SLACK = 50_000;
+  private static final long RULE_SLACK_MICROS = 50_000;
   /** Microseconds between two lines in the log on answers that can't be read. */
-  private static final long UNREADABLE_EVERY = 10_000_000;
+  private static final long UNREADABLE_LOG_INTERVAL = 10_000_000;
 
   private final Net net;
   private final Timers timers;
   private final Limits limits;
   private final HostGroup group;
-  private final Consumer<ServerList> told;
+  private final Consumer<ServerList> onServerList;
   private final Settings settings;
-  private final List<Call> fetches = new ArrayList<>();
+  private final List<Call> pendingFetches = new ArrayList<>();
   private final SplittableRandom random;
   private final ListClock clock;
   private InetSocketAddress address;
   /** The configuration's list in discovery's form, until it is taken in. */
-  private Map<String, Object> known;
+  private Map<String, Object> configuredList;
   private Call watch;
-  private boolean wanted;
+  private boolean watchRequested;
   /** Whether the watch is kept open without the module's word. */
-  private boolean kept;
+  private boolean permanentWatch;
   /** The list from before the start, while it is held back from the module; null otherwise. */
-  private ServerList heldBack;
+  private ServerList withheldSavedList;
   /** A watch that the clock or a new address asked for, before the module did. */
-  private boolean unasked;
-  private Timers.Timer again;
-  private long unreadableTold = -UNREADABLE_EVERY;
+  private boolean openedUnrequested;
+  private Timers.Timer reopenTimer;
+  private long lastUnreadableLogAt = -UNREADABLE_LOG_INTERVAL;
 
   public Discovery(Net net, Timers timers, Limits limits, Config config, HostGroup group,
-      Consumer<ServerList> told) {
+      Consumer<ServerList> onServerList) {
     this.net = net;
     this.timers = timers;
     this.limits = limits;
     settings = config.settings();
-    known = config.known();
+    configuredList = config.known();
     address = config.discovery();
     this.group = group;
-    this.told = told;
+    this.onServerList = onServerList;
     random = new SplittableRandom(config.seed());
-    clock = clock();
+    clock = newClock();
   }
 
-  private ListClock clock() {
+  private ListClock newClock() {
     return new ListClock(new ListClock.Settings(!settings.mustSubscribe(), settings.rules().listPollInterval(),
-        settings.rules().drainGrace(), SLACK, 0), timers.now());
+        settings.rules().drainGrace(), RULE_SLACK_MICROS, 0), timers.now());
   }
 
   /** The list in the configuration; none yet where the agent is asked first. */
   @Override
-  public List<ServerList> saved() throws ProtocolException {
-    ServerList listed = group.saved(known);
-    known = Map.of();
-    if (settings.mustSubscribe() || wanted) {
-      return List.of(listed);
+  public List<ServerList> savedLists() throws ProtocolException {
+    ServerList savedList = group.applySaved(configuredList);
+    configuredList = Map.of();
+    if (settings.mustSubscribe() || watchRequested) {
+      return List.of(savedList);
     }
-    heldBack = listed;
-    kept = true;
-    wanted = true;
-    timers.after(limits.listWithin(), this::release);
-    open();
+    withheldSavedList = savedList;
+    permanentWatch = true;
+    watchRequested = true;
+    timers.after(limits.listWithin(), this::releaseWithheldList);
+    openWatch();
     return List.of();
   }
 
   /** The list from before the start must do: the agent can't be had, or has told none in good time. */
-  private void release() {
-    if (heldBack != null) {
-      ServerList known = heldBack;
-      heldBack = null;
-      told.accept(known);
+  private void releaseWithheldList() {
+    if (withheldSavedList != null) {
+      ServerList savedList = withheldSavedList;
+      withheldSavedList = null;
+      onServerList.accept(savedList);
     }
   }
 
   /** Asks discovery where the configuration now says it is. */
   @Override
-  public void reconfigure(Config fresh) {
-    moveTo(fresh.discovery());
+  public void reconfigure(Config newConfig) {
+    changeAddress(newConfig.discovery());
   }
 
   /**
@@ -106,110 +106,110 @@
    * each list that is still out. Guards against the old address being told as a failure: the module would then
    * wait before it asks again, and miss what the new address has to say in the meantime.
    */
-  public void moveTo(InetSocketAddress newAddress) {
+  public void changeAddress(InetSocketAddress newAddress) {
     if (newAddress.equals(address)) {
       return;
     }
     address = newAddress;
     clock.reconfigured(timers.now());
-    List<Call> out = List.copyOf(fetches);
-    fetches.clear();
-    for (Call fetch : out) {
-      if (!fetch.isOver()) {
+    List<Call> pending = List.copyOf(pendingFetches);
+    pendingFetches.clear();
+    for (Call fetch : pending) {
+      if (!fetch.isFinished()) {
         fetch.stop();
         fetch();
       }
     }
-    if (wanted) {
-      unasked = true;
-      open();
+    if (watchRequested) {
+      openedUnrequested = true;
+      openWatch();
     }
   }
 
   @Override
   public void watch(boolean on) {
-    wanted = on;
+    watchRequested = on;
     if (!on) {
-      end();
-    } else if (!unasked || watch.isOver()) {
-      open();
+      closeWatch();
+    } else if (!openedUnrequested || watch.isFinished()) {
+      openWatch();
     }
-    unasked = false;
+    openedUnrequested = false;
   }
 
   @Override
-  public void watchAhead() {
-    wanted = true;
-    unasked = true;
-    open();
+  public void openWatchEarly() {
+    watchRequested = true;
+    openedUnrequested = true;
+    openWatch();
   }
 
-  private void open() {
-    end();
-    watch = call(true);
+  private void openWatch() {
+    closeWatch();
+    watch = startCall(true);
   }
 
-  private void end() {
-    Timers.cancel(again);
+  private void closeWatch() {
+    Timers.cancel(reopenTimer);
     if (watch != null) {
       watch.stop();
     }
   }
 
-  private void watchFailed() {
-    release();
-    askInTime();
-    if (!kept) {
-      failed();
+  private void onWatchFailed() {
+    releaseWithheldList();
+    scheduleReopen();
+    if (!permanentWatch) {
+      reportFailure();
     }
   }
 
   /** Asks when the clock says so, if the module has not by then. */
-  private void askInTime() {
+  private void scheduleReopen() {
     long now = timers.now();
-    Timers.cancel(again);
-    again = timers.after(clock.askAt(now, random.nextDouble()) - now, () -> {
-      unasked = true;
-      open();
+    Timers.cancel(reopenTimer);
+    reopenTimer = timers.after(clock.nextCallAt(now, random.nextDouble()) - now, () -> {
+      openedUnrequested = true;
+      openWatch();
     });
   }
 
   @Override
   public void fetch() {
-    fetches.removeIf(Call::isOver);
-    fetches.add(call(false));
+    pendingFetches.removeIf(Call::isFinished);
+    pendingFetches.add(startCall(false));
   }
 
-  private Call call(boolean isWatch) {
-    String path = isWatch ? LIST + "?stream=1&index=" + group.generation() : LIST;
-    Call call = new Call(timers, limits, isWatch ? clock : clock(), path, isWatch, group.generation(), this::listed,
-        isWatch ? this::watchFailed : this::failed, this::unreadable);
+  private Call startCall(boolean isWatch) {
+    String path = isWatch ? LIST_PATH + "?stream=1&index=" + group.generation() : LIST_PATH;
+    Call call = new Call(timers, limits, isWatch ? clock : newClock(), path, isWatch, group.generation(), this::onList,
+        isWatch ? this::onWatchFailed : this::reportFailure, this::onUnreadable);
     call.start(net, address);
     return call;
   }
 
   /** A list that can't be read fails its call alone: what is held stays, and the next watch begins with all missed. */
-  private long listed(Map<String, Object> list, long since) throws ProtocolException {
-    ServerList news = group.update(list, since);
-    if (news == null) {
-      return since;
+  private long onList(Map<String, Object> list, long baseVersion) throws ProtocolException {
+    ServerList update = group.update(list, baseVersion);
+    if (update == null) {
+      return baseVersion;
     }
-    ServerList known = heldBack;
-    heldBack = null;
-    told.accept(known != null && news.kind() == ListKind.CHANGES ? HostGroup.over(known, news) : news);
+    ServerList savedList = withheldSavedList;
+    withheldSavedList = null;
+    onServerList.accept(savedList != null && update.kind() == ListKind.CHANGES ? HostGroup.merge(savedList, update) : update);
     return group.generation();
   }
 
   /** Told seldom: calls that fail follow each other closely. */
-  private void unreadable(String why) {
+  private void onUnreadable(String reason) {
     long now = timers.now();
-    if (now - unreadableTold >= UNREADABLE_EVERY) {
-      unreadableTold = now;
-      net.warn("an answer of discovery at " + address + " can't be read: " + why + "; the list held stays");
+    if (now - lastUnreadableLogAt >= UNREADABLE_LOG_INTERVAL) {
+      lastUnreadableLogAt = now;
+      net.warn("an answer of discovery at " + address + " can't be read: " + reason + "; the list held stays");
     }
   }
 
-  private void failed() {
-    told.accept(new ServerList(group.generation(), ListKind.FAILED, List.of()));
+  private void reportFailure() {
+    onServerList.accept(new ServerList(group.generation(), ListKind.FAILED, List.of()));
   }
 }
--- a/proxy/src/main/java/lemondeal/discovery/HostGroup.java
+++ b/proxy/src/main/java/lemondeal/discovery/HostGroup.java
@@ -43,8 +43,8 @@
   }
 
   /** Takes in the list as it stood before the start, possibly old. */
-  public ServerList saved(Map<String, Object> list) throws ProtocolException {
-    return take(list, ListKind.SAVED);
+  public ServerList applySaved(Map<String, Object> list) throws ProtocolException {
+    return apply(list, ListKind.SAVED);
   }
 
   /**
@@ -55,7 +55,7 @@
    * @param addresses of each entry's server that is not gone
    * @param fleet the source's place among those that list servers for classes of their own
    */
-  public ServerList tell(long version, ListKind kind, List<ServerEntry> entries,
+  public ServerList applySourceUpdate(long version, ListKind kind, List<ServerEntry> entries,
       Map<String, InetSocketAddress> addresses, int fleet) {
     generation = version;
     for (ServerEntry entry : entries) {
@@ -68,12 +68,12 @@
   }
 
   /** The place of a zone's name in the settings' list; names that the settings lack come after them all. */
-  public int zone(String name) {
+  public int zoneIndex(String name) {
     return index(names.zones(), name);
   }
 
   /** The place of a model's name in the settings' list, as for zones. */
-  public int model(String name) {
+  public int modelIndex(String name) {
     return index(names.models(), name);
   }
 
@@ -87,18 +87,18 @@
    * @throws ProtocolException if it can't be read, is a whole list that names no instances, or changes from before what
    *     they go on from: the list held stays
    */
-  public ServerList update(Map<String, Object> list, long since) throws ProtocolException {
-    boolean whole = Boolean.TRUE.equals(list.get("reset"));
-    if (whole && !list.containsKey("instances")) {
+  public ServerList update(Map<String, Object> list, long baseVersion) throws ProtocolException {
+    boolean full = Boolean.TRUE.equals(list.get("reset"));
+    if (full && !list.containsKey("instances")) {
       throw new ProtocolException("a whole list without instances");
     }
-    if (version(list) < generation && generation != since) {
+    if (version(list) < generation && generation != baseVersion) {
       return null;
     }
-    if (version(list) < generation && !whole) {
+    if (version(list) < generation && !full) {
       throw new ProtocolException("changes of version " + version(list) + " go on from version " + generation);
     }
-    return take(list, whole ? ListKind.FULL : ListKind.CHANGES);
+    return apply(list, full ? ListKind.FULL : ListKind.CHANGES);
   }
 
   private long version(Map<String, Object> list) {
@@ -106,17 +106,17 @@
   }
 
   /** The whole list that changes make of a list from before. */
-  static ServerList over(ServerList before, ServerList changes) {
+  static ServerList merge(ServerList base, ServerList changes) {
     Map<String, ServerEntry> entries = new LinkedHashMap<>();
-    before.entries().forEach(entry -> entries.put(entry.server(), entry));
+    base.entries().forEach(entry -> entries.put(entry.server(), entry));
     changes.entries().forEach(entry -> entries.put(entry.server(), entry));
     return new ServerList(changes.version(), ListKind.FULL, List.copyOf(entries.values()));
   }
 
   /** Reads everything before it changes anything: a broken list must not be taken in by half. */
-  private ServerList take(Map<String, Object> list, ListKind kind) throws ProtocolException {
+  private ServerList apply(Map<String, Object> list, ListKind kind) throws ProtocolException {
     List<ServerEntry> entries = new ArrayList<>();
-    Map<String, InetSocketAddress> told = new HashMap<>();
+    Map<String, InetSocketAddress> newAddresses = new HashMap<>();
     if (!(list.getOrDefault("instances", List.of()) instanceof List<?> instances)) {
       throw new ProtocolException("instances is no list");
     }
@@ -126,13 +126,13 @@
       }
       ServerEntry entry = entry(values);
       entries.add(entry);
-      told.put(entry.server(), entry.state() == ServerState.GONE ? null : address(values));
+      newAddresses.put(entry.server(), entry.state() == ServerState.GONE ? null : address(values));
     }
     generation = version(list);
     if (kind != ListKind.CHANGES) {
       addresses.clear();
     }
-    addresses.putAll(told);
+    addresses.putAll(newAddresses);
     addresses.values().removeIf(address -> address == null);
     return new ServerList(generation, kind, entries);
   }
@@ -155,24 +155,24 @@
   }
 
   /** The place of a name in the settings' list; names that the settings lack come after them all. */
-  private static int index(List<String> known, Object name) {
+  private static int index(List<String> knownNames, Object name) {
     if (name instanceof Double number) {
       return number.intValue();
     }
-    int index = known.indexOf(String.valueOf(name));
-    return index >= 0 ? index : known.size();
+    int index = knownNames.indexOf(String.valueOf(name));
+    return index >= 0 ? index : knownNames.size();
   }
 
-  private static ServerState state(Object word) throws ProtocolException {
-    return switch (String.valueOf(word)) {
+  private static ServerState state(Object lifecycle) throws ProtocolException {
+    return switch (String.valueOf(lifecycle)) {
       case "in_service" -> ServerState.READY;
       case "terminating" -> ServerState.DRAINING;
       case "terminated" -> ServerState.GONE;
-      default -> throw new ProtocolException("unknown lifecycle " + word);
+      default -> throw new ProtocolException("unknown lifecycle " + lifecycle);
     };
   }
 
-  private static double number(Map<?, ?> values, String name, double absent) {
-    return values.get(name) instanceof Double number ? number : absent;
+  private static double number(Map<?, ?> values, String name, double defaultValue) {
+    return values.get(name) instanceof Double number ? number : defaultValue;
   }
 }
--- a/proxy/src/main/java/lemondeal/discovery/ListSource.java
+++ b/proxy/src/main/java/lemondeal/discovery/ListSource.java
@@ -17,15 +17,15 @@
 public interface ListSource {
 
   /** Makes the source of a proxy. */
-  interface Maker {
+  interface Factory {
     /**
      * @param told is told each list, on the I/O thread
      */
-    ListSource make(Net net, Timers timers, Limits limits, Config config, HostGroup group, Consumer<ServerList> told);
+    ListSource create(Net net, Timers timers, Limits limits, Config config, HostGroup group, Consumer<ServerList> onServerList);
   }
 
   /** The platform's discovery at the address that the configuration names. */
-  Maker PLATFORM = (net, timers, limits, config, group, told) ->
+  Factory PLATFORM = (net, timers, limits, config, group, told) ->
       new Discovery(net, timers, limits, config, group, told);
 
   /**
@@ -34,7 +34,7 @@
    *
    * @throws ProtocolException where the platform's configuration holds no such list
    */
-  List<ServerList> saved() throws ProtocolException;
+  List<ServerList> savedLists() throws ProtocolException;
 
   /** Begins a watch in place of any other, or ends it. */
   void watch(boolean on);
@@ -43,7 +43,7 @@
    * Begins a watch before the module asks for one; its asking finds this one then. Discovery works through its calls one
    * after another, and one that is made anew loses its place.
    */
-  default void watchAhead() {
+  default void openWatchEarly() {
     watch(true);
   }
 
@@ -51,5 +51,5 @@
   void fetch();
 
   /** Takes over a configuration read anew on SIGHUP and checked. */
-  void reconfigure(Config fresh);
+  void reconfigure(Config newConfig);
 }
--- a/proxy/src/main/java/lemondeal/membership/Damping.java
+++ b/proxy/src/main/java/lemondeal/membership/Damping.java
@@ -17,7 +17,7 @@
    * @param most milliseconds of quiet needed at most, however often it flapped
    * @param forget milliseconds of serving after which its flaps are forgotten
    */
-  public record Settings(long quiet, long most, long forget) {
+  public record Settings(long initialQuiet, long maxQuiet, long forgetFlapsAfter) {
     /** What holds where the operator's file says nothing. */
     public static final Settings DEFAULT = new Settings(2_000, 60_000, 300_000);
   }
@@ -32,26 +32,26 @@
    * @param failedAt when it was last seen failing, Unix milliseconds; 0 for never
    * @param servesSince since when it serves, Unix milliseconds
    */
-  public record State(boolean serves, boolean seenWell, int flaps, long failedAt, long servesSince) {
+  public record State(boolean serves, boolean lastSeenHealthy, int flaps, long failedAt, long servesSince) {
     /** An instance seen for the first time, serving or not. */
-    public static State first(Health seen, long now) {
-      return seen.serves() ? new State(true, true, 0, 0, now) : new State(false, false, 0, now, 0);
+    public static State first(Health health, long now) {
+      return health.serves() ? new State(true, true, 0, 0, now) : new State(false, false, 0, now, 0);
     }
   }
 
   private Damping() {}
 
   /** What is believed after {@code seen} at {@code now}. */
-  public static State next(State before, Health seen, long now, Settings settings) {
-    if (!seen.serves()) {
-      return new State(false, false, before.seenWell() ? before.flaps() + 1 : before.flaps(), now, 0);
+  public static State next(State previous, Health health, long now, Settings settings) {
+    if (!health.serves()) {
+      return new State(false, false, previous.lastSeenHealthy() ? previous.flaps() + 1 : previous.flaps(), now, 0);
     }
-    if (before.serves()) {
-      boolean calm = now - before.servesSince() >= settings.forget();
-      return calm && before.flaps() > 0 ? new State(true, true, 0, before.failedAt(), now) : before;
+    if (previous.serves()) {
+      boolean stable = now - previous.servesSince() >= settings.forgetFlapsAfter();
+      return stable && previous.flaps() > 0 ? new State(true, true, 0, previous.failedAt(), now) : previous;
     }
-    return now >= servesAgainAt(before, settings) ? new State(true, true, before.flaps(), before.failedAt(), now)
-        : new State(false, true, before.flaps(), before.failedAt(), 0);
+    return now >= servesAgainAt(previous, settings) ? new State(true, true, previous.flaps(), previous.failedAt(), now)
+        : new State(false, true, previous.flaps(), previous.failedAt(), 0);
   }
 
   /**
@@ -59,15 +59,15 @@
    * asked once more, since a catalogue that has nothing new to say says nothing.
    */
   public static long servesAgainAt(State state, Settings settings) {
-    return state.failedAt() + quiet(state.flaps(), settings);
+    return state.failedAt() + quietPeriod(state.flaps(), settings);
   }
 
   /** The quiet time after so many flaps: the first is not counted against a restart. */
-  static long quiet(int flaps, Settings settings) {
+  static long quietPeriod(int flaps, Settings settings) {
     if (flaps <= 1) {
-      return settings.quiet();
+      return settings.initialQuiet();
     }
     int doublings = Math.min(flaps - 1, 30);
-    return Math.min(settings.most(), settings.quiet() << doublings);
+    return Math.min(settings.maxQuiet(), settings.initialQuiet() << doublings);
   }
 }
--- a/proxy/src/main/java/lemondeal/membership/AskPace.java
+++ b/proxy/src/main/java/lemondeal/membership/PollBackoff.java
@@ -5,7 +5,7 @@
  * together must not come back together, and a catalogue that says it is too busy is given more room than one that
  * failed once.
  */
-public final class AskPace {
+public final class PollBackoff {
 
   /**
    * How asking is paced.
@@ -14,13 +14,13 @@
    * @param first milliseconds after a first failure
    * @param most milliseconds after many failures at most
    */
-  public record Settings(long least, long first, long most) {
+  public record Settings(long minInterval, long initialBackoff, long maxBackoff) {
     /** What holds where the operator's file says nothing. */
     public static final Settings DEFAULT = new Settings(100, 500, 30_000);
   }
 
   /** Why the last call ended. */
-  public enum Ended {
+  public enum CallOutcome {
     /** An answer, believed or not. */
     ANSWERED,
     /** No answer, a broken one, or a failure of the catalogue. */
@@ -29,7 +29,7 @@
     TOO_OFTEN
   }
 
-  private AskPace() {}
+  private PollBackoff() {}
 
   /**
    * Milliseconds to wait before the next call.
@@ -38,13 +38,13 @@
    * @param took milliseconds that the last call took
    * @param draw a random number in [0, 1)
    */
-  public static long pause(Ended ended, int failures, long took, double draw, Settings settings) {
-    if (ended == Ended.ANSWERED) {
-      return Math.max(0, settings.least() - took);
+  public static long nextDelay(CallOutcome outcome, int failures, long elapsed, double jitter, Settings settings) {
+    if (outcome == CallOutcome.ANSWERED) {
+      return Math.max(0, settings.minInterval() - elapsed);
     }
-    int doublings = Math.min(failures + (ended == Ended.TOO_OFTEN ? 2 : 0), 20);
-    long pause = Math.min(settings.most(), settings.first() << doublings);
+    int doublings = Math.min(failures + (outcome == CallOutcome.TOO_OFTEN ? 2 : 0), 20);
+    long backoff = Math.min(settings.maxBackoff(), settings.initialBackoff() << doublings);
     // Between a half and one and a half of it: callers turned away together spread out.
-    return Math.max(settings.least(), (long) (pause * (0.5 + draw)));
+    return Math.max(settings.minInterval(), (long) (backoff * (0.5 + jitter)));
   }
 }
--- a/proxy/src/main/java/lemondeal/operator/ConsulSection.java
+++ b/proxy/src/main/java/lemondeal/operator/ConsulSection.java
@@ -11,10 +11,10 @@
 import java.util.function.Consumer;
 import lemondeal.config.Addresses;
 import lemondeal.consul.ConsulSettings;
-import lemondeal.consul.Mapping;
+import lemondeal.consul.MemberMapping;
 import lemondeal.consul.filter.FilterException;
 import lemondeal.consul.filter.Filters;
-import lemondeal.membership.AskPace;
+import lemondeal.membership.PollBackoff;
 import lemondeal.membership.Damping;
 import lemondeal.membership.ListGuard;
 import lemondeal.saved.ListFile;
@@ -119,29 +119,29 @@
     return node.path(key).asText("");
   }
 
-  private Mapping mapping() {
+  private MemberMapping mapping() {
     String address = node.path("address").asText("service");
-    Mapping.AddressFrom from = address.startsWith("tagged:") ? Mapping.AddressFrom.TAGGED
-        : Mapping.AddressFrom.valueOf(address.toUpperCase(Locale.ROOT));
-    return new Mapping(from, from == Mapping.AddressFrom.TAGGED ? address.substring("tagged:".length()) : null,
+    MemberMapping.AddressSource from = address.startsWith("tagged:") ? MemberMapping.AddressSource.TAGGED
+        : MemberMapping.AddressSource.valueOf(address.toUpperCase(Locale.ROOT));
+    return new MemberMapping(from, from == MemberMapping.AddressSource.TAGGED ? address.substring("tagged:".length()) : null,
         field("zone"), field("model"), field("cell"));
   }
 
-  private Mapping.Field field(String key) {
+  private MemberMapping.Field field(String key) {
     JsonNode field = node.path(key);
-    return field.isMissingNode() ? null : new Mapping.Field(
-        Mapping.Where.valueOf(field.get("from").asText().toUpperCase(Locale.ROOT)), field.get("key").asText());
+    return field.isMissingNode() ? null : new MemberMapping.Field(
+        MemberMapping.FieldLocation.valueOf(field.get("from").asText().toUpperCase(Locale.ROOT)), field.get("key").asText());
   }
 
   private Damping.Settings damping() {
     JsonNode damping = node.path("damping");
     Damping.Settings otherwise = Damping.Settings.DEFAULT;
-    Damping.Settings settings = new Damping.Settings(millis(damping, PATH + ".damping", "quiet", otherwise.quiet()),
-        millis(damping, PATH + ".damping", "most", otherwise.most()),
-        millis(damping, PATH + ".damping", "forget", otherwise.forget()));
-    if (settings.most() < settings.quiet()) {
-      fault.accept(PATH + ".damping.most: found " + settings.most() + " ms; allowed: at least quiet, "
-          + settings.quiet() + " ms");
+    Damping.Settings settings = new Damping.Settings(millis(damping, PATH + ".damping", "quiet", otherwise.initialQuiet()),
+        millis(damping, PATH + ".damping", "most", otherwise.maxQuiet()),
+        millis(damping, PATH + ".damping", "forget", otherwise.forgetFlapsAfter()));
+    if (settings.maxQuiet() < settings.initialQuiet()) {
+      fault.accept(PATH + ".damping.most: found " + settings.maxQuiet() + " ms; allowed: at least quiet, "
+          + settings.initialQuiet() + " ms");
     }
     return settings;
   }
@@ -149,20 +149,20 @@
   private ListGuard.Settings guard() {
     JsonNode guard = node.path("guard");
     ListGuard.Settings otherwise = ListGuard.Settings.DEFAULT;
-    return new ListGuard.Settings(guard.path("most_lost").asDouble(otherwise.mostLost()),
-        guard.path("empty").asBoolean(otherwise.emptyBelieved()),
-        millis(guard, PATH + ".guard", "stale_most", otherwise.staleMost()),
-        millis(guard, PATH + ".guard", "confirm_after", otherwise.confirmAfter()));
+    return new ListGuard.Settings(guard.path("most_lost").asDouble(otherwise.maxLostShare()),
+        guard.path("empty").asBoolean(otherwise.acceptEmpty()),
+        millis(guard, PATH + ".guard", "stale_most", otherwise.maxStaleMillis()),
+        millis(guard, PATH + ".guard", "confirm_after", otherwise.confirmAfterMillis()));
   }
 
-  private AskPace.Settings pace() {
+  private PollBackoff.Settings pace() {
     JsonNode pace = node.path("pace");
-    AskPace.Settings otherwise = AskPace.Settings.DEFAULT;
-    AskPace.Settings settings = new AskPace.Settings(millis(pace, PATH + ".pace", "least", otherwise.least()),
-        millis(pace, PATH + ".pace", "first", otherwise.first()), millis(pace, PATH + ".pace", "most", otherwise.most()));
-    if (settings.most() < settings.first()) {
-      fault.accept(PATH + ".pace.most: found " + settings.most() + " ms; allowed: at least first, "
-          + settings.first() + " ms");
+    PollBackoff.Settings otherwise = PollBackoff.Settings.DEFAULT;
+    PollBackoff.Settings settings = new PollBackoff.Settings(millis(pace, PATH + ".pace", "least", otherwise.minInterval()),
+        millis(pace, PATH + ".pace", "first", otherwise.initialBackoff()), millis(pace, PATH + ".pace", "most", otherwise.maxBackoff()));
+    if (settings.maxBackoff() < settings.initialBackoff()) {
+      fault.accept(PATH + ".pace.most: found " + settings.maxBackoff() + " ms; allowed: at least first, "
+          + settings.initialBackoff() + " ms");
     }
     return settings;
   }
--- a/proxy/src/main/java/lemondeal/proxy/Generation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generation.java
@@ -47,7 +47,7 @@
 final class Generation {
 
   /** What all generations of a proxy have in common. */
-  record SharedServices(Net net, TimerWheel wheel, ActiveRequests requests, ListSource.Maker sourceFactory, EventLog log, String name,
+  record SharedServices(Net net, TimerWheel wheel, ActiveRequests requests, ListSource.Factory sourceFactory, EventLog log, String name,
       StartTimes startTimes, ViolationCounter violations, RequestTrace trace, Function<OpenLine, Continuity> continuityFactory) {}
 
   private final Generations generations;
@@ -84,7 +84,7 @@
     group = new HostGroup(config.names());
     servers = new KnownServers(config.names(), shared.wheel()::now);
     dispatcher = new EventDispatcher(module, shared.wheel()::now, this::perform);
-    source = shared.sourceFactory().make(shared.net(), shared.wheel(), config.limits(), config, group,
+    source = shared.sourceFactory().create(shared.net(), shared.wheel(), config.limits(), config, group,
         list -> generations.listReceived(this, list));
     DelayMeter delayMeter = new DelayMeter(config.settings(), config.limits(), dispatcher::dispatch);
     context = new Context(generations, this.config, shared.net(), shared.wheel(), dispatcher, delayMeter, figures,
@@ -121,7 +121,7 @@
   void start(long seed) throws ProtocolException {
     configuredList = Map.of();
     dispatcher.dispatch(new Start(seed, config.settings()));
-    source.saved().forEach(this::applyOwnList);
+    source.savedLists().forEach(this::applyOwnList);
   }
 
   /**
@@ -131,7 +131,7 @@
    * @throws ProtocolException if the new list can't be read: nothing has begun then
    */
   void startAfter(Generation previous, long seed) throws ProtocolException {
-    ServerList configured = group.saved(configuredList);
+    ServerList configured = group.applySaved(configuredList);
     configuredList = Map.of();
     boolean sameList = configuredListFingerprint == previous.configuredListFingerprint || configured.entries().isEmpty();
     if (sameList && previous.servers.serverIds().isEmpty()) {
@@ -141,15 +141,15 @@
     ServerList list = sameList ? servers.takeOver(previous.servers, configured) : previous.servers.withEndsApplied(configured);
     startedWithList = true;
     dispatcher.dispatch(new Start(seed, config.settings()));
-    source.saved();
+    source.savedLists();
     if (sameList) {
-      group.tell(group.generation(), list.kind(), list.entries(), previous.addresses(), 0);
+      group.applySourceUpdate(group.generation(), list.kind(), list.entries(), previous.addresses(), 0);
     }
     servers.apply(list);
     dispatchList(list);
     if (config.settings().mustSubscribe() && !config.discovery().equals(previous.config.discovery())) {
       // What discovery has there counts soon, and no watch of before goes on in the meantime.
-      source.watchAhead();
+      source.openWatchEarly();
     }
   }
 
@@ -222,7 +222,7 @@
   void applyForeignList(ServerList list, Generation other) {
     if (list.kind() == ListKind.FULL || list.kind() == ListKind.CHANGES) {
       ServerList translated = servers.translate(list, other.servers);
-      group.tell(group.generation(), translated.kind(), translated.entries(), other.addresses(), 0);
+      group.applySourceUpdate(group.generation(), translated.kind(), translated.entries(), other.addresses(), 0);
       dispatchList(translated);
     }
   }
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -65,13 +65,13 @@
   }
 
   /** The same, with servers listed by {@code sources}. */
-  public Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Maker sourceFactory)
+  public Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Factory sourceFactory)
       throws IOException {
     this(config, module, log, resumption, sourceFactory, new Clock());
   }
 
   /** The same, by this clock. */
-  Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Maker sourceFactory, Clock clock)
+  Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Factory sourceFactory, Clock clock)
       throws IOException {
     this.resumption = resumption;
     this.config = config.withoutKnown();
--- a/proxy/src/main/java/lemondeal/saved/ListFile.java
+++ b/proxy/src/main/java/lemondeal/saved/ListFile.java
@@ -39,9 +39,9 @@
  */
 public final class ListFile implements AutoCloseable {
   private static final byte[] MAGIC = "lemondeal list 1\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-  private static final int DIGEST = 32;
-  private static final long MOST_BYTES = 64L << 20;
-  private static final long CLOSE_SECONDS = 2;
+  private static final int DIGEST_LENGTH = 32;
+  private static final long MAX_BYTES = 64L << 20;
+  private static final long CLOSE_TIMEOUT_SECONDS = 2;
 
   /**
    * Where the list is kept and for how long it is good.
@@ -49,15 +49,15 @@
    * @param mostAgeMillis a list older than that is passed over at a start
    * @param everyMillis milliseconds between two writes at least
    */
-  public record Settings(Path file, long mostAgeMillis, long everyMillis) {}
+  public record Settings(Path file, long maxAgeMillis, long writeIntervalMillis) {}
 
   /** A list that is to be written. */
-  private record Waiting(String source, List<Member> members) {}
+  private record PendingWrite(String source, List<Member> members) {}
 
   private final Settings settings;
   private final LongSupplier clock;
   private final EventLog log;
-  private final AtomicReference<Waiting> newest = new AtomicReference<>();
+  private final AtomicReference<PendingWrite> latestPending = new AtomicReference<>();
   private final ScheduledExecutorService writer = Executors.newSingleThreadScheduledExecutor(work -> {
     Thread thread = new Thread(work, "saved-list");
     thread.setDaemon(true);
@@ -83,10 +83,10 @@
       SavedList list = decode();
       long age = clock.getAsLong() - list.getSavedAtMillis();
       if (!list.getSource().equals(source)) {
-        return passedOver("it lists " + list.getSource() + ", not " + source);
+        return unusable("it lists " + list.getSource() + ", not " + source);
       }
-      if (age > settings.mostAgeMillis()) {
-        return passedOver("it is " + age / 1000 + " s old; allowed: " + settings.mostAgeMillis() / 1000 + " s");
+      if (age > settings.maxAgeMillis()) {
+        return unusable("it is " + age / 1000 + " s old; allowed: " + settings.maxAgeMillis() / 1000 + " s");
       }
       List<Member> members = new ArrayList<>(list.getMembersCount());
       for (SavedMember saved : list.getMembersList()) {
@@ -98,26 +98,26 @@
     } catch (NoSuchFileException e) {
       return List.of();
     } catch (IOException | IllegalArgumentException e) {
-      return passedOver(e.getMessage());
+      return unusable(e.getMessage());
     }
   }
 
-  private List<Member> passedOver(String why) {
-    log.warn("saved-list-unusable", "lemondeal: " + settings.file() + " is passed over: " + why, "why", why);
+  private List<Member> unusable(String reason) {
+    log.warn("saved-list-unusable", "lemondeal: " + settings.file() + " is passed over: " + reason, "why", reason);
     return List.of();
   }
 
   private SavedList decode() throws IOException {
-    if (Files.size(settings.file()) > MOST_BYTES) {
-      throw new IOException("it is larger than " + MOST_BYTES + " bytes");
+    if (Files.size(settings.file()) > MAX_BYTES) {
+      throw new IOException("it is larger than " + MAX_BYTES + " bytes");
     }
-    byte[] all = Files.readAllBytes(settings.file());
-    int from = MAGIC.length + DIGEST;
-    if (all.length < from || !java.util.Arrays.equals(all, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
+    byte[] content = Files.readAllBytes(settings.file());
+    int bodyStart = MAGIC.length + DIGEST_LENGTH;
+    if (content.length < bodyStart || !java.util.Arrays.equals(content, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
       throw new IOException("it is no list of this program's, or of another version");
     }
-    ByteBuffer body = ByteBuffer.wrap(all, from, all.length - from);
-    if (!MessageDigest.isEqual(digest(body), java.util.Arrays.copyOfRange(all, MAGIC.length, from))) {
+    ByteBuffer body = ByteBuffer.wrap(content, bodyStart, content.length - bodyStart);
+    if (!MessageDigest.isEqual(digest(body), java.util.Arrays.copyOfRange(content, MAGIC.length, bodyStart))) {
       throw new IOException("its checksum does not fit: it is cut off or damaged");
     }
     try {
@@ -135,9 +135,9 @@
 
   /** Has this list written soon, in place of any that still waits; any thread, never waits. */
   public void save(String source, List<Member> members) {
-    if (newest.getAndSet(new Waiting(source, members)) == null) {
+    if (latestPending.getAndSet(new PendingWrite(source, members)) == null) {
       try {
-        writer.schedule(this::write, settings.everyMillis(), TimeUnit.MILLISECONDS);
+        writer.schedule(this::write, settings.writeIntervalMillis(), TimeUnit.MILLISECONDS);
       } catch (RejectedExecutionException e) {
         // Closed: what it still had to write is written.
       }
@@ -145,47 +145,47 @@
   }
 
   private void write() {
-    Waiting list = newest.getAndSet(null);
-    if (list == null) {
+    PendingWrite pending = latestPending.getAndSet(null);
+    if (pending == null) {
       return;
     }
     Path file = settings.file().toAbsolutePath();
-    Path fresh = file.resolveSibling(file.getFileName() + ".new");
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
     try {
       Files.createDirectories(file.getParent());
-      try (FileChannel channel = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+      try (FileChannel channel = FileChannel.open(temporaryFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
           StandardOpenOption.TRUNCATE_EXISTING)) {
-        ByteBuffer bytes = encode(list);
+        ByteBuffer bytes = encode(pending);
         while (bytes.hasRemaining()) {
           channel.write(bytes);
         }
         channel.force(true);
       }
-      Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
       log.warn("saved-list-failed", "lemondeal: the list can't be saved in " + file + ": " + e.getMessage(), "why",
           String.valueOf(e.getMessage()));
     }
   }
 
-  private ByteBuffer encode(Waiting waiting) {
-    SavedList.Builder list = SavedList.newBuilder().setSource(waiting.source()).setSavedAtMillis(clock.getAsLong());
-    for (Member member : waiting.members()) {
+  private ByteBuffer encode(PendingWrite pending) {
+    SavedList.Builder list = SavedList.newBuilder().setSource(pending.source()).setSavedAtMillis(clock.getAsLong());
+    for (Member member : pending.members()) {
       list.addMembers(SavedMember.newBuilder().setId(member.id()).setZone(member.zone()).setModel(member.model())
           .setCell(member.cell()).setAddress(Addresses.text(member.address())).setHealth(member.health().name())
           .setPassingWeight(member.passingWeight()).setWarningWeight(member.warningWeight())
           .setIncarnation(member.incarnation()));
     }
     byte[] body = list.build().toByteArray();
-    return ByteBuffer.allocate(MAGIC.length + DIGEST + body.length).put(MAGIC).put(digest(ByteBuffer.wrap(body)))
+    return ByteBuffer.allocate(MAGIC.length + DIGEST_LENGTH + body.length).put(MAGIC).put(digest(ByteBuffer.wrap(body)))
         .put(body).flip();
   }
 
   private static byte[] digest(ByteBuffer bytes) {
     try {
-      MessageDigest sha = MessageDigest.getInstance("SHA-256");
-      sha.update(bytes.duplicate());
-      return sha.digest();
+      MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
+      sha256.update(bytes.duplicate());
+      return sha256.digest();
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every JDK has SHA-256", e);
     }
@@ -195,7 +195,7 @@
   @Override
   public void close() {
     try {
-      writer.submit(this::write).get(CLOSE_SECONDS, TimeUnit.SECONDS);
+      writer.submit(this::write).get(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException | RejectedExecutionException e) {
--- a/proxy/src/main/java/lemondeal/saved/StateFile.java
+++ b/proxy/src/main/java/lemondeal/saved/StateFile.java
@@ -20,8 +20,8 @@
  * for its codec to say.
  */
 public final class StateFile implements AutoCloseable {
-  private static final long MOST_BYTES = 1 << 20;
-  private static final long CLOSE_SECONDS = 2;
+  private static final long MAX_BYTES = 1 << 20;
+  private static final long CLOSE_TIMEOUT_SECONDS = 2;
 
   private final Path file;
   private final EventLog log;
@@ -39,8 +39,8 @@
   /** What is kept; empty where nothing is. What can't be read is told in the log, and no bytes come of it. */
   public Optional<byte[]> read() {
     try {
-      if (Files.size(file) > MOST_BYTES) {
-        log.warn("state-file", "lemondeal: " + file + " is longer than " + MOST_BYTES + " bytes and is passed over");
+      if (Files.size(file) > MAX_BYTES) {
+        log.warn("state-file", "lemondeal: " + file + " is longer than " + MAX_BYTES + " bytes and is passed over");
         return Optional.of(new byte[0]);
       }
       return Optional.of(Files.readAllBytes(file));
@@ -53,28 +53,28 @@
   }
 
   /** Keeps this soon, in place of what was kept before; {@code done} is run on the writer's thread, written or not. */
-  public void write(byte[] bytes, Runnable done) {
+  public void write(byte[] bytes, Runnable onDone) {
     writer.execute(() -> {
       try {
         writeNow(bytes);
       } catch (IOException e) {
         log.warn("state-file", "lemondeal: " + file + " can't be written: " + e);
       }
-      done.run();
+      onDone.run();
     });
   }
 
   private void writeNow(byte[] bytes) throws IOException {
-    Path fresh = file.resolveSibling(file.getFileName() + ".new");
-    try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
+    try (FileChannel channel = FileChannel.open(temporaryFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
         StandardOpenOption.TRUNCATE_EXISTING)) {
-      ByteBuffer left = ByteBuffer.wrap(bytes);
-      while (left.hasRemaining()) {
-        out.write(left);
+      ByteBuffer remaining = ByteBuffer.wrap(bytes);
+      while (remaining.hasRemaining()) {
+        channel.write(remaining);
       }
-      out.force(true);
+      channel.force(true);
     }
-    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
   /** Waits a little for what is still to be written. */
@@ -82,7 +82,7 @@
   public void close() {
     writer.shutdown();
     try {
-      writer.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS);
+      writer.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/proxy/src/test/java/lemondeal/consul/HealthAnswerTest.java
+++ b/proxy/src/test/java/lemondeal/consul/HealthResponseParserTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** Consul's answers read, and what is not one refused with a reason, whatever it holds. */
-class HealthAnswerTest {
+class HealthResponseParserTest {
   /** One entry as Consul's documentation shapes it, with fields the proxy does not use among those it does. */
   static String entry(String node, String id, int port, String checks) {
     return """
@@ -45,16 +45,16 @@
         .formatted(id, id, status, service);
   }
 
-  private static final String SOUND = check("serfHealth", "", "passing") + "," + check("service:web", "web", "passing");
+  private static final String PASSING_CHECKS = check("serfHealth", "", "passing") + "," + check("service:web", "web", "passing");
 
   private static List<CatalogEntry> read(byte[] body) throws ProtocolException {
     return read(body, 1000);
   }
 
-  private static List<CatalogEntry> read(byte[] body, int most) throws ProtocolException {
+  private static List<CatalogEntry> read(byte[] body, int maxEntries) throws ProtocolException {
     List<CatalogEntry> entries = new ArrayList<>();
     try {
-      new HealthAnswer(most).read(new ByteArrayInputStream(body), entries::add);
+      new HealthResponseParser(maxEntries).read(new ByteArrayInputStream(body), entries::add);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -66,8 +66,8 @@
   }
 
   @Example
-  void anAnswerIsReadWithWhatItSaysAndNothingElse() throws ProtocolException {
-    List<CatalogEntry> entries = read(bytes("[" + entry("n1", "web", 8080, SOUND) + ","
+  void parsesAnAnswerAndIgnoresUnusedFields() throws ProtocolException {
+    List<CatalogEntry> entries = read(bytes("[" + entry("n1", "web", 8080, PASSING_CHECKS) + ","
         + entry("n2", "web", 8081, check("serfHealth", "", "critical")) + "]"));
     assertEquals(2, entries.size());
     CatalogEntry first = entries.get(0);
@@ -97,18 +97,18 @@
 
   /** Cut anywhere, an answer is no answer: never half a list. */
   @Property(seed = "11", tries = 300)
-  void aCutAnswerIsRefused(@ForAll @IntRange(min = 0, max = 2000) int at) {
-    String whole = "[" + entry("n1", "web", 8080, SOUND) + "," + entry("n2", "api", 9090, SOUND) + "]";
-    String cut = whole.substring(0, Math.min(at, whole.length() - 1));
-    ProtocolException refused = assertThrows(ProtocolException.class, () -> read(bytes(cut)));
-    assertFalse(refused.getMessage().isEmpty());
+  void truncatedAnswerIsRejected(@ForAll @IntRange(min = 0, max = 2000) int length) {
+    String intact = "[" + entry("n1", "web", 8080, PASSING_CHECKS) + "," + entry("n2", "api", 9090, PASSING_CHECKS) + "]";
+    String truncated = intact.substring(0, Math.min(length, intact.length() - 1));
+    ProtocolException exception = assertThrows(ProtocolException.class, () -> read(bytes(truncated)));
+    assertFalse(exception.getMessage().isEmpty());
   }
 
   /** Damaged anywhere: read, or refused with a reason, and nothing else comes of it. */
   @Property(seed = "12", tries = 500)
-  void garbageIsRefusedWithAReason(@ForAll long seed) {
-    String whole = "[" + entry("n1", "web", 8080, SOUND) + "]";
-    Cuts.feedDamaged(whole, seed, new Cuts.Taker() {
+  void corruptAnswerIsRejectedWithAReason(@ForAll long seed) {
+    String intact = "[" + entry("n1", "web", 8080, PASSING_CHECKS) + "]";
+    Cuts.feedDamaged(intact, seed, new Cuts.Taker() {
       private final ByteArrayOutputStream all = new ByteArrayOutputStream();
 
       @Override
@@ -116,7 +116,7 @@
         byte[] part = new byte[piece.remaining()];
         piece.duplicate().get(part);
         all.writeBytes(part);
-        if (all.size() == whole.length()) {
+        if (all.size() == intact.length()) {
           read(all.toByteArray());
         }
       }
@@ -124,13 +124,13 @@
   }
 
   @Example
-  void hostileAnswersAreRefusedQuickly() {
+  void hostileAnswersAreRejectedEarly() {
     // Under a field that is passed over, where only the bound on depth can stop it.
     String deep = "[{\"Extra\":" + "[".repeat(5000) + "]".repeat(5000) + "}]";
     assertTrue(assertThrows(ProtocolException.class, () -> read(bytes(deep))).getMessage().contains("depth"));
     String longText = "[{\"Node\":{\"Node\":\"" + "x".repeat(100_000) + "\"}}]";
     assertThrows(ProtocolException.class, () -> read(bytes(longText)));
-    String wrongType = "[" + entry("n1", "web", 8080, SOUND).replace("\"Port\":8080,\"Weights\"",
+    String wrongType = "[" + entry("n1", "web", 8080, PASSING_CHECKS).replace("\"Port\":8080,\"Weights\"",
         "\"Port\":\"8080\",\"Weights\"") + "]";
     assertTrue(assertThrows(ProtocolException.class, () -> read(bytes(wrongType))).getMessage()
         .contains("Service.Port"));
@@ -139,59 +139,59 @@
     assertThrows(ProtocolException.class, () -> read(bytes("[] []")));
     String badStatus = "[" + entry("n1", "web", 8080, check("serfHealth", "", "maybe")) + "]";
     assertThrows(ProtocolException.class, () -> read(bytes(badStatus)));
-    String many = "[" + String.join(",", java.util.Collections.nCopies(3, entry("n1", "web", 1, SOUND))) + "]";
+    String many = "[" + String.join(",", java.util.Collections.nCopies(3, entry("n1", "web", 1, PASSING_CHECKS))) + "]";
     assertTrue(assertThrows(ProtocolException.class, () -> read(bytes(many), 2)).getMessage()
         .contains("more than 2"));
   }
 
   // ---- The mapping ------------------------------------------------------------------------------
 
-  private static CatalogEntry one(String checks) throws ProtocolException {
+  private static CatalogEntry readOne(String checks) throws ProtocolException {
     return read(bytes("[" + entry("n1", "web", 8080, checks) + "]")).get(0);
   }
 
   /** The table of docs/CONSUL.md: the worst check counts, maintenance above all. */
   @Example
-  void checksBecomeHealthByTheTable() throws ProtocolException {
-    assertEquals(Health.PASSING, Mapping.health(one(SOUND)));
-    assertEquals(Health.WARNING, Mapping.health(one(SOUND + "," + check("disk", "web", "warning"))));
-    assertEquals(Health.CRITICAL, Mapping.health(one(check("service:web", "web", "critical"))));
-    assertEquals(Health.CRITICAL, Mapping.health(one(check("serfHealth", "", "critical"))), "its node fails or leaves");
-    assertEquals(Health.MAINTENANCE, Mapping.health(one(SOUND + "," + check("_node_maintenance", "", "critical"))));
+  void healthFollowsTheWorstCheck() throws ProtocolException {
+    assertEquals(Health.PASSING, MemberMapping.health(readOne(PASSING_CHECKS)));
+    assertEquals(Health.WARNING, MemberMapping.health(readOne(PASSING_CHECKS + "," + check("disk", "web", "warning"))));
+    assertEquals(Health.CRITICAL, MemberMapping.health(readOne(check("service:web", "web", "critical"))));
+    assertEquals(Health.CRITICAL, MemberMapping.health(readOne(check("serfHealth", "", "critical"))), "its node fails or leaves");
+    assertEquals(Health.MAINTENANCE, MemberMapping.health(readOne(PASSING_CHECKS + "," + check("_node_maintenance", "", "critical"))));
     assertEquals(Health.MAINTENANCE,
-        Mapping.health(one(check("_service_maintenance:web", "web", "critical") + "," + check("x", "web", "critical"))));
-    assertEquals(Health.PASSING, Mapping.health(one(SOUND + "," + check("service:other", "other", "critical"))),
+        MemberMapping.health(readOne(check("_service_maintenance:web", "web", "critical") + "," + check("x", "web", "critical"))));
+    assertEquals(Health.PASSING, MemberMapping.health(readOne(PASSING_CHECKS + "," + check("service:other", "other", "critical"))),
         "another service's check on the same node");
   }
 
   @Example
-  void fieldsAndAddressesAreTakenWhereTheOperatorSays() throws Exception {
-    Mapping mapping = new Mapping(Mapping.AddressFrom.SERVICE, null, new Mapping.Field(Mapping.Where.TAG, "zone="),
-        new Mapping.Field(Mapping.Where.SERVICE_META, "model"), new Mapping.Field(Mapping.Where.SERVICE_META, "cell"));
-    Member member = mapping.member(one(SOUND));
+  void fieldsAndAddressesFollowTheMapping() throws Exception {
+    MemberMapping mapping = new MemberMapping(MemberMapping.AddressSource.SERVICE, null, new MemberMapping.Field(MemberMapping.FieldLocation.TAG, "zone="),
+        new MemberMapping.Field(MemberMapping.FieldLocation.SERVICE_META, "model"), new MemberMapping.Field(MemberMapping.FieldLocation.SERVICE_META, "cell"));
+    Member member = mapping.member(readOne(PASSING_CHECKS));
     assertEquals("n1/web", member.id());
     assertEquals("a", member.zone());
     assertEquals("small", member.model());
     assertEquals(3, member.cell());
     assertEquals(new InetSocketAddress("10.1.10.12", 8080), member.address(), "the node's, where the service has none");
-    Mapping byNode = new Mapping(Mapping.AddressFrom.NODE, null, new Mapping.Field(Mapping.Where.NODE_META, "zone"),
+    MemberMapping byNode = new MemberMapping(MemberMapping.AddressSource.NODE, null, new MemberMapping.Field(MemberMapping.FieldLocation.NODE_META, "zone"),
         null, null);
-    assertEquals("b", byNode.member(one(SOUND)).zone());
-    Mapping tagged = new Mapping(Mapping.AddressFrom.TAGGED, "lan_ipv4", null, null, null);
-    assertEquals(new InetSocketAddress("10.1.10.13", 8080), tagged.member(one(SOUND)).address());
-    Mapping missing = new Mapping(Mapping.AddressFrom.TAGGED, "lan_ipv6", null, null, null);
-    assertThrows(Mapping.Unusable.class, () -> missing.member(one(SOUND)));
-    CatalogEntry named = read(bytes("[" + entry("n1", "web", 8080, SOUND)
+    assertEquals("b", byNode.member(readOne(PASSING_CHECKS)).zone());
+    MemberMapping tagged = new MemberMapping(MemberMapping.AddressSource.TAGGED, "lan_ipv4", null, null, null);
+    assertEquals(new InetSocketAddress("10.1.10.13", 8080), tagged.member(readOne(PASSING_CHECKS)).address());
+    MemberMapping missing = new MemberMapping(MemberMapping.AddressSource.TAGGED, "lan_ipv6", null, null, null);
+    assertThrows(MemberMapping.UnusableEntryException.class, () -> missing.member(readOne(PASSING_CHECKS)));
+    CatalogEntry named = read(bytes("[" + entry("n1", "web", 8080, PASSING_CHECKS)
         .replace("\"Address\":\"\",", "\"Address\":\"web.service.consul\",") + "]")).get(0);
-    assertTrue(assertThrows(Mapping.Unusable.class, () -> Mapping.DEFAULT.member(named)).getMessage()
+    assertTrue(assertThrows(MemberMapping.UnusableEntryException.class, () -> MemberMapping.DEFAULT.member(named)).getMessage()
         .contains("no numeric address"), "no name is looked up");
   }
 
   /** A service id is unique on its node alone: the same id on two nodes is two servers. */
   @Example
   void theSameServiceIdOnTwoNodesIsTwoServers() throws Exception {
-    List<CatalogEntry> two = read(bytes("[" + entry("n1", "web", 8080, SOUND) + ","
-        + entry("n2", "web", 8080, SOUND) + "]"));
-    assertFalse(Mapping.DEFAULT.member(two.get(0)).id().equals(Mapping.DEFAULT.member(two.get(1)).id()));
+    List<CatalogEntry> two = read(bytes("[" + entry("n1", "web", 8080, PASSING_CHECKS) + ","
+        + entry("n2", "web", 8080, PASSING_CHECKS) + "]"));
+    assertFalse(MemberMapping.DEFAULT.member(two.get(0)).id().equals(MemberMapping.DEFAULT.member(two.get(1)).id()));
   }
 }
--- a/proxy/src/test/java/lemondeal/consul/filter/FiltersTest.java
+++ b/proxy/src/test/java/lemondeal/consul/filter/FiltersTest.java
@@ -17,16 +17,16 @@
     return (Filter.Match) Filters.parse(expression);
   }
 
-  private static String refused(String expression) {
+  private static String rejectionMessage(String expression) {
     return assertThrows(FilterException.class, () -> Filters.check(Filters.parse(expression)), expression).getMessage();
   }
 
-  private static void assertStart(String start, String message) {
+  private static void assertStartsWith(String start, String message) {
     assertTrue(message.startsWith(start), message);
   }
 
   @Example
-  void everyComparisonIsRead() throws FilterException {
+  void parsesEveryComparison() throws FilterException {
     assertEquals(Operator.EQUAL, match("Service.ID == web").operator());
     assertEquals("a b", match("Service.Meta.pool != \"a b\"").value());
     assertEquals(List.of("Service", "Meta", "the pool"), match("Service.Meta[\"the pool\"] == `x\"y`").selector().path());
@@ -44,42 +44,42 @@
   }
 
   @Example
-  void notBindsBeforeAndBeforeOr() throws FilterException {
-    Filter.Either either = (Filter.Either) Filters.parse("Service.ID == a or not Service.ID == b and Service.ID == c");
-    assertEquals("a", ((Filter.Match) either.left()).value());
-    Filter.Both both = (Filter.Both) either.right();
-    assertTrue(both.left() instanceof Filter.Not);
-    assertTrue(Filters.parse("(Service.ID == a or Service.ID == b) and Service.ID == c") instanceof Filter.Both);
+  void notBindsTighterThanAndTighterThanOr() throws FilterException {
+    Filter.Or or = (Filter.Or) Filters.parse("Service.ID == a or not Service.ID == b and Service.ID == c");
+    assertEquals("a", ((Filter.Match) or.left()).value());
+    Filter.And and = (Filter.And) or.right();
+    assertTrue(and.left() instanceof Filter.Not);
+    assertTrue(Filters.parse("(Service.ID == a or Service.ID == b) and Service.ID == c") instanceof Filter.And);
   }
 
   @Example
-  void aMistakeIsToldWithItsPlaceAndWhatIsAllowed() {
-    assertStart("column 15: found the end; allowed: ", refused("Service.ID == "));
-    assertStart("column 12: found a character that no expression has", refused("Service.ID = x"));
-    assertStart("column 17: found the end; allowed: ')'", refused("(Service.ID == x"));
-    assertStart("column 1: found the field Service.Pool; allowed: Node.ID", refused("Service.Pool == x"));
+  void errorNamesTheColumnAndWhatIsAllowed() {
+    assertStartsWith("column 15: found the end; allowed: ", rejectionMessage("Service.ID == "));
+    assertStartsWith("column 12: found a character that no expression has", rejectionMessage("Service.ID = x"));
+    assertStartsWith("column 17: found the end; allowed: ')'", rejectionMessage("(Service.ID == x"));
+    assertStartsWith("column 1: found the field Service.Pool; allowed: Node.ID", rejectionMessage("Service.Pool == x"));
     assertEquals("column 24: found 'matches' on Service.Port; allowed: ==, !=",
-        refused("Service.ID == x and (  Service.Port matches 1)"));
-    assertEquals("column 1: found 'x' for Service.Port; allowed: a whole number", refused("Service.Port == x"));
+        rejectionMessage("Service.ID == x and (  Service.Port matches 1)"));
+    assertEquals("column 1: found 'x' for Service.Port; allowed: a whole number", rejectionMessage("Service.Port == x"));
     assertEquals("column 1: found 'yes' for Service.Connect.Native; allowed: true or false",
-        refused("Service.Connect.Native == yes"));
-    assertTrue(refused("Node.Node matches \"(\"").contains("a regular expression"));
-    assertTrue(refused("not ".repeat(5_000) + "Service.ID == x").contains("at most 100"));
-    assertTrue(refused("(".repeat(5_000)).contains("at most 100"));
-    assertStart("column 1: found the end", refused(""));
+        rejectionMessage("Service.Connect.Native == yes"));
+    assertTrue(rejectionMessage("Node.Node matches \"(\"").contains("a regular expression"));
+    assertTrue(rejectionMessage("not ".repeat(5_000) + "Service.ID == x").contains("at most 100"));
+    assertTrue(rejectionMessage("(".repeat(5_000)).contains("at most 100"));
+    assertStartsWith("column 1: found the end", rejectionMessage(""));
   }
 
-  private static final String[] WORDS = {"Service.ID", "Node.Meta.a", "Service.Port", "Service.Tags", "Checks", "==",
+  private static final String[] TOKENS = {"Service.ID", "Node.Meta.a", "Service.Port", "Service.Tags", "Checks", "==",
       "!=", "in", "not", "and", "or", "is", "empty", "contains", "matches", "(", ")", "\"a b\"", "`x`", "7", "-1.5", "[",
       "]", ".", "x", "\"", "=", "§", "\u0000"};
 
   /** Whatever words follow each other: a filter, or a refusal whose place lies within the expression. */
   @Property(seed = "11", tries = 2000)
-  void anyWordsAreAFilterOrARefusalWithItsPlace(@ForAll long seed) {
+  void anyTokenSequenceParsesOrIsRejectedWithAColumn(@ForAll long seed) {
     Random random = new Random(seed);
     StringBuilder text = new StringBuilder();
     for (int i = random.nextInt(12); i >= 0; i--) {
-      text.append(WORDS[random.nextInt(WORDS.length)]).append(random.nextInt(4) == 0 ? "" : " ");
+      text.append(TOKENS[random.nextInt(TOKENS.length)]).append(random.nextInt(4) == 0 ? "" : " ");
     }
     try {
       Filters.check(Filters.parse(text.toString()));
@@ -89,28 +89,28 @@
     }
   }
 
-  private static Filter random(Random random, int depth) {
+  private static Filter randomFilter(Random random, int depth) {
     int kind = random.nextInt(depth > 4 ? 1 : 4);
     return switch (kind) {
-      case 1 -> new Filter.Both(random(random, depth + 1), random(random, depth + 1));
-      case 2 -> new Filter.Either(random(random, depth + 1), random(random, depth + 1));
-      case 3 -> new Filter.Not(random(random, depth + 1));
+      case 1 -> new Filter.And(randomFilter(random, depth + 1), randomFilter(random, depth + 1));
+      case 2 -> new Filter.Or(randomFilter(random, depth + 1), randomFilter(random, depth + 1));
+      case 3 -> new Filter.Not(randomFilter(random, depth + 1));
       default -> {
         Operator operator = Operator.values()[random.nextInt(Operator.values().length)];
-        boolean bare = operator == Operator.EMPTY || operator == Operator.NOT_EMPTY;
+        boolean withoutValue = operator == Operator.EMPTY || operator == Operator.NOT_EMPTY;
         yield new Filter.Match(new Filter.Selector(List.of("Service", "Meta", "k" + random.nextInt(9)), 0), operator,
-            bare ? "" : "v " + random.nextInt(9));
+            withoutValue ? "" : "v " + random.nextInt(9));
       }
     };
   }
 
-  private static String written(Filter filter) {
-    if (filter instanceof Filter.Both both) {
-      return "(" + written(both.left()) + ") and (" + written(both.right()) + ")";
-    } else if (filter instanceof Filter.Either either) {
-      return "(" + written(either.left()) + ") or (" + written(either.right()) + ")";
+  private static String format(Filter filter) {
+    if (filter instanceof Filter.And and) {
+      return "(" + format(and.left()) + ") and (" + format(and.right()) + ")";
+    } else if (filter instanceof Filter.Or or) {
+      return "(" + format(or.left()) + ") or (" + format(or.right()) + ")";
     } else if (filter instanceof Filter.Not not) {
-      return "not (" + written(not.what()) + ")";
+      return "not (" + format(not.operand()) + ")";
     }
     Filter.Match match = (Filter.Match) filter;
     return switch (match.operator()) {
@@ -122,8 +122,8 @@
 
   /** A filter written out and read again says the same. */
   @Property(seed = "12", tries = 500)
-  void whatIsWrittenIsReadTheSame(@ForAll long seed) throws FilterException {
-    Filter filter = random(new Random(seed), 0);
-    assertEquals(written(filter), written(Filters.parse(written(filter))));
+  void formattedFilterParsesToTheSameFilter(@ForAll long seed) throws FilterException {
+    Filter filter = randomFilter(new Random(seed), 0);
+    assertEquals(format(filter), format(Filters.parse(format(filter))));
   }
 }
--- a/proxy/src/test/java/lemondeal/discovery/HostGroupTest.java
+++ b/proxy/src/test/java/lemondeal/discovery/HostGroupTest.java
@@ -24,60 +24,60 @@
         + String.join(",", instances) + "]}");
   }
 
-  private static String instance(String id, int port, String lifecycle, long started) {
+  private static String instance(String id, int port, String lifecycle, long startedAtMillis) {
     return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"lifecycle\":\""
-        + lifecycle + "\",\"startedAtMs\":" + started + "}";
+        + lifecycle + "\",\"startedAtMs\":" + startedAtMillis + "}";
   }
 
-  private static InetSocketAddress at(int port) {
+  private static InetSocketAddress address(int port) {
     return new InetSocketAddress("127.0.0.1", port);
   }
 
   @Test
-  void anOlderWholeListDoesNotUndoWhatANewerOneTold() throws Exception {
+  void olderFullListDoesNotOverwriteANewerOne() throws Exception {
     group.update(list(7, true, instance("s-1", 1, "terminating", 0), instance("s-2", 2, "in_service", 0)), 0);
     assertNull(group.update(list(5, true, instance("s-1", 1, "in_service", 0)), 3), "asked for when 3 was held");
     assertEquals(7, group.generation());
-    assertEquals(at(2), group.address("s-2"));
+    assertEquals(address(2), group.address("s-2"));
   }
 
   @Test
-  void olderChangesOfAWatchDoNotUndoWhatAWholeListTold() throws Exception {
+  void olderWatchChangesDoNotOverwriteANewerFullList() throws Exception {
     group.update(list(7, true, instance("s-1", 1, "terminating", 0)), 0);
     assertNull(group.update(list(6, false, instance("s-1", 9, "in_service", 0)), 5), "the watch stands at 5");
-    assertEquals(at(1), group.address("s-1"));
+    assertEquals(address(1), group.address("s-1"));
     assertNotNull(group.update(list(7, false, instance("s-1", 1, "terminating", 0)), 5), "what is as new does no harm");
   }
 
   /** It counts its versions anew then, and says with the whole list that it does not know the one held. */
   @Test
-  void aDiscoveryThatBeganAnewIsBelieved() throws Exception {
+  void fullListAfterADiscoveryRestartIsAccepted() throws Exception {
     group.update(list(41, true, instance("s-1", 1, "in_service", 0)), 0);
     assertEquals(ListKind.FULL, group.update(list(3, true, instance("s-1", 1, "terminating", 0)), 41).kind());
     assertEquals(3, group.generation());
   }
 
   @Test
-  void changesFromBeforeTheVersionTheyGoOnFromAreNone() throws Exception {
+  void changesOlderThanTheirBaseVersionAreRejected() throws Exception {
     group.update(list(41, true, instance("s-1", 1, "terminating", 0)), 0);
     assertThrows(ProtocolException.class,
         () -> group.update(list(3, false, instance("s-1", 9, "in_service", 0)), 41));
     assertEquals(41, group.generation());
-    assertEquals(at(1), group.address("s-1"));
+    assertEquals(address(1), group.address("s-1"));
   }
 
   @Test
   void anAddressFollowsItsInstance() throws Exception {
     group.update(list(1, true, instance("s-1", 1, "in_service", 0), instance("s-2", 2, "in_service", 0)), 0);
     group.update(list(2, false, instance("s-1", 9, "in_service", 5)), 1);
-    assertEquals(at(9), group.address("s-1"), "moved");
+    assertEquals(address(9), group.address("s-1"), "moved");
     group.update(list(3, false, instance("s-1", 9, "terminated", 5)), 2);
     assertNull(group.address("s-1"), "gone");
-    assertEquals(at(2), group.address("s-2"), "the others stay");
-    var back = group.update(list(4, false, instance("s-1", 9, "in_service", 7)), 3);
-    assertEquals(at(9), group.address("s-1"), "under the same address");
-    assertEquals(7_000, back.entries().get(0).startedAt(), "with a new start");
-    assertEquals(ServerState.READY, back.entries().get(0).state());
+    assertEquals(address(2), group.address("s-2"), "the others stay");
+    var restored = group.update(list(4, false, instance("s-1", 9, "in_service", 7)), 3);
+    assertEquals(address(9), group.address("s-1"), "under the same address");
+    assertEquals(7_000, restored.entries().get(0).startedAt(), "with a new start");
+    assertEquals(ServerState.READY, restored.entries().get(0).state());
     group.update(list(5, true), 4);
     assertNull(group.address("s-1"), "an empty list holds nothing");
     assertNull(group.address("s-2"));
@@ -85,20 +85,20 @@
 
   /** Two instances may have one address in turn: what ends the first must not take it from the second. */
   @Test
-  void anAddressTakenOverStaysWithTheNewInstance() throws Exception {
+  void reusedAddressSurvivesTheRemovalOfItsFormerInstance() throws Exception {
     group.update(list(1, true, instance("s-1", 1, "in_service", 0)), 0);
     group.update(list(2, false, instance("s-9", 1, "in_service", 5), instance("s-1", 1, "terminated", 0)), 1);
-    assertEquals(at(1), group.address("s-9"));
+    assertEquals(address(1), group.address("s-9"));
     assertNull(group.address("s-1"));
   }
 
   @Test
-  void aListThatCannotBeReadChangesNothing() throws Exception {
+  void unreadableListChangesNothing() throws Exception {
     group.update(list(1, true, instance("s-1", 1, "in_service", 0)), 0);
     assertThrows(ProtocolException.class, () -> group.update(
         list(2, true, instance("s-2", 2, "in_service", 0), instance("s-3", 3, "resting", 0)), 1));
     assertEquals(1, group.generation());
-    assertEquals(at(1), group.address("s-1"));
+    assertEquals(address(1), group.address("s-1"));
     assertNull(group.address("s-2"));
   }
 }
--- a/proxy/src/test/java/lemondeal/discovery/ModelledDiscovery.java
+++ b/proxy/src/test/java/lemondeal/discovery/SimulatedDiscovery.java
@@ -11,30 +11,30 @@
  * A discovery that works through calls one after another, on a clock of its own: one call's turn takes a time, a call
  * that waits too long for its turn fails, and while it is down every call fails at once. In microseconds.
  */
-public final class ModelledDiscovery {
+public final class SimulatedDiscovery {
 
   /** How a call ended. */
   public enum Reply { LIST, FAILED, REFUSED }
 
-  private record Due(long at, long order, Runnable task) {}
+  private record ScheduledTask(long at, long sequence, Runnable task) {}
 
   private record Call(Consumer<Reply> reply) {}
 
-  private final long turn;
-  private final long patience;
-  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at)
-      .thenComparingLong(Due::order));
+  private final long serviceTime;
+  private final long queueTimeout;
+  private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::at)
+      .thenComparingLong(ScheduledTask::sequence));
   private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-  private long order;
+  private long sequence;
   private long now;
   private boolean down;
   private boolean busy;
   /** When calls came, in order. */
-  public final List<Long> calls = new ArrayList<>();
+  public final List<Long> callTimes = new ArrayList<>();
 
-  public ModelledDiscovery(long turn, long patience) {
-    this.turn = turn;
-    this.patience = patience;
+  public SimulatedDiscovery(long serviceTime, long queueTimeout) {
+    this.serviceTime = serviceTime;
+    this.queueTimeout = queueTimeout;
   }
 
   public long now() {
@@ -43,13 +43,13 @@
 
   /** Runs the task when so much time has gone by. */
   public void after(long micros, Runnable task) {
-    due.add(new Due(now + micros, order++, task));
+    scheduledTasks.add(new ScheduledTask(now + micros, sequence++, task));
   }
 
   /** Goes on until this time. */
-  public void runTo(long end) {
-    while (!due.isEmpty() && due.peek().at <= end) {
-      Due next = due.poll();
+  public void runUntil(long end) {
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().at <= end) {
+      ScheduledTask next = scheduledTasks.poll();
       now = next.at;
       next.task.run();
     }
@@ -60,49 +60,49 @@
     down = true;
   }
 
-  public void comeBack() {
+  public void comeUp() {
     down = false;
   }
 
   public void call(Consumer<Reply> reply) {
-    calls.add(now);
+    callTimes.add(now);
     if (down) {
       after(1_000, () -> reply.accept(Reply.REFUSED));
       return;
     }
     Call call = new Call(reply);
     waiting.add(call);
-    after(patience, () -> {
+    after(queueTimeout, () -> {
       if (waiting.remove(call)) {
         reply.accept(Reply.FAILED);
       }
     });
-    serve();
+    serveNext();
   }
 
-  private void serve() {
+  private void serveNext() {
     Call next = busy ? null : waiting.poll();
     if (next == null) {
       return;
     }
     busy = true;
-    after(turn, () -> {
+    after(serviceTime, () -> {
       busy = false;
       next.reply.accept(Reply.LIST);
-      serve();
+      serveNext();
     });
   }
 
   /** The most calls that came within one second. */
-  public int mostInASecond() {
-    int most = 0;
-    int from = 0;
-    for (int i = 0; i < calls.size(); i++) {
-      while (calls.get(i) - calls.get(from) >= 1_000_000) {
-        from++;
+  public int maxCallsPerSecond() {
+    int max = 0;
+    int windowStart = 0;
+    for (int i = 0; i < callTimes.size(); i++) {
+      while (callTimes.get(i) - callTimes.get(windowStart) >= 1_000_000) {
+        windowStart++;
       }
-      most = Math.max(most, i - from + 1);
+      max = Math.max(max, i - windowStart + 1);
     }
-    return most;
+    return max;
   }
 }
--- a/proxy/src/test/java/lemondeal/module/MembershipTest.java
+++ b/proxy/src/test/java/lemondeal/module/MembershipTest.java
@@ -21,8 +21,8 @@
 import lemondeal.Balancer.Wake;
 import lemondeal.Balancer.WakeAfter;
 import lemondeal.Balancer.WeightMeaning;
-import lemondeal.discovery.ModelledDiscovery;
-import lemondeal.discovery.ModelledDiscovery.Reply;
+import lemondeal.discovery.SimulatedDiscovery;
+import lemondeal.discovery.SimulatedDiscovery.Reply;
 import org.junit.jupiter.api.Test;
 
 /** When the module asks for lists: soon enough that no change is missed, and not so often that discovery is overrun. */
@@ -43,7 +43,7 @@
 
   /** One process that asks for its list. */
   private static final class Process {
-    private final ModelledDiscovery discovery;
+    private final SimulatedDiscovery discovery;
     private final DecisionModule module = new DecisionModule();
     /** Calls that fail before one is answered. */
     private int failuresLeft;
@@ -52,11 +52,11 @@
     private long calledAt = -1;
     private long listedAt = -1;
 
-    Process(ModelledDiscovery discovery, long seed) {
+    Process(SimulatedDiscovery discovery, long seed) {
       this(discovery, seed, 10 * SECOND);
     }
 
-    Process(ModelledDiscovery discovery, long seed, long pollInterval) {
+    Process(SimulatedDiscovery discovery, long seed, long pollInterval) {
       this.discovery = discovery;
       handle(new Start(seed, settings(pollInterval)));
       handle(new ServerList(1, ListKind.SAVED, List.of()));
@@ -96,7 +96,7 @@
     }
   }
 
-  private static List<Process> processes(ModelledDiscovery discovery) {
+  private static List<Process> processes(SimulatedDiscovery discovery) {
     List<Process> all = new ArrayList<>();
     for (int i = 0; i < NODES; i++) {
       all.add(new Process(discovery, 1_000 + i));
@@ -107,71 +107,71 @@
   /** All that went by before its start may count to a process at once, and its sends then end by the grace. */
   @Test
   void aProcessSubscribesWithinHalfOfTheDrainGraceOfItsStart() {
-    ModelledDiscovery discovery = new ModelledDiscovery(1_000, CALL_TIMEOUT);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
     for (Process process : processes(discovery)) {
-      discovery.runTo(discovery.now() + GRACE / 2 + 2_000);
+      discovery.runUntil(discovery.now() + GRACE / 2 + 2_000);
       assertTrue(process.listedAt >= 0, "no list within the grace");
     }
-    assertEquals(NODES, discovery.calls.size());
+    assertEquals(NODES, discovery.callTimes.size());
   }
 
   /** They once called over four seconds, and those at the end had been held to an old list for as long. */
   @Test
   void aHundredNodesThatStartTogetherHaveTheirListWithinSixSeconds() {
-    ModelledDiscovery discovery = new ModelledDiscovery(40_000, CALL_TIMEOUT);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(40_000, CALL_TIMEOUT);
     List<Process> all = processes(discovery);
-    discovery.runTo(LIST_DEADLINE);
+    discovery.runUntil(LIST_DEADLINE);
     assertEquals(0, all.stream().filter(process -> process.listedAt < 0).count());
-    assertTrue(discovery.mostInASecond() <= 2 * NODES, discovery.mostInASecond() + " calls in a second");
+    assertTrue(discovery.maxCallsPerSecond() <= 2 * NODES, discovery.maxCallsPerSecond() + " calls in a second");
   }
 
   @Test
   void aHundredNodesHaveTheirListWithinSixSecondsOfDiscoverysRecovery() {
-    ModelledDiscovery discovery = new ModelledDiscovery(40_000, CALL_TIMEOUT);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(40_000, CALL_TIMEOUT);
     List<Process> all = processes(discovery);
-    discovery.runTo(20 * SECOND);
+    discovery.runUntil(20 * SECOND);
     discovery.goDown();
     all.forEach(Process::watchEnds);
-    discovery.runTo(28 * SECOND);
-    discovery.comeBack();
+    discovery.runUntil(28 * SECOND);
+    discovery.comeUp();
     all.forEach(Process::resetCounts);
-    discovery.runTo(29 * SECOND);
+    discovery.runUntil(29 * SECOND);
     assertEquals(0, all.stream().filter(process -> process.calledAt < 0).count(), "not called within a second");
-    discovery.runTo(28 * SECOND + LIST_DEADLINE);
+    discovery.runUntil(28 * SECOND + LIST_DEADLINE);
     assertEquals(0, all.stream().filter(process -> process.listedAt < 0).count(), "without a list");
-    assertTrue(discovery.mostInASecond() <= 3 * NODES, discovery.mostInASecond() + " calls in a second");
+    assertTrue(discovery.maxCallsPerSecond() <= 3 * NODES, discovery.maxCallsPerSecond() + " calls in a second");
   }
 
   /** Also where two more calls of each fail. */
   @Test
   void twoFailedCallsAfterTheRecoveryLeaveTimeForAThird() {
-    ModelledDiscovery discovery = new ModelledDiscovery(1_000, CALL_TIMEOUT);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
     List<Process> all = processes(discovery);
-    discovery.runTo(20 * SECOND);
+    discovery.runUntil(20 * SECOND);
     discovery.goDown();
     all.forEach(Process::watchEnds);
-    discovery.runTo(28 * SECOND);
-    discovery.comeBack();
+    discovery.runUntil(28 * SECOND);
+    discovery.comeUp();
     all.forEach(process -> process.failuresLeft = 2);
     // Three of the longest pauses and the calls' turns.
-    discovery.runTo(28 * SECOND + LIST_DEADLINE / 2);
+    discovery.runUntil(28 * SECOND + LIST_DEADLINE / 2);
     assertEquals(0, all.stream().filter(process -> process.listedAt < 0).count());
   }
 
   /** Calls that wait for their turn in vain keep an overrun discovery overrun if they come again as soon. */
   @Test
   void callsThatFailedInTheQueueBackOffLonger() {
-    ModelledDiscovery discovery = new ModelledDiscovery(1_000 * SECOND, SECOND);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(1_000 * SECOND, SECOND);
     List<Process> all = processes(discovery);
-    discovery.runTo(60 * SECOND);
-    int before = discovery.calls.size();
-    discovery.runTo(70 * SECOND);
-    int calls = discovery.calls.size() - before;
+    discovery.runUntil(60 * SECOND);
+    int before = discovery.callTimes.size();
+    discovery.runUntil(70 * SECOND);
+    int calls = discovery.callTimes.size() - before;
     assertTrue(calls <= 10 * NODES * 4 / 10, calls + " calls in 10 s");
     discovery.goDown();
-    discovery.runTo(80 * SECOND);
+    discovery.runUntil(80 * SECOND);
     all.forEach(Process::resetCounts);
-    discovery.runTo(81 * SECOND);
+    discovery.runUntil(81 * SECOND);
     long called = all.stream().filter(process -> process.calledAt >= 0).count();
     assertTrue(called >= NODES - 1, "as soon as ever once it fails at once: all but the one whose turn it is");
   }
@@ -179,44 +179,44 @@
   /** Two calls that wait a second in vain, behind an outage: the third is made within six seconds. */
   @Test
   void twoCallsThatFailInTheQueueLeaveTimeForAThird() {
-    ModelledDiscovery discovery = new ModelledDiscovery(1_000 * SECOND, SECOND);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(1_000 * SECOND, SECOND);
     discovery.goDown();
     List<Process> all = processes(discovery);
-    discovery.runTo(10 * SECOND);
-    discovery.comeBack();
+    discovery.runUntil(10 * SECOND);
+    discovery.comeUp();
     // Keeps the one turn that there is, so that every other call waits in vain.
     discovery.call(reply -> { });
     all.forEach(Process::resetCounts);
-    discovery.runTo(10 * SECOND + LIST_DEADLINE);
+    discovery.runUntil(10 * SECOND + LIST_DEADLINE);
     assertEquals(0, all.stream().filter(process -> process.calls < 3).count());
   }
 
   /** However long the settings let a process go without asking. */
   @Test
   void anUnansweredCallIsRepeatedWithinTheListDeadline() {
-    ModelledDiscovery discovery = new ModelledDiscovery(1_000, CALL_TIMEOUT);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
     Process process = new Process(discovery, 1, 60 * SECOND);
     process.ignoresReplies = true;
-    discovery.runTo(GRACE / 2);
-    assertEquals(1, discovery.calls.size());
-    discovery.runTo(discovery.calls.get(0) + LIST_DEADLINE);
-    assertEquals(2, discovery.calls.size());
+    discovery.runUntil(GRACE / 2);
+    assertEquals(1, discovery.callTimes.size());
+    discovery.runUntil(discovery.callTimes.get(0) + LIST_DEADLINE);
+    assertEquals(2, discovery.callTimes.size());
   }
 
   /** Pauses that did not grow would bring all to a discovery that turns them away, time and again. */
   @Test
   void backoffGrowsAndIsRandomized() {
-    ModelledDiscovery discovery = new ModelledDiscovery(1_000, CALL_TIMEOUT);
+    SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
     discovery.goDown();
     List<Process> all = processes(discovery);
-    discovery.runTo(SECOND);
-    final int first = discovery.calls.size();
-    discovery.runTo(60 * SECOND);
-    int before = discovery.calls.size();
-    discovery.runTo(61 * SECOND);
-    int later = discovery.calls.size() - before;
+    discovery.runUntil(SECOND);
+    final int first = discovery.callTimes.size();
+    discovery.runUntil(60 * SECOND);
+    int before = discovery.callTimes.size();
+    discovery.runUntil(61 * SECOND);
+    int later = discovery.callTimes.size() - before;
     assertTrue(later < first && later <= 2 * NODES, first + " calls in the first second, " + later + " later");
-    long distinctTimes = discovery.calls.subList(before, discovery.calls.size()).stream().distinct().count();
+    long distinctTimes = discovery.callTimes.subList(before, discovery.callTimes.size()).stream().distinct().count();
     assertTrue(distinctTimes > later * 9 / 10, "calls must not come together");
     assertEquals(NODES, all.size());
   }
--- a/proxy/src/test/java/lemondeal/operator/OperatorTest.java
+++ b/proxy/src/test/java/lemondeal/operator/OperatorTest.java
@@ -139,12 +139,12 @@
     assertEquals(20_000, consul.waitMillis());
     assertEquals(folder.resolve("consul.token"), consul.tokenFile());
     assertEquals("consul.example", consul.tls().name());
-    assertEquals(lemondeal.consul.Mapping.AddressFrom.TAGGED, consul.mapping().address());
-    assertEquals("lan_ipv4", consul.mapping().tagged());
-    assertEquals(new lemondeal.consul.Mapping.Field(lemondeal.consul.Mapping.Where.TAG, "cell="), consul.mapping().cell());
+    assertEquals(lemondeal.consul.MemberMapping.AddressSource.TAGGED, consul.mapping().address());
+    assertEquals("lan_ipv4", consul.mapping().taggedName());
+    assertEquals(new lemondeal.consul.MemberMapping.Field(lemondeal.consul.MemberMapping.FieldLocation.TAG, "cell="), consul.mapping().cell());
     assertEquals(new lemondeal.membership.Damping.Settings(3_000, 90_000, 300_000), consul.damping());
-    assertEquals(0.3, consul.guard().mostLost());
-    assertTrue(consul.guard().emptyBelieved());
+    assertEquals(0.3, consul.guard().maxLostShare());
+    assertTrue(consul.guard().acceptEmpty());
     assertEquals(null, operator.resume());
     String start = "version: 1\ndiscovery:\n  consul:\n    service: link\n";
     assertEquals(List.of("0:0 discovery.consul.agents: 'consul:8500' is no numeric address:port"),
@@ -176,7 +176,7 @@
     assertEquals("feed", operator.consul().get(1).settings().service());
     assertEquals("Service.Port != 7", operator.consul().get(1).settings().filter());
     assertEquals(new lemondeal.saved.ListFile.Settings(folder.resolve("last.list.feed"), 7_200_000, 1_000),
-        operator.consul().get(1).settings().saved());
+        operator.consul().get(1).settings().savedList());
     assertEquals(List.of("0:0 discovery.consul.services: class 'a' stands twice; allowed: each class once",
         "0:0 discovery.consul.services: service 'x' stands twice; allowed: each service once"),
         faults(start + "    services: [{service: x, classes: [a]}, {service: x, classes: [a]}]\n"));
--- a/proxy/src/test/java/lemondeal/saved/ListFileTest.java
+++ b/proxy/src/test/java/lemondeal/saved/ListFileTest.java
@@ -24,8 +24,8 @@
 /** The last good list on disk: whole or passed over, whatever became of the file. */
 class ListFileTest {
   private static final String SOURCE = "consul link";
-  private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-  private final PlainLog log = new PlainLog(new PrintStream(said, true, StandardCharsets.UTF_8));
+  private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
+  private final PlainLog log = new PlainLog(new PrintStream(logOutput, true, StandardCharsets.UTF_8));
   private long now = 1_000_000;
 
   @TempDir
@@ -45,7 +45,7 @@
   }
 
   /** What still waits is written at the end, in place of what was there. */
-  private byte[] saved(List<Member> members) throws IOException {
+  private byte[] saveAndReadBytes(List<Member> members) throws IOException {
     ListFile file = open();
     file.save(SOURCE, members(1));
     file.save(SOURCE, members);
@@ -54,53 +54,53 @@
   }
 
   @Test
-  void theNewestListIsReadAsItWasWithAnyAddress() throws IOException {
+  void newestListRoundTripsWithIpv4AndIpv6Addresses() throws IOException {
     List<Member> members = members(9);
     members.add(new Member("six", "", "", 0, new InetSocketAddress(InetAddress.getByName("::1"), 9), Health.PASSING, 1, 1, 0));
-    saved(members);
+    saveAndReadBytes(members);
     assertEquals(members, open().read(SOURCE));
     assertEquals(List.of(), open().read("consul other"), "another service's list");
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("it lists consul link, not consul other"));
+    assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("it lists consul link, not consul other"));
     now += 60_001;
     assertEquals(List.of(), open().read(SOURCE), "too old");
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("60 s old; allowed: 60 s"), said.toString(StandardCharsets.UTF_8));
+    assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("60 s old; allowed: 60 s"), logOutput.toString(StandardCharsets.UTF_8));
   }
 
   @Test
-  void noFileIsNoListAndNoFault() {
+  void missingFileYieldsNoListAndNoWarning() {
     assertEquals(List.of(), open().read(SOURCE));
-    assertEquals("", said.toString(StandardCharsets.UTF_8));
+    assertEquals("", logOutput.toString(StandardCharsets.UTF_8));
   }
 
   /** Cut at every byte, and damaged at any: passed over and told, never half taken. */
   @Test
-  void cutOrDamagedIsPassedOver() throws IOException {
-    byte[] whole = saved(members(3));
-    Path place = folder.resolve("deep/last.list");
-    for (int cut = 0; cut < whole.length; cut++) {
-      Files.write(place, Arrays.copyOf(whole, cut));
-      assertEquals(List.of(), open().read(SOURCE), "cut at " + cut);
+  void truncatedOrCorruptFileIsIgnored() throws IOException {
+    byte[] intact = saveAndReadBytes(members(3));
+    Path listFile = folder.resolve("deep/last.list");
+    for (int length = 0; length < intact.length; length++) {
+      Files.write(listFile, Arrays.copyOf(intact, length));
+      assertEquals(List.of(), open().read(SOURCE), "cut at " + length);
     }
     Random random = new Random(5);
     for (int i = 0; i < 300; i++) {
-      byte[] damaged = whole.clone();
-      damaged[random.nextInt(whole.length)] ^= (byte) (1 + random.nextInt(255));
-      Files.write(place, damaged);
+      byte[] damaged = intact.clone();
+      damaged[random.nextInt(intact.length)] ^= (byte) (1 + random.nextInt(255));
+      Files.write(listFile, damaged);
       assertEquals(List.of(), open().read(SOURCE));
     }
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("its checksum does not fit"));
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("no list of this program's"));
+    assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("its checksum does not fit"));
+    assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("no list of this program's"));
   }
 
   /** A disk that can't be written on is told, what was there stays, and nobody waits. */
   @Test
-  void aDiskThatFailsIsToldAndTheListBeforeStays() throws IOException {
-    saved(members(2));
+  void failedWriteIsLoggedAndThePreviousListStays() throws IOException {
+    saveAndReadBytes(members(2));
     Files.createDirectory(folder.resolve("deep/last.list.new"));
     ListFile file = open();
     file.save(SOURCE, members(5));
     file.close();
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("can't be saved"));
+    assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("can't be saved"));
     assertEquals(members(2), open().read(SOURCE));
     file.save(SOURCE, members(6));
     assertEquals(members(2), open().read(SOURCE), "closed");
