--- a/proxy/src/main/java/lemondeal/Reload.java
+++ b/proxy/src/main/java/lemondeal/ConfigReloader.java
@@ -13,29 +13,29 @@
  * Reads the configuration again when it is told to, off the I/O thread and one reload after the other. What is
  * handed on has been checked; of what can't be used, one line in the log is all that comes.
  */
-final class Reload implements AutoCloseable {
+final class ConfigReloader implements AutoCloseable {
   private static final long IDLE_SECONDS = 5;
 
   private final Map<String, String> environment;
-  private final Consumer<Config> taker;
+  private final Consumer<Config> onReload;
   private final EventLog log;
   /** One thread at most, and none while nothing is to be read. */
-  private final ThreadPoolExecutor thread = new ThreadPoolExecutor(0, 1, IDLE_SECONDS, TimeUnit.SECONDS,
-      new LinkedBlockingQueue<>(), Reload::daemon);
+  private final ThreadPoolExecutor executor = new ThreadPoolExecutor(0, 1, IDLE_SECONDS, TimeUnit.SECONDS,
+      new LinkedBlockingQueue<>(), ConfigReloader::newDaemonThread);
   /** What else is read anew; throws what can't be used. */
-  private final Runnable also;
+  private final Runnable reloadOperatorFile;
   private Config config;
 
-  Reload(Config config, Map<String, String> environment, Consumer<Config> taker, EventLog log,
-      Runnable also) {
-    this.config = config.withoutKnown();
+  ConfigReloader(Config config, Map<String, String> environment, Consumer<Config> onReload, EventLog log,
+      Runnable reloadOperatorFile) {
+    this.config = config.withoutKnownServers();
     this.environment = environment;
-    this.taker = taker;
+    this.onReload = onReload;
     this.log = log;
-    this.also = also;
+    this.reloadOperatorFile = reloadOperatorFile;
   }
 
-  private static Thread daemon(Runnable task) {
+  private static Thread newDaemonThread(Runnable task) {
     Thread thread = new Thread(task, "reload");
     thread.setDaemon(true);
     return thread;
@@ -43,27 +43,27 @@
 
   /** Asks for a reload, from any thread. */
   void request() {
-    thread.execute(this::read);
-    thread.execute(this::readAlso);
+    executor.execute(this::reloadConfig);
+    executor.execute(this::reloadFeatures);
   }
 
   /** A mistake in a file, of whatever kind, must not end a proxy that is serving. */
-  private void read() {
+  private void reloadConfig() {
     try {
-      Config fresh = config.reread(environment);
-      List<String> kept = config.kept(fresh);
-      taker.accept(fresh);
-      log.info("reload", "lemondeal: configuration read anew, discovery at " + fresh.discovery()
-          + (kept.isEmpty() ? "" : "; " + String.join(", ", kept) + " count from the next start"));
-      config = fresh.withoutKnown();
+      Config reloaded = config.reread(environment);
+      List<String> restartOnly = config.restartOnlyChanges(reloaded);
+      onReload.accept(reloaded);
+      log.info("reload", "lemondeal: configuration read anew, discovery at " + reloaded.discovery()
+          + (restartOnly.isEmpty() ? "" : "; " + String.join(", ", restartOnly) + " count from the next start"));
+      config = reloaded.withoutKnownServers();
     } catch (RuntimeException | OutOfMemoryError e) {
       log.warn("reload-refused", "lemondeal: the configuration stays as it was: " + e.getMessage());
     }
   }
 
-  private void readAlso() {
+  private void reloadFeatures() {
     try {
-      also.run();
+      reloadOperatorFile.run();
     } catch (RuntimeException e) {
       log.warn("operator-reload-refused", "lemondeal: the operator's file and keys stay as they were: " + e.getMessage().replace('\n', ';'));
     }
@@ -72,6 +72,6 @@
   /** Nothing more is read. */
   @Override
   public void close() {
-    thread.shutdownNow();
+    executor.shutdownNow();
   }
 }
--- a/proxy/src/main/java/lemondeal/DirectMemory.java
+++ b/proxy/src/main/java/lemondeal/DirectMemory.java
@@ -11,26 +11,26 @@
  */
 final class DirectMemory {
   /** What XNIO and the JDK take off the heap beside the rings. */
-  private static final long OTHERS_MB = 4;
-  private static final int MB = 20;
+  private static final long RESERVED_MB = 4;
+  private static final int MB_SHIFT = 20;
 
   private DirectMemory() {}
 
   /** Throws, with what is allowed, where {@code ringsMb} does not fit. */
   static void check(Path file, int ringsMb) {
-    long most = mostMb();
-    if (ringsMb > most - OTHERS_MB) {
+    long maxMb = maxDirectMemoryMb();
+    if (ringsMb > maxMb - RESERVED_MB) {
       throw new ConfigException(file + ": limits.rings_mb: found " + ringsMb + "; allowed: at most "
-          + Math.max(0, most - OTHERS_MB) + " with this JVM's " + most
+          + Math.max(0, maxMb - RESERVED_MB) + " with this JVM's " + maxMb
           + " MB off the heap (-XX:MaxDirectMemorySize, or -Xmx where it is not set)");
     }
   }
 
   /** The JVM's bound on direct buffers, in megabytes. */
-  private static long mostMb() {
-    String set = ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class)
+  private static long maxDirectMemoryMb() {
+    String option = ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class)
         .getVMOption("MaxDirectMemorySize").getValue();
-    long bytes = Long.parseLong(set);
-    return (bytes > 0 ? bytes : Runtime.getRuntime().maxMemory()) >> MB;
+    long bytes = Long.parseLong(option);
+    return (bytes > 0 ? bytes : Runtime.getRuntime().maxMemory()) >> MB_SHIFT;
   }
 }
--- a/proxy/src/main/java/lemondeal/FullProgram.java
+++ b/proxy/src/main/java/lemondeal/ExtrasLauncher.java
@@ -13,16 +13,16 @@
  * read through a class loader of their own. On the class path, even as a jar's {@code Class-Path}, the JDK's look-up of
  * logging services opened it at each start, for 3 MB and some milliseconds.
  */
-final class FullProgram {
-  private static final String LIBRARIES = "lemondeal-extras.jar";
-  private static final String ENTRY = "lemondeal.cli.Lemondeal";
+final class ExtrasLauncher {
+  private static final String EXTRAS_JAR = "lemondeal-extras.jar";
+  private static final String ENTRY_CLASS = "lemondeal.cli.Lemondeal";
 
-  private FullProgram() {}
+  private ExtrasLauncher() {}
 
   /** Runs the command; returns what {@code lemondeal.cli.Lemondeal} does. */
   static int run(String[] args) throws IOException {
     try {
-      return (int) Class.forName(ENTRY, true, loader()).getMethod("run", String[].class).invoke(null, (Object) args);
+      return (int) Class.forName(ENTRY_CLASS, true, loader()).getMethod("run", String[].class).invoke(null, (Object) args);
     } catch (InvocationTargetException e) {
       throw new IllegalStateException(e.getCause());
     } catch (ReflectiveOperationException e) {
@@ -32,15 +32,15 @@
 
   /** The loader that has the libraries: this class's own, where the class path holds them. */
   private static ClassLoader loader() throws IOException {
-    Path program = Path.of(new File(FullProgram.class.getProtectionDomain().getCodeSource().getLocation().getPath())
+    Path programJar = Path.of(new File(ExtrasLauncher.class.getProtectionDomain().getCodeSource().getLocation().getPath())
         .getAbsolutePath());
-    Path libraries = program.resolveSibling(LIBRARIES);
-    if (!Files.isRegularFile(program) || !Files.exists(libraries)) {
-      return FullProgram.class.getClassLoader();
+    Path extrasJar = programJar.resolveSibling(EXTRAS_JAR);
+    if (!Files.isRegularFile(programJar) || !Files.exists(extrasJar)) {
+      return ExtrasLauncher.class.getClassLoader();
     }
-    URL[] both = {program.toUri().toURL(), libraries.toUri().toURL()};
+    URL[] urls = {programJar.toUri().toURL(), extrasJar.toUri().toURL()};
     // Stays open as long as the program runs.
-    ClassLoader loader = new URLClassLoader(both, ClassLoader.getPlatformClassLoader());
+    ClassLoader loader = new URLClassLoader(urls, ClassLoader.getPlatformClassLoader());
     Thread.currentThread().setContextClassLoader(loader);
     return loader;
   }
--- a/proxy/src/main/java/lemondeal/Main.java
+++ b/proxy/src/main/java/lemondeal/Main.java
@@ -10,26 +10,26 @@
  */
 public final class Main {
   /** A command has started threads that go on: the program must not end. */
-  public static final int GOES_ON = -1;
+  public static final int KEEP_RUNNING = -1;
 
   private Main() {}
 
   public static void main(String[] args) throws IOException {
     // XNIO's logging would look for other libraries' and start what it finds.
     System.setProperty("org.jboss.logging.provider", "jdk");
-    int code = run(args, System.getenv());
-    if (code != GOES_ON) {
-      System.exit(code);
+    int exitCode = run(args, System.getenv());
+    if (exitCode != KEEP_RUNNING) {
+      System.exit(exitCode);
     }
   }
 
   private static int run(String[] args, Map<String, String> environment) throws IOException {
-    String word = args.length == 1 ? args[0] : "";
-    if (word.equals("serve") && environment.getOrDefault("GW_OPERATOR_CONFIG", "").isEmpty()) {
+    String command = args.length == 1 ? args[0] : "";
+    if (command.equals("serve") && environment.getOrDefault("GW_OPERATOR_CONFIG", "").isEmpty()) {
       LogQueue.install();
-      int code = Serve.run(environment, null);
-      return code == 0 ? GOES_ON : code;
+      int exitCode = Serve.run(environment, null);
+      return exitCode == 0 ? KEEP_RUNNING : exitCode;
     }
-    return word.equals("benchlink") ? lemondeal.benchlink.SimulatorHost.host() : FullProgram.run(args);
+    return command.equals("benchlink") ? lemondeal.benchlink.SimulatorHost.host() : ExtrasLauncher.run(args);
   }
 }
--- a/proxy/src/main/java/lemondeal/Extras.java
+++ b/proxy/src/main/java/lemondeal/OperatorFeatures.java
@@ -33,34 +33,34 @@
 import lemondeal.resume.Resumption;
 
 /** What the operator's own file adds to a proxy. Nothing of this is loaded where there is no such file. */
-final class Extras implements AutoCloseable {
+final class OperatorFeatures implements AutoCloseable {
   private final Path file;
   private final Operator operator;
   private EventLog log;
   private Resumption resumption;
   /** Null unless claims are made in a fleet's store. */
-  private FleetStore fleet;
+  private FleetStore claimStore;
   /** Null unless the proxies of the fleet tell each other rows. */
-  private FleetMember member;
+  private FleetMember fleetMember;
   /** Null unless the fleet leaves zones together. */
-  private ZonesTogether zones;
+  private ZonesTogether evacuation;
   private long incarnation;
   /** Null unless servers are listed by Consul, and until the proxy has made it. */
   private ConsulServices consul;
 
-  private Extras(Path file, Operator operator) {
+  private OperatorFeatures(Path file, Operator operator) {
     this.file = file;
     this.operator = operator;
   }
 
   /** Reads the file; what can't be used throws, with all faults. */
-  static Extras read(Path file) {
+  static OperatorFeatures read(Path file) {
     try {
       Operator operator = Operator.read(file);
       if (operator.ringsMb() > 0) {
         DirectMemory.check(file, operator.ringsMb());
       }
-      return new Extras(file, operator);
+      return new OperatorFeatures(file, operator);
     } catch (FileFaults e) {
       throw new ConfigException(e.getMessage());
     }
@@ -68,17 +68,17 @@
 
   /** Megabytes that ring buffers may take at most. */
   int ringsMb() {
-    return operator.ringsMb() > 0 ? operator.ringsMb() : Limits.RINGS_MB;
+    return operator.ringsMb() > 0 ? operator.ringsMb() : Limits.DEFAULT_RINGS_MB;
   }
 
   /** Makes what the proxy is to have: the log, and the claims and keys of sessions that can resume. */
   void begin(Config config) {
     log = operator.jsonLog() ? new JsonLog(System.err, config.name()) : new PlainLog(System.err);
     resumption = operator.resume() == null ? null : resumption(file, operator.resume(), config, log);
-    member = operator.fleet() == null ? null : member(operator.fleet(), config, log);
+    fleetMember = operator.fleet() == null ? null : fleetMember(operator.fleet(), config, log);
   }
 
-  private FleetMember member(Operator.Fleet section, Config config, EventLog log) {
+  private FleetMember fleetMember(Operator.Fleet section, Config config, EventLog log) {
     FleetSettings settings = section.settings();
     String name = settings.name() != null ? settings.name() : config.name();
     if (!config.settings().limits().mayMessagePeers()) {
@@ -96,23 +96,23 @@
 
   /** Begins what needs the running proxy; throws where an address can't be listened on. */
   void begin(Proxy proxy) {
-    if (member != null) {
+    if (fleetMember != null) {
       try {
-        member.start(proxy.executor(), proxy.timers());
+        fleetMember.start(proxy.executor(), proxy.timers());
       } catch (IOException e) {
         throw new ConfigException(operator.fleet().fault(e.getMessage()).toString());
       }
       proxy.addFigures(this::addTo);
     }
-    if (zones != null) {
-      zones.begin(proxy);
+    if (evacuation != null) {
+      evacuation.begin(proxy);
     }
   }
 
-  private void addTo(Map<String, Long> figures) {
-    member.addTo(figures);
-    if (zones != null) {
-      zones.addTo(figures);
+  private void addTo(Map<String, Long> metrics) {
+    fleetMember.addTo(metrics);
+    if (evacuation != null) {
+      evacuation.addTo(metrics);
     }
   }
 
@@ -124,15 +124,15 @@
       }
     }
     return new Resumption(section.settings(), KeyFile.read(section.keys()),
-        new CasClaims(store(section, log), System::currentTimeMillis), config.name(), System::currentTimeMillis);
+        new CasClaims(openClaimStore(section, log), System::currentTimeMillis), config.name(), System::currentTimeMillis);
   }
 
-  private CasStore store(Operator.Resume section, EventLog log) {
+  private CasStore openClaimStore(Operator.Resume section, EventLog log) {
     try {
       return switch (section.claims()) {
         case MEMORY -> new MemoryStore(section.mostClaims(), System::currentTimeMillis);
         case DISK -> DiskStore.open(section.folder(), section.mostClaims(), System::currentTimeMillis, log);
-        case FLEET -> fleet = FleetStore.open(section.stores(), section.tls(), section.settings().patience(), log);
+        case FLEET -> claimStore = FleetStore.open(section.stores(), section.tls(), section.settings().patience(), log);
       };
     } catch (IOException e) {
       throw new ConfigException("claims in " + (section.claims() == Operator.ClaimsIn.DISK ? section.folder()
@@ -150,33 +150,33 @@
   }
 
   /** Where the proxy's servers are listed: Consul where the file names it, else the platform's discovery. */
-  ListSource.Factory sources() {
+  ListSource.Factory listSources() {
     return operator.consul().isEmpty() ? ListSource.PLATFORM
-        : ConsulServices.factory(settings(operator), log, made -> consul = made);
+        : ConsulServices.factory(consulSettings(operator), log, created -> consul = created);
   }
 
-  private static List<ConsulSettings> settings(Operator operator) {
+  private static List<ConsulSettings> consulSettings(Operator operator) {
     return operator.consul().stream().map(Operator.ConsulService::settings).toList();
   }
 
   /** The module: within what the fleet decided of its zones, where it does so. */
   Balancer module(Config config) {
-    Balancer placing = placing(config);
+    Balancer placement = placementModule(config);
     if (operator.fleet() == null || operator.fleet().evacuation() == null) {
-      return placing;
+      return placement;
     }
-    zones = new ZonesTogether(operator.fleet(), config, member, incarnation, System.currentTimeMillis(), placing, log);
-    return zones.module();
+    evacuation = new ZonesTogether(operator.fleet(), config, fleetMember, incarnation, System.currentTimeMillis(), placement, log);
+    return evacuation.module();
   }
 
   /** One for all classes, or one for each service that lists some of them. */
-  private Balancer placing(Config config) {
+  private Balancer placementModule(Config config) {
     if (operator.consul().isEmpty() || operator.consul().get(0).classes().isEmpty()) {
       return new DecisionModule();
     }
     List<String> names = config.names().classes();
-    int[] fleetOf = new int[names.size()];
-    Arrays.fill(fleetOf, -1);
+    int[] serviceOfClass = new int[names.size()];
+    Arrays.fill(serviceOfClass, -1);
     List<Balancer> modules = new ArrayList<>();
     for (Operator.ConsulService service : operator.consul()) {
       for (String name : service.classes()) {
@@ -184,17 +184,17 @@
           throw new ConfigException(file + ": discovery.consul.services: found class '" + name + "'; allowed: "
               + String.join(", ", names));
         }
-        fleetOf[names.indexOf(name)] = modules.size();
+        serviceOfClass[names.indexOf(name)] = modules.size();
       }
       modules.add(new DecisionModule());
     }
-    for (int i = 0; i < fleetOf.length; i++) {
-      if (fleetOf[i] < 0) {
+    for (int i = 0; i < serviceOfClass.length; i++) {
+      if (serviceOfClass[i] < 0) {
         throw new ConfigException(file + ": discovery.consul.services: class '" + names.get(i)
             + "' has no service; allowed: each class in one service");
       }
     }
-    return new PoolRouter(modules, fleetOf);
+    return new PoolRouter(modules, serviceOfClass);
   }
 
   /**
@@ -202,10 +202,10 @@
    * and what was used before stays.
    */
   void reload() {
-    Operator fresh = Operator.read(file);
-    if (consul != null && !fresh.consul().isEmpty()) {
+    Operator reloaded = Operator.read(file);
+    if (consul != null && !reloaded.consul().isEmpty()) {
       try {
-        consul.reload(settings(fresh));
+        consul.reload(consulSettings(reloaded));
         log.info("consul-reload", "lemondeal: Consul's section, its token and certificates read anew");
       } catch (IOException e) {
         throw new ConfigException(file + ": discovery.consul: " + e.getMessage() + "; what was used before stays");
@@ -216,36 +216,36 @@
     }
     resumption.use(KeyFile.read(operator.resume().keys()));
     TlsFiles tls = operator.resume().tls();
-    if (fleet != null && tls != null) {
+    if (claimStore != null && tls != null) {
       try {
-        fleet.reload(tls);
+        claimStore.reload(tls);
       } catch (IOException e) {
         throw new ConfigException(file + ": resume.claims.tls: " + e.getMessage() + "; the certificates before stay");
       }
     }
     log.info("keys-reload", "lemondeal: keys" + (tls == null ? "" : " and certificates") + " read anew"
-        + (sameBut(fresh) ? "" : "; other changes of " + file + " count from the next start"));
+        + (hasSameStartupSettings(reloaded) ? "" : "; other changes of " + file + " count from the next start"));
   }
 
   /** Whether all that is taken at the start alone stayed as it was. */
-  private boolean sameBut(Operator fresh) {
-    return new Operator(fresh.jsonLog(), fresh.ringsMb(), operator.consul(), fresh.resume(),
-        sameFleet(fresh) ? operator.fleet() : fresh.fleet()).equals(operator);
+  private boolean hasSameStartupSettings(Operator reloaded) {
+    return new Operator(reloaded.jsonLog(), reloaded.ringsMb(), operator.consul(), reloaded.resume(),
+        hasSameFleetSettings(reloaded) ? operator.fleet() : reloaded.fleet()).equals(operator);
   }
 
-  private boolean sameFleet(Operator fresh) {
-    return fresh.fleet() != null && operator.fleet() != null
-        && fresh.fleet().settings().equals(operator.fleet().settings())
-        && Objects.equals(fresh.fleet().evacuation(), operator.fleet().evacuation());
+  private boolean hasSameFleetSettings(Operator reloaded) {
+    return reloaded.fleet() != null && operator.fleet() != null
+        && reloaded.fleet().settings().equals(operator.fleet().settings())
+        && Objects.equals(reloaded.fleet().evacuation(), operator.fleet().evacuation());
   }
 
   @Override
   public void close() {
-    if (member != null) {
-      member.close();
+    if (fleetMember != null) {
+      fleetMember.close();
     }
-    if (zones != null) {
-      zones.close();
+    if (evacuation != null) {
+      evacuation.close();
     }
     if (consul != null) {
       consul.close();
--- a/proxy/src/main/java/lemondeal/Serve.java
+++ b/proxy/src/main/java/lemondeal/Serve.java
@@ -21,30 +21,30 @@
  */
 public final class Serve {
   /** What can't be used was said in a line for each fault. */
-  private static final int BAD_USE = 2;
+  private static final int EXIT_BAD_USE = 2;
 
   /**
    * How long the end waits for the I/O thread. A JVM that halts while a thread waits in the system for its sockets goes on
    * waiting for that thread for 0.3 s itself (HotSpot, VM_Exit::wait_for_threads_in_native_to_block): longer than is left
    * before SIGKILL may come.
    */
-  private static final long CLOSE_MILLIS = 100;
+  private static final long CLOSE_WAIT_MILLIS = 100;
 
   /** How long the end waits for the log, which may stand still. */
-  private static final long DRAIN_MILLIS = 150;
+  private static final long LOG_DRAIN_MILLIS = 150;
 
   private enum State { STARTING, RUNNING, REFUSED }
 
   private final Proxy proxy;
   /** Null where there is no operator's file. */
-  private final Extras extras;
+  private final OperatorFeatures features;
   private final EventLog log;
-  private final CountDownLatch settled = new CountDownLatch(1);
+  private final CountDownLatch startFinished = new CountDownLatch(1);
   private volatile State state = State.STARTING;
 
-  private Serve(Proxy proxy, Extras extras, EventLog log) {
+  private Serve(Proxy proxy, OperatorFeatures features, EventLog log) {
     this.proxy = proxy;
-    this.extras = extras;
+    this.features = features;
     this.log = log;
   }
 
@@ -56,28 +56,28 @@
    */
   public static int run(Map<String, String> environment, Path operatorFile) {
     try {
-      Extras extras = operatorFile == null ? null : Extras.read(operatorFile);
-      Config config = extras == null ? Config.read(environment) : Config.read(environment, extras.ringsMb());
-      if (extras != null) {
-        extras.begin(config);
+      OperatorFeatures features = operatorFile == null ? null : OperatorFeatures.read(operatorFile);
+      Config config = features == null ? Config.read(environment) : Config.read(environment, features.ringsMb());
+      if (features != null) {
+        features.begin(config);
       }
-      EventLog log = extras == null ? new PlainLog(System.err) : extras.log();
-      Balancer module = traced(extras == null ? new DecisionModule() : extras.module(config), config.name(), environment, log);
-      Proxy proxy = extras == null ? new Proxy(config, module, log, null)
-          : new Proxy(config, module, log, extras.resumption(), extras.sources());
-      if (extras == null) {
+      EventLog log = features == null ? new PlainLog(System.err) : features.log();
+      Balancer module = withTrace(features == null ? new DecisionModule() : features.module(config), config.name(), environment, log);
+      Proxy proxy = features == null ? new Proxy(config, module, log, null)
+          : new Proxy(config, module, log, features.resumption(), features.listSources());
+      if (features == null) {
         String name = config.name();
-        proxy.setModuleFactory(() -> traced(new DecisionModule(), name, environment, log));
+        proxy.setModuleFactory(() -> withTrace(new DecisionModule(), name, environment, log));
       }
       if (!environment.getOrDefault("GW_TRACE", "").isEmpty()) {
         proxy.traceRequests();
       }
-      Reload reload = new Reload(config, environment, proxy::reconfigure, log,
-          extras == null ? () -> { } : extras::reload);
+      ConfigReloader reload = new ConfigReloader(config, environment, proxy::reconfigure, log,
+          features == null ? () -> { } : features::reload);
       Signals.onHangup(reload::request);
-      tellIgnoredSignals(log);
-      Serve serve = new Serve(proxy, extras, log);
-      if (serve.hearsTheOrder()) {
+      warnOfIgnoredSignals(log);
+      Serve serve = new Serve(proxy, features, log);
+      if (serve.addShutdownHook()) {
         serve.start();
       }
       return 0;
@@ -85,18 +85,18 @@
       for (String line : e.getMessage().split("\n")) {
         System.err.println("lemondeal: " + line);
       }
-      return BAD_USE;
+      return EXIT_BAD_USE;
     }
   }
 
   /** {@code GW_TRACE} has all that the module hears and decides told in the log, for a while of looking closely. */
-  private static Balancer traced(Balancer module, String name, Map<String, String> environment, EventLog log) {
+  private static Balancer withTrace(Balancer module, String name, Map<String, String> environment, EventLog log) {
     return environment.getOrDefault("GW_TRACE", "").isEmpty() ? module
         : new TracingBalancer(module, log, name, System::currentTimeMillis);
   }
 
   /** A process that can't hear an order goes on as if it had not been given: whoever gives it has to know. */
-  private static void tellIgnoredSignals(EventLog log) {
+  private static void warnOfIgnoredSignals(EventLog log) {
     List<String> ignored = Signals.ignored();
     if (!ignored.isEmpty()) {
       String names = String.join(", ", ignored);
@@ -106,7 +106,7 @@
   }
 
   /** From now on SIGTERM runs {@link #stop}; false if the process is ending already. */
-  private boolean hearsTheOrder() {
+  private boolean addShutdownHook() {
     try {
       Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
       return true;
@@ -116,30 +116,30 @@
   }
 
   private void start() throws IOException {
-    State reached = State.REFUSED;
+    State result = State.REFUSED;
     try {
       proxy.start();
-      settle(State.RUNNING);
-      if (extras != null) {
-        extras.begin(proxy);
+      finishStart(State.RUNNING);
+      if (features != null) {
+        features.begin(proxy);
       }
-      reached = State.RUNNING;
+      result = State.RUNNING;
     } finally {
-      settle(reached);
+      finishStart(result);
     }
-    tellAddresses();
+    logAddresses();
   }
 
-  private void settle(State reached) {
-    state = reached;
-    settled.countDown();
+  private void finishStart(State result) {
+    state = result;
+    startFinished.countDown();
   }
 
-  private void tellAddresses() {
-    String address = Addresses.text(proxy.localAddress());
+  private void logAddresses() {
+    String address = Addresses.format(proxy.localAddress());
     log.info("listening", "lemondeal: listening on " + address, "address", address);
     if (proxy.adminAddress() != null) {
-      String second = Addresses.text(proxy.adminAddress());
+      String second = Addresses.format(proxy.adminAddress());
       log.info("second-address", "lemondeal: second address " + second, "address", second);
     }
   }
@@ -147,19 +147,19 @@
   /** Runs on SIGTERM, and after a start that was refused; the process ends when this returns. */
   private void stop() {
     try {
-      settled.await();
+      startFinished.await();
       if (state == State.REFUSED) {
         return;
       }
       log.info("stopping", "lemondeal: stopping");
       proxy.stop();
-      if (extras != null) {
-        extras.close();
+      if (features != null) {
+        features.close();
       }
       log.info("stopped", "lemondeal: stopped");
       // Before the sockets close: with an inherited one the JDK closes the log, too.
-      LogQueue.drainInstalled(DRAIN_MILLIS);
-      proxy.awaitClose(CLOSE_MILLIS);
+      LogQueue.drainInstalled(LOG_DRAIN_MILLIS);
+      proxy.awaitClose(CLOSE_WAIT_MILLIS);
       Runtime.getRuntime().halt(0);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/proxy/src/main/java/lemondeal/Signals.java
+++ b/proxy/src/main/java/lemondeal/Signals.java
@@ -16,12 +16,12 @@
 final class Signals {
   private static final String HANGUP = "HUP";
   /** Those that are acted on, in the order of their numbers. */
-  private static final List<String> HEARD = List.of(HANGUP, "INT", "TERM");
-  private static final List<Integer> NUMBERS = List.of(1, 2, 15);
+  private static final List<String> HANDLED = List.of(HANGUP, "INT", "TERM");
+  private static final List<Integer> HANDLED_NUMBERS = List.of(1, 2, 15);
   /** Linux: signal n is bit n - 1 of the mask in this row, in hexadecimal digits. */
-  private static final Path STATUS = Path.of("/proc/self/status");
-  private static final String IGNORED_ROW = "SigIgn:";
-  private static final int HEXADECIMAL = 16;
+  private static final Path STATUS_FILE = Path.of("/proc/self/status");
+  private static final String IGNORED_MASK_PREFIX = "SigIgn:";
+  private static final int HEX_RADIX = 16;
 
   private Signals() {}
 
@@ -32,15 +32,15 @@
    */
   static void onHangup(Runnable task) {
     try {
-      Class<?> signal = Class.forName("sun.misc.Signal");
-      Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object heard = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+      Class<?> signalType = Class.forName("sun.misc.Signal");
+      Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+      Object hangupHandler = Proxy.newProxyInstance(handlerType.getClassLoader(), new Class<?>[] {handlerType},
           (proxy, method, arguments) -> {
             task.run();
             return null;
           });
-      Object hangup = signal.getConstructor(String.class).newInstance(HANGUP);
-      signal.getMethod("handle", signal, handler).invoke(null, hangup, heard);
+      Object hangup = signalType.getConstructor(String.class).newInstance(HANGUP);
+      signalType.getMethod("handle", signalType, handlerType).invoke(null, hangup, hangupHandler);
     } catch (ReflectiveOperationException e) {
       throw new IllegalStateException("this JVM can't hear SIG" + HANGUP, e);
     }
@@ -52,9 +52,9 @@
    */
   static List<String> ignored() {
     try {
-      for (String row : Files.readAllLines(STATUS)) {
-        if (row.startsWith(IGNORED_ROW)) {
-          return ignored(Long.parseUnsignedLong(row.substring(IGNORED_ROW.length()).trim(), HEXADECIMAL));
+      for (String line : Files.readAllLines(STATUS_FILE)) {
+        if (line.startsWith(IGNORED_MASK_PREFIX)) {
+          return ignored(Long.parseUnsignedLong(line.substring(IGNORED_MASK_PREFIX.length()).trim(), HEX_RADIX));
         }
       }
     } catch (IOException | NumberFormatException e) {
@@ -65,9 +65,9 @@
 
   private static List<String> ignored(long mask) {
     List<String> ignored = new ArrayList<>();
-    for (int i = 0; i < HEARD.size(); i++) {
-      if ((mask >>> (NUMBERS.get(i) - 1) & 1) != 0) {
-        ignored.add("SIG" + HEARD.get(i));
+    for (int i = 0; i < HANDLED.size(); i++) {
+      if ((mask >>> (HANDLED_NUMBERS.get(i) - 1) & 1) != 0) {
+        ignored.add("SIG" + HANDLED.get(i));
       }
     }
     return ignored;
--- a/proxy/src/main/java/lemondeal/admin/Caller.java
+++ b/proxy/src/main/java/lemondeal/admin/AdminConnection.java
@@ -14,112 +14,112 @@
  * One connection to the second address: a line, its reply, the end. It is bounded with the other callers until it
  * closes, also behind its reply: among the clients' lingering connections it would take the place of one of theirs.
  */
-final class Caller implements Link.Owner {
+final class AdminConnection implements Link.Owner {
   private final Limits limits;
   private final Link link;
-  private final EvictingSet<Caller> callers;
-  private final UnaryOperator<String> replies;
+  private final EvictingSet<AdminConnection> connections;
+  private final UnaryOperator<String> commandHandler;
   private final LineParser lines;
   private Timers.Timer timer;
   /** What is still to be sent of the reply; null before it. */
   private ByteBuffer reply;
   /** Bytes still read behind the call: none must be left when the connection closes, or it is reset. */
-  private int left;
-  private boolean ended;
+  private int discardBytesLeft;
+  private boolean inputEnded;
 
-  Caller(Limits limits, Link link, EvictingSet<Caller> callers, UnaryOperator<String> replies) {
+  AdminConnection(Limits limits, Link link, EvictingSet<AdminConnection> connections, UnaryOperator<String> commandHandler) {
     this.limits = limits;
     this.link = link;
-    this.callers = callers;
-    this.replies = replies;
-    lines = LineParser.ofEitherEnd(limits.adminLine());
-    left = limits.lingerBytes();
+    this.connections = connections;
+    this.commandHandler = commandHandler;
+    lines = LineParser.acceptingBareLf(limits.maxAdminLineBytes());
+    discardBytesLeft = limits.maxLingerBytes();
   }
 
   void start() {
-    timer = link.after(limits.adminCall(), this::drop);
+    timer = link.after(limits.adminTimeout(), this::close);
     link.start(this);
-    callers.enter(this);
+    connections.add(this);
   }
 
   @Override
-  public int room() {
-    return reply == null ? limits.adminLine() : left;
+  public int receiveCapacity() {
+    return reply == null ? limits.maxAdminLineBytes() : discardBytesLeft;
   }
 
   @Override
   public void received(ByteBuffer bytes) {
     if (reply == null) {
-      call(bytes);
+      readCommand(bytes);
     }
-    left -= bytes.remaining();
+    discardBytesLeft -= bytes.remaining();
     bytes.position(bytes.limit());
   }
 
-  private void call(ByteBuffer bytes) {
+  private void readCommand(ByteBuffer bytes) {
     try {
       String line = lines.next(bytes);
       if (line != null) {
-        answer(replies.apply(line));
+        startReply(commandHandler.apply(line));
       }
     } catch (ProtocolException e) {
-      answer("400 no line\r\n");
+      startReply("400 no line\r\n");
     }
   }
 
-  private void answer(String text) {
+  private void startReply(String text) {
     reply = ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
-    sendOn();
+    sendMore();
   }
 
   /** Sends as much of the reply as there is room for: the figures of many classes are longer than a ring. */
-  private void sendOn() {
-    while (reply.hasRemaining() && link.free() > 0) {
-      ByteBuffer part = reply.slice().limit(Math.min(link.free(), reply.remaining()));
+  private void sendMore() {
+    while (reply.hasRemaining() && link.sendCapacity() > 0) {
+      ByteBuffer part = reply.slice().limit(Math.min(link.sendCapacity(), reply.remaining()));
       reply.position(reply.position() + part.remaining());
       link.send(part);
     }
     if (!reply.hasRemaining()) {
       link.endSending();
       Timers.cancel(timer);
-      timer = link.after(limits.linger(), this::drop);
-      dropIfDone();
+      timer = link.after(limits.lingerTimeout(), this::close);
+      closeIfDone();
     }
   }
 
-  private void dropIfDone() {
-    if (ended && !reply.hasRemaining() && link.isFlushed()) {
-      drop();
+  private void closeIfDone() {
+    if (inputEnded && !reply.hasRemaining() && link.isFlushed()) {
+      close();
     }
   }
 
   /** Ends the connection. */
-  void drop() {
+  void close() {
     Timers.cancel(timer);
-    callers.leave(this);
+    connections.remove(this);
     link.close();
   }
 
   @Override
-  public void ended() {
-    ended = true;
+  public void endOfInput() {
+    inputEnded = true;
     if (reply == null) {
-      drop();
+      close();
     } else {
-      dropIfDone();
+      closeIfDone();
     }
   }
 
   @Override
-  public void broken() {
-    drop();
+  public void connectionLost() {
+    close();
   }
 
   @Override
   public void flushed() {
     if (reply.hasRemaining()) {
-      sendOn();
+      sendMore();
     }
-    dropIfDone();
+    closeIfDone();
   }
 }
--- a/proxy/src/main/java/lemondeal/admin/Admin.java
+++ b/proxy/src/main/java/lemondeal/admin/AdminEndpoint.java
@@ -10,51 +10,51 @@
  * bounded and timed by themselves; beyond the bound the oldest goes, so that whoever keeps one for nothing shuts nobody
  * out.
  */
-public final class Admin {
+public final class AdminEndpoint {
 
   /** What can be asked of this process, on the I/O thread. */
-  public interface Subject {
+  public interface ProcessStatus {
     /** Whether this process can serve clients. */
     boolean isReady();
 
     /** Every figure under its name. */
-    Map<String, Long> figures();
+    Map<String, Long> metrics();
   }
 
   private static final String READY = "ready";
-  private static final String FIGURES = "show-stat";
+  private static final String SHOW_STAT = "show-stat";
 
   /**
    * Kept free for one just accepted. Guards against a full table that stops the library's accepting: it goes on only
    * when a second connection has closed, and callers without a call once shut all others out for their five seconds.
    */
-  private static final int ONE_COMING = 1;
+  private static final int RESERVED_CONNECTIONS = 1;
 
   private final Limits limits;
-  private final Subject subject;
-  private final EvictingSet<Caller> callers;
+  private final ProcessStatus status;
+  private final EvictingSet<AdminConnection> connections;
 
-  public Admin(Limits limits, Subject subject) {
+  public AdminEndpoint(Limits limits, ProcessStatus status) {
     this.limits = limits;
-    this.subject = subject;
-    callers = new EvictingSet<>(() -> limits.adminCallers() - ONE_COMING, Caller::drop);
+    this.status = status;
+    connections = new EvictingSet<>(() -> limits.maxAdminConnections() - RESERVED_CONNECTIONS, AdminConnection::close);
   }
 
   public void accepted(Link link) {
-    new Caller(limits, link, callers, this::reply).start();
+    new AdminConnection(limits, link, connections, this::reply).start();
   }
 
-  private String reply(String call) {
-    return switch (call.strip()) {
-      case READY -> subject.isReady() ? "200 yes\r\n" : "400 no\r\n";
-      case FIGURES -> figures();
+  private String reply(String command) {
+    return switch (command.strip()) {
+      case READY -> status.isReady() ? "200 yes\r\n" : "400 no\r\n";
+      case SHOW_STAT -> formatMetrics();
       default -> "400 unknown call\r\n";
     };
   }
 
-  private String figures() {
+  private String formatMetrics() {
     StringBuilder text = new StringBuilder("200 figures\r\n");
-    subject.figures().forEach((name, value) -> text.append(name).append('=').append(value).append("\r\n"));
+    status.metrics().forEach((name, value) -> text.append(name).append('=').append(value).append("\r\n"));
     return text.append("EOF\r\n").toString();
   }
 }
--- a/proxy/src/main/java/lemondeal/benchlink/JsonArrayReader.java
+++ b/proxy/src/main/java/lemondeal/benchlink/JsonArrayReader.java
@@ -126,7 +126,7 @@
       return null;
     }
     expect(parser.currentToken() == JsonToken.START_OBJECT, field, "an object");
-    return Json.objectHere(parser);
+    return Json.readObject(parser);
   }
 
   private void expect(boolean condition, String field, String expected) {
--- a/proxy/src/main/java/lemondeal/claims/FleetStore.java
+++ b/proxy/src/main/java/lemondeal/claims/FleetStore.java
@@ -80,7 +80,7 @@
   }
 
   private ManagedChannel channel(TlsFiles tls) throws IOException {
-    String first = Addresses.text(addresses.get(0));
+    String first = Addresses.format(addresses.get(0));
     String authority = tls != null && tls.name() != null ? tls.name() : first;
     @SuppressWarnings("deprecation") // The one way to give a channel addresses without a look-up that is not global.
     NettyChannelBuilder builder = NettyChannelBuilder.forTarget(StoreAddresses.SCHEME + ":///" + first)
@@ -121,7 +121,7 @@
       // Writes nothing: no key has that version.
       first.compareAndSet(CompareAndSetRequest.newBuilder().setKey(noSession).setExpectedVersion(Long.MAX_VALUE).build());
     } catch (StatusRuntimeException e) {
-      String all = addresses.stream().map(Addresses::text).collect(Collectors.joining(", "));
+      String all = addresses.stream().map(Addresses::format).collect(Collectors.joining(", "));
       log.warn("claims-away", "lemondeal: the claim store at " + all + " does not answer: "
           + e.getStatus().getCode() + describe(e.getStatus()), "store", all);
     }
--- a/proxy/src/main/java/lemondeal/cli/Lemondeal.java
+++ b/proxy/src/main/java/lemondeal/cli/Lemondeal.java
@@ -72,7 +72,7 @@
     public Integer call() {
       LogQueue.install();
       int code = Serve.run(System.getenv(), file == null || file.toString().isEmpty() ? null : file);
-      return code == 0 ? Main.GOES_ON : code;
+      return code == 0 ? Main.KEEP_RUNNING : code;
     }
   }
 
--- a/proxy/src/main/java/lemondeal/codec/HttpParser.java
+++ b/proxy/src/main/java/lemondeal/codec/HttpParser.java
@@ -20,34 +20,34 @@
 
   private enum State { STATUS, HEADERS, SIZE, CHUNK, CHUNK_END, TRAILERS, FIXED, UNTIL_CLOSE, OVER }
 
-  private static final int LONGEST_HEAD_LINE = 8192;
-  private static final int MOST_HEADERS = 100;
+  private static final int MAX_HEAD_LINE_BYTES = 8192;
+  private static final int MAX_HEADERS = 100;
 
   private final Sink sink;
-  private final int longestLine;
-  private final LineParser head = new LineParser(LONGEST_HEAD_LINE);
+  private final int maxLineBytes;
+  private final LineParser headLines = new LineParser(MAX_HEAD_LINE_BYTES);
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private State state = State.STATUS;
   private boolean chunked;
-  private long left = -1;
-  private int headers;
+  private long bytesLeft = -1;
+  private int headerCount;
 
-  public HttpParser(int longestLine, Sink sink) {
-    this.longestLine = longestLine;
+  public HttpParser(int maxLineBytes, Sink sink) {
+    this.maxLineBytes = maxLineBytes;
     this.sink = sink;
   }
 
-  public void take(ByteBuffer in) throws ProtocolException {
+  public void parse(ByteBuffer in) throws ProtocolException {
     while (in.hasRemaining() && state != State.OVER) {
       switch (state) {
-        case CHUNK, FIXED, UNTIL_CLOSE -> body(in);
+        case CHUNK, FIXED, UNTIL_CLOSE -> readBody(in);
         default -> headLine(in);
       }
     }
   }
 
   /** The connection has ended; only a body without a length may end so. */
-  public void ended() throws ProtocolException {
+  public void endOfInput() throws ProtocolException {
     if (state == State.UNTIL_CLOSE) {
       finish();
     } else if (state != State.OVER) {
@@ -56,7 +56,7 @@
   }
 
   private void headLine(ByteBuffer in) throws ProtocolException {
-    String line = head.next(in);
+    String line = headLines.next(in);
     if (line == null) {
       return;
     }
@@ -71,7 +71,7 @@
 
   private void status(String line) throws ProtocolException {
     if (!line.matches("HTTP/1\\.[01] [1-9]\\d{2}( .*)?")) {
-      throw new ProtocolException("not a status line: " + OpenLine.shown(line));
+      throw new ProtocolException("not a status line: " + OpenLine.abbreviate(line));
     }
     state = State.HEADERS;
     sink.status(Integer.parseInt(line.substring(9, 12)));
@@ -79,31 +79,31 @@
 
   private void header(String line) throws ProtocolException {
     if (line.isEmpty()) {
-      state = chunked ? State.SIZE : left < 0 ? State.UNTIL_CLOSE : State.FIXED;
-      if (state == State.FIXED && left == 0) {
+      state = chunked ? State.SIZE : bytesLeft < 0 ? State.UNTIL_CLOSE : State.FIXED;
+      if (state == State.FIXED && bytesLeft == 0) {
         finish();
       }
       return;
     }
     int colon = line.indexOf(':');
-    if (colon <= 0 || ++headers > MOST_HEADERS) {
-      throw new ProtocolException("not a header: " + OpenLine.shown(line));
+    if (colon <= 0 || ++headerCount > MAX_HEADERS) {
+      throw new ProtocolException("not a header: " + OpenLine.abbreviate(line));
     }
     String value = line.substring(colon + 1).trim();
     switch (line.substring(0, colon).toLowerCase(Locale.ROOT)) {
       case "transfer-encoding" -> chunked = value.equalsIgnoreCase("chunked");
-      case "content-length" -> left = length(value, 10);
+      case "content-length" -> bytesLeft = parseLength(value, 10);
       default -> { }
     }
   }
 
   private void chunkSize(String line) throws ProtocolException {
     int semicolon = line.indexOf(';');
-    left = length((semicolon < 0 ? line : line.substring(0, semicolon)).trim(), 16);
-    state = left == 0 ? State.TRAILERS : State.CHUNK;
+    bytesLeft = parseLength((semicolon < 0 ? line : line.substring(0, semicolon)).trim(), 16);
+    state = bytesLeft == 0 ? State.TRAILERS : State.CHUNK;
   }
 
-  private static long length(String digits, int radix) throws ProtocolException {
+  private static long parseLength(String digits, int radix) throws ProtocolException {
     try {
       if (!digits.isEmpty() && Character.digit(digits.charAt(0), radix) >= 0) {
         return Integer.parseInt(digits, radix);
@@ -111,7 +111,7 @@
     } catch (NumberFormatException e) {
       // Told below with the digits themselves.
     }
-    throw new ProtocolException("not a length: " + OpenLine.shown(digits));
+    throw new ProtocolException("not a length: " + OpenLine.abbreviate(digits));
   }
 
   private void chunkEnd(String line) throws ProtocolException {
@@ -127,26 +127,26 @@
     }
   }
 
-  private void body(ByteBuffer in) throws ProtocolException {
-    while (in.hasRemaining() && (state == State.UNTIL_CLOSE || left > 0)) {
+  private void readBody(ByteBuffer in) throws ProtocolException {
+    while (in.hasRemaining() && (state == State.UNTIL_CLOSE || bytesLeft > 0)) {
       byte b = in.get();
-      left--;
+      bytesLeft--;
       if (b == '\n') {
-        line();
-      } else if (body.size() >= longestLine) {
-        throw new ProtocolException("a line of the body is longer than " + longestLine + " bytes");
+        emitLine();
+      } else if (body.size() >= maxLineBytes) {
+        throw new ProtocolException("a line of the body is longer than " + maxLineBytes + " bytes");
       } else {
         body.write(b);
       }
     }
-    if (left == 0 && state == State.CHUNK) {
+    if (bytesLeft == 0 && state == State.CHUNK) {
       state = State.CHUNK_END;
-    } else if (left == 0 && state == State.FIXED) {
+    } else if (bytesLeft == 0 && state == State.FIXED) {
       finish();
     }
   }
 
-  private void line() throws ProtocolException {
+  private void emitLine() throws ProtocolException {
     String line = body.toString(StandardCharsets.UTF_8);
     body.reset();
     sink.line(line.endsWith("\r") ? line.substring(0, line.length() - 1) : line);
@@ -155,7 +155,7 @@
   private void finish() throws ProtocolException {
     state = State.OVER;
     if (body.size() > 0) {
-      line();
+      emitLine();
     }
     sink.end();
   }
--- a/proxy/src/main/java/lemondeal/codec/Json.java
+++ b/proxy/src/main/java/lemondeal/codec/Json.java
@@ -17,12 +17,12 @@
   private Json() {}
 
   /** Reads one object that is the whole text. */
-  public static Map<String, Object> object(String text) throws ProtocolException {
+  public static Map<String, Object> parseObject(String text) throws ProtocolException {
     try (JsonParser in = FACTORY.createParser(text)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
         throw new ProtocolException("not a JSON object");
       }
-      Map<String, Object> object = objectHere(in);
+      Map<String, Object> object = readObject(in);
       if (in.nextToken() != null) {
         throw new ProtocolException("something follows the JSON object");
       }
@@ -35,24 +35,24 @@
   }
 
   /** The object whose opening brace the parser stands on. */
-  public static Map<String, Object> objectHere(JsonParser in) throws IOException {
+  public static Map<String, Object> readObject(JsonParser in) throws IOException {
     Map<String, Object> map = new LinkedHashMap<>();
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String name = in.currentName();
       in.nextToken();
-      map.put(name, valueHere(in));
+      map.put(name, readValue(in));
     }
     return map;
   }
 
-  private static Object valueHere(JsonParser in) throws IOException {
+  private static Object readValue(JsonParser in) throws IOException {
     switch (in.currentToken()) {
       case START_OBJECT:
-        return objectHere(in);
+        return readObject(in);
       case START_ARRAY:
         List<Object> list = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-          list.add(valueHere(in));
+          list.add(readValue(in));
         }
         return list;
       case VALUE_STRING:
--- a/proxy/src/main/java/lemondeal/codec/LineParser.java
+++ b/proxy/src/main/java/lemondeal/codec/LineParser.java
@@ -6,26 +6,26 @@
 
 /** Cuts bytes, as they come, into lines that end in CRLF, or in LF alone where that is allowed. */
 public final class LineParser {
-  private static final int FIRST_SIZE = 64;
+  private static final int INITIAL_SIZE = 64;
 
-  private final int longest;
-  private final boolean bareEnds;
-  private byte[] line = new byte[FIRST_SIZE];
+  private final int maxBytes;
+  private final boolean acceptsBareLf;
+  private byte[] line = new byte[INITIAL_SIZE];
   private int length;
 
   /** {@code longest} counts the line's end too. */
-  public LineParser(int longest) {
-    this(longest, false);
+  public LineParser(int maxBytes) {
+    this(maxBytes, false);
   }
 
-  private LineParser(int longest, boolean bareEnds) {
-    this.longest = longest;
-    this.bareEnds = bareEnds;
+  private LineParser(int maxBytes, boolean acceptsBareLf) {
+    this.maxBytes = maxBytes;
+    this.acceptsBareLf = acceptsBareLf;
   }
 
   /** Also takes LF alone as an end: what people type into a plain tool ends so. */
-  public static LineParser ofEitherEnd(int longest) {
-    return new LineParser(longest, true);
+  public static LineParser acceptingBareLf(int maxBytes) {
+    return new LineParser(maxBytes, true);
   }
 
   /** Takes bytes up to the next line's end; returns that line without its end, or null if it is not whole. */
@@ -35,11 +35,11 @@
       if (b == '\n') {
         return finish();
       }
-      if (length + 1 >= longest) {
-        throw new ProtocolException("a line is longer than " + longest + " bytes");
+      if (length + 1 >= maxBytes) {
+        throw new ProtocolException("a line is longer than " + maxBytes + " bytes");
       }
       if (length == line.length) {
-        line = Arrays.copyOf(line, Math.min(longest, 2 * length));
+        line = Arrays.copyOf(line, Math.min(maxBytes, 2 * length));
       }
       line[length++] = b;
     }
@@ -47,22 +47,22 @@
   }
 
   private String finish() throws ProtocolException {
-    boolean whole = length > 0 && line[length - 1] == '\r';
-    if (!whole && !bareEnds) {
+    boolean endsInCr = length > 0 && line[length - 1] == '\r';
+    if (!endsInCr && !acceptsBareLf) {
       throw new ProtocolException("a line does not end in CRLF");
     }
-    String text = new String(line, 0, whole ? length - 1 : length, StandardCharsets.ISO_8859_1);
+    String text = new String(line, 0, endsInCr ? length - 1 : length, StandardCharsets.ISO_8859_1);
     length = 0;
     return text;
   }
 
   /** Bytes taken of a line that is not whole. */
-  public int pending() {
+  public int pendingBytes() {
     return length;
   }
 
   /** Whether the bytes so far end inside a line. */
-  public boolean midLine() {
+  public boolean isMidLine() {
     return length > 0;
   }
 }
--- a/proxy/src/main/java/lemondeal/codec/OpenLine.java
+++ b/proxy/src/main/java/lemondeal/codec/OpenLine.java
@@ -7,7 +7,7 @@
 
 /** A connection's first line: {@code OPEN id key name=value,...}. The text is kept as the client sent it. */
 public final class OpenLine {
-  private static final String WORD = "OPEN ";
+  private static final String COMMAND_PREFIX = "OPEN ";
 
   /** A plain number: what else Java reads as one ("0x1p3", "5d", "NaN") is none on the wire. */
   private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
@@ -17,48 +17,48 @@
   private final String id;
   private final String key;
   private final Map<String, String> values;
-  private final int deadlineFrom;
-  private final int deadlineTo;
+  private final int deadlineStart;
+  private final int deadlineEnd;
 
-  private OpenLine(String text, String id, String key, Map<String, String> values, int deadlineFrom) {
+  private OpenLine(String text, String id, String key, Map<String, String> values, int deadlineStart) {
     this.text = text;
     this.id = id;
     this.key = key;
     this.values = values;
-    this.deadlineFrom = deadlineFrom;
-    this.deadlineTo = deadlineFrom + values.get("d").length();
+    this.deadlineStart = deadlineStart;
+    this.deadlineEnd = deadlineStart + values.get("d").length();
   }
 
   public static OpenLine parse(String line) throws ProtocolException {
-    String[] words = line.split(" ", -1);
-    if (!line.startsWith(WORD) || words.length != 4 || !ID.matcher(words[1]).matches() || words[2].isEmpty()) {
-      throw new ProtocolException("not a first line: " + shown(line));
+    String[] fields = line.split(" ", -1);
+    if (!line.startsWith(COMMAND_PREFIX) || fields.length != 4 || !ID.matcher(fields[1]).matches() || fields[2].isEmpty()) {
+      throw new ProtocolException("not a first line: " + abbreviate(line));
     }
     Map<String, String> values = new HashMap<>();
-    int deadlineFrom = -1;
-    int at = line.length() - words[3].length();
-    for (String pair : words[3].split(",", -1)) {
-      int equals = pair.indexOf('=');
-      if (equals <= 0 || values.put(pair.substring(0, equals), pair.substring(equals + 1)) != null) {
-        throw new ProtocolException("not a list of names and values: " + shown(words[3]));
+    int deadlineStart = -1;
+    int offset = line.length() - fields[3].length();
+    for (String pair : fields[3].split(",", -1)) {
+      int equalsIndex = pair.indexOf('=');
+      if (equalsIndex <= 0 || values.put(pair.substring(0, equalsIndex), pair.substring(equalsIndex + 1)) != null) {
+        throw new ProtocolException("not a list of names and values: " + abbreviate(fields[3]));
       }
       if (pair.startsWith("d=")) {
-        deadlineFrom = at + 2;
+        deadlineStart = offset + 2;
       }
-      at += pair.length() + 1;
+      offset += pair.length() + 1;
     }
-    if (deadlineFrom < 0 || !values.containsKey("c")) {
-      throw new ProtocolException("c or d is missing: " + shown(line));
+    if (deadlineStart < 0 || !values.containsKey("c")) {
+      throw new ProtocolException("c or d is missing: " + abbreviate(line));
     }
-    OpenLine open = new OpenLine(line, words[1], words[2], values, deadlineFrom);
+    OpenLine open = new OpenLine(line, fields[1], fields[2], values, deadlineStart);
     if (open.deadlineMillis() < 0) {
-      throw new ProtocolException("d is no time: " + shown(values.get("d")));
+      throw new ProtocolException("d is no time: " + abbreviate(values.get("d")));
     }
     return open;
   }
 
   /** Enough of what came to recognise it in a log. */
-  static String shown(String text) {
+  static String abbreviate(String text) {
     return text.length() <= 60 ? text : text.substring(0, 60) + "...";
   }
 
@@ -75,7 +75,7 @@
     return values.get(name);
   }
 
-  public boolean marked(String name) {
+  public boolean isFlagSet(String name) {
     return "1".equals(values.get(name));
   }
 
@@ -92,19 +92,19 @@
   }
 
   /** The line with another {@code d}, without the values of these names, with more values behind them, and its end. */
-  public String with(long millis, Set<String> dropped, String more) {
-    StringBuilder line = new StringBuilder(WORD).append(id).append(' ').append(key).append(' ');
+  public String rewrite(long millis, Set<String> removedNames, String addedValues) {
+    StringBuilder line = new StringBuilder(COMMAND_PREFIX).append(id).append(' ').append(key).append(' ');
     for (String pair : text.substring(text.lastIndexOf(' ') + 1).split(",", -1)) {
       String name = pair.substring(0, pair.indexOf('='));
-      if (!dropped.contains(name)) {
+      if (!removedNames.contains(name)) {
         line.append(name.equals("d") ? "d=" + millis : pair).append(',');
       }
     }
-    return line.append(more).append("\r\n").toString();
+    return line.append(addedValues).append("\r\n").toString();
   }
 
   /** The line with another {@code d} and nothing else changed, with its end. */
   public String withDeadline(long millis) {
-    return text.substring(0, deadlineFrom) + millis + text.substring(deadlineTo) + "\r\n";
+    return text.substring(0, deadlineStart) + millis + text.substring(deadlineEnd) + "\r\n";
   }
 }
--- a/proxy/src/main/java/lemondeal/config/Addresses.java
+++ b/proxy/src/main/java/lemondeal/config/Addresses.java
@@ -9,7 +9,7 @@
 public final class Addresses {
   private Addresses() {}
 
-  public static String text(InetSocketAddress address) {
+  public static String format(InetSocketAddress address) {
     String host = address.getAddress().getHostAddress();
     return (address.getAddress() instanceof Inet6Address ? "[" + host + "]" : host) + ":" + address.getPort();
   }
--- a/proxy/src/main/java/lemondeal/config/Config.java
+++ b/proxy/src/main/java/lemondeal/config/Config.java
@@ -25,24 +25,24 @@
  * @param machine what this process may use, as at its start
  * @param machineInFile the same as the file gives it now
  */
-public record Config(String name, InetSocketAddress listen, boolean inherited, InetSocketAddress admin,
-    InetSocketAddress discovery, String discoveryInFile, long seed, Map<String, Object> known, Settings settings,
-    Names names, LoadLines loadLines, Machine machine, Machine machineInFile, Limits limits) {
+public record Config(String name, InetSocketAddress listen, boolean inheritedSocket, InetSocketAddress admin,
+    InetSocketAddress discovery, String discoveryInFile, long seed, Map<String, Object> knownServers, Settings settings,
+    Names names, LoadLineMeaning loadLineMeaning, MachineLimits machineLimits, MachineLimits machineLimitsInFile, Limits limits) {
 
   /** Names that stand on sockets where the module has indices. */
   public record Names(List<String> classes, List<String> zones, List<String> models) {}
 
   /** What the machine allows: sockets and rings are made for it at the start, and can't be changed under way. */
-  public record Machine(int sockets, int memoryMb) {}
+  public record MachineLimits(int sockets, int memoryMb) {}
 
   /**
    * The connection's load, in microseconds of work a second, or the milliseconds that a message takes at its server:
    * both come as LOAD, and where servers tell both, only the figure itself says which it is.
    */
-  public enum LoadLines {
+  public enum LoadLineMeaning {
     LOADS, DELAYS, BOTH;
 
-    static LoadLines of(boolean delays, boolean loads) {
+    static LoadLineMeaning of(boolean delays, boolean loads) {
       return !delays ? LOADS : loads ? BOTH : DELAYS;
     }
   }
@@ -52,7 +52,7 @@
 
   /** Reads {@code GW_CONFIG}; {@code GW_NAME} and the addresses that the environment gives go before it. */
   public static Config read(Map<String, String> environment) {
-    return read(environment, null, Limits.RINGS_MB);
+    return read(environment, null, Limits.DEFAULT_RINGS_MB);
   }
 
   /** The same, where an operator's own file gives rings {@code ringsMb} megabytes at most. */
@@ -62,100 +62,100 @@
 
   /** Reads the file again, in a running proxy. What can't be used throws, and this configuration stays. */
   public Config reread(Map<String, String> environment) {
-    return read(environment, this, limits.ringsMb());
+    return read(environment, this, limits.maxRingsMb());
   }
 
   /** Tells one list of servers from another, so that the list itself need not be kept: 64 bits of its text. */
-  public long knownFingerprint() {
-    CRC32C sum = new CRC32C();
-    sum.update(known.toString().getBytes(StandardCharsets.UTF_8));
-    return (long) known.hashCode() << Integer.SIZE | sum.getValue();
+  public long knownServersFingerprint() {
+    CRC32C checksum = new CRC32C();
+    checksum.update(knownServers.toString().getBytes(StandardCharsets.UTF_8));
+    return (long) knownServers.hashCode() << Integer.SIZE | checksum.getValue();
   }
 
   /** The same without the list of servers, which is large and of no use once it is taken in. */
-  public Config withoutKnown() {
-    return new Config(name, listen, inherited, admin, discovery, discoveryInFile, seed, Map.of(), settings, names,
-        loadLines, machine, machineInFile, limits);
+  public Config withoutKnownServers() {
+    return new Config(name, listen, inheritedSocket, admin, discovery, discoveryInFile, seed, Map.of(), settings, names,
+        loadLineMeaning, machineLimits, machineLimitsInFile, limits);
   }
 
   /** Whether requests are served by the same terms under both: whatever may change while a proxy runs. */
-  public boolean servesAs(Config other) {
-    return settings.equals(other.settings) && names.equals(other.names) && loadLines == other.loadLines
+  public boolean hasSameServiceSettings(Config other) {
+    return settings.equals(other.settings) && names.equals(other.names) && loadLineMeaning == other.loadLineMeaning
         && limits.equals(other.limits);
   }
 
   /** The names of those values that a file read again gives differently, and that a running proxy keeps. */
-  public List<String> kept(Config fresh) {
-    List<String> kept = new ArrayList<>();
-    keep(kept, "name", name, fresh.name);
-    keep(kept, "listen", listen, fresh.listen);
-    keep(kept, "admin_addr", admin, fresh.admin);
-    keep(kept, "seed", seed, fresh.seed);
-    keep(kept, "limits", machine, fresh.machineInFile);
-    return kept;
-  }
-
-  private static void keep(List<String> kept, String key, Object here, Object there) {
-    if (!Objects.equals(here, there)) {
-      kept.add(key);
+  public List<String> restartOnlyChanges(Config reloaded) {
+    List<String> changes = new ArrayList<>();
+    addIfChanged(changes, "name", name, reloaded.name);
+    addIfChanged(changes, "listen", listen, reloaded.listen);
+    addIfChanged(changes, "admin_addr", admin, reloaded.admin);
+    addIfChanged(changes, "seed", seed, reloaded.seed);
+    addIfChanged(changes, "limits", machineLimits, reloaded.machineLimitsInFile);
+    return changes;
+  }
+
+  private static void addIfChanged(List<String> changes, String key, Object current, Object reloaded) {
+    if (!Objects.equals(current, reloaded)) {
+      changes.add(key);
     }
   }
 
-  private static Config read(Map<String, String> environment, Config before, int ringsMb) {
+  private static Config read(Map<String, String> environment, Config previous, int ringsMb) {
     String file = environment.get("GW_CONFIG");
     if (file == null || file.isEmpty()) {
       throw new ConfigException("GW_CONFIG names no file");
     }
     try {
-      return of(new Part("config", object(file)), environment, before, ringsMb);
+      return of(new Section("config", readObject(file)), environment, previous, ringsMb);
     } catch (ConfigException e) {
       throw new ConfigException(file + ": " + e.getMessage().replace('\n', ' '));
     }
   }
 
-  private static Config of(Part root, Map<String, String> environment, Config before, int ringsMb) {
-    Part settings = root.part("settings");
+  private static Config of(Section root, Map<String, String> environment, Config previous, int ringsMb) {
+    Section settings = root.section("settings");
     SettingsCheck.check(settings);
-    Part permissions = settings.part("permissions");
-    Part family = settings.part("familyInfo");
-    String discoveryInFile = root.text("discovery", "");
-    boolean inherited = inherited(environment.getOrDefault("GW_ACCEPT_FD", ""));
+    Section permissions = settings.section("permissions");
+    Section family = settings.section("familyInfo");
+    String discoveryInFile = root.string("discovery", "");
+    boolean inheritedSocket = inheritedSocket(environment.getOrDefault("GW_ACCEPT_FD", ""));
     // Whatever the settings leave out takes no longer than the longest request.
-    long longest = longestDeadline(settings.parts("profiles"));
-    Machine inFile = machine(root.part("limits"));
-    Machine machine = before == null ? inFile : before.machine;
+    long longestRequest = longestDeadline(settings.sections("profiles"));
+    MachineLimits machineInFile = machineLimits(root.section("limits"));
+    MachineLimits machine = previous == null ? machineInFile : previous.machineLimits;
     return new Config(
-        environment.getOrDefault("GW_NAME", root.text("name", "proxy")),
-        address("listen", environment.getOrDefault("GW_LISTEN", root.text("listen", ""))),
-        inherited,
-        admin(environment.getOrDefault("GW_ADMIN_ADDR", root.text("admin_addr", ""))),
-        discovery(environment, discoveryInFile, before), discoveryInFile,
-        seed(root.text("seed", "0")), root.part("known").values(), SettingsReader.read(settings.values()),
-        new Names(names(settings.parts("profiles")), texts(settings.list("azs")), texts(settings.list("flavors"))),
-        LoadLines.of(family.flag("tellsDelay"), family.flag("tellsLoad")), machine, inFile,
-        Limits.of(machine.sockets, machine.memoryMb, permissions.whole("dialTimeout", longest),
-            permissions.whole("keepalive", longest), longest, inherited, ringsMb));
+        environment.getOrDefault("GW_NAME", root.string("name", "proxy")),
+        address("listen", environment.getOrDefault("GW_LISTEN", root.string("listen", ""))),
+        inheritedSocket,
+        admin(environment.getOrDefault("GW_ADMIN_ADDR", root.string("admin_addr", ""))),
+        discovery(environment, discoveryInFile, previous), discoveryInFile,
+        seed(root.string("seed", "0")), root.section("known").values(), SettingsReader.read(settings.values()),
+        new Names(names(settings.sections("profiles")), strings(settings.list("azs")), strings(settings.list("flavors"))),
+        LoadLineMeaning.of(family.flag("tellsDelay"), family.flag("tellsLoad")), machine, machineInFile,
+        Limits.of(machine.sockets, machine.memoryMb, permissions.wholeNumber("dialTimeout", longestRequest),
+            permissions.wholeNumber("keepalive", longestRequest), longestRequest, inheritedSocket, ringsMb));
   }
 
-  private static Machine machine(Part limits) {
-    SettingsCheck.checkMachine(limits);
-    return new Machine((int) limits.whole("sockets", DEFAULT_SOCKETS),
-        (int) limits.whole("memory_mb", DEFAULT_MEMORY_MB));
+  private static MachineLimits machineLimits(Section section) {
+    SettingsCheck.checkMachine(section);
+    return new MachineLimits((int) section.wholeNumber("sockets", DEFAULT_SOCKETS),
+        (int) section.wholeNumber("memory_mb", DEFAULT_MEMORY_MB));
   }
 
   /**
    * Guards against the environment, which can't change while the proxy runs, hiding the address that the file
    * names anew: what the file says differently than before goes first.
    */
-  private static InetSocketAddress discovery(Map<String, String> environment, String inFile, Config before) {
-    if (before == null) {
+  private static InetSocketAddress discovery(Map<String, String> environment, String inFile, Config previous) {
+    if (previous == null) {
       return address("discovery", environment.getOrDefault("GW_DISCOVERY", inFile));
     }
-    return inFile.equals(before.discoveryInFile) ? before.discovery : address("discovery", inFile);
+    return inFile.equals(previous.discoveryInFile) ? previous.discovery : address("discovery", inFile);
   }
 
   /** The one descriptor from which the JDK can take a listening socket is the first. */
-  private static boolean inherited(String descriptor) {
+  private static boolean inheritedSocket(String descriptor) {
     if (!descriptor.isEmpty() && !descriptor.equals("0")) {
       throw new ConfigException("GW_ACCEPT_FD should be 0, found " + descriptor);
     }
@@ -166,9 +166,9 @@
     return text.isEmpty() ? null : address("admin_addr", text);
   }
 
-  private static Map<String, Object> object(String file) {
+  private static Map<String, Object> readObject(String file) {
     try {
-      return Json.object(Files.readString(Path.of(file)));
+      return Json.parseObject(Files.readString(Path.of(file)));
     } catch (IOException e) {
       throw new ConfigException("cannot be read: " + e);
     } catch (ProtocolException e) {
@@ -184,35 +184,35 @@
     }
   }
 
-  private static InetSocketAddress address(String what, String text) {
+  private static InetSocketAddress address(String key, String text) {
     try {
       return Addresses.parse(text);
     } catch (IllegalArgumentException e) {
-      throw new ConfigException(what + ": " + e.getMessage());
+      throw new ConfigException(key + ": " + e.getMessage());
     }
   }
 
-  private static long longestDeadline(List<Part> classes) {
+  private static long longestDeadline(List<Section> classes) {
     long longest = 0;
-    for (Part part : classes) {
-      longest = Math.max(longest, part.whole("hardLimit"));
+    for (Section section : classes) {
+      longest = Math.max(longest, section.wholeNumber("hardLimit"));
     }
     return longest;
   }
 
-  private static List<String> names(List<Part> parts) {
+  private static List<String> names(List<Section> sections) {
     List<String> names = new ArrayList<>();
-    for (Part part : parts) {
-      names.add(part.text("name", ""));
+    for (Section section : sections) {
+      names.add(section.string("name", ""));
     }
     return names;
   }
 
-  private static List<String> texts(List<Object> values) {
-    List<String> texts = new ArrayList<>();
+  private static List<String> strings(List<Object> values) {
+    List<String> strings = new ArrayList<>();
     for (Object value : values) {
-      texts.add(String.valueOf(value));
+      strings.add(String.valueOf(value));
     }
-    return texts;
+    return strings;
   }
 }
--- a/proxy/src/main/java/lemondeal/config/Limits.java
+++ b/proxy/src/main/java/lemondeal/config/Limits.java
@@ -63,67 +63,67 @@
  * @param drainMost the longest that a stop may take
  * @param probeLinks links to servers that are open for probes at once; beyond, the one idle for the longest closes
  */
-public record Limits(int lineBytes, int ringBytes, int listLineBytes, int turnBytes, int lingerBytes, int clients,
-    int ringsMb, boolean shared, int pending, int lingering, int accepted, int accepts, int adminCallers, int adminLine,
-    long adminCall, long listWithin, long tick, int wheelSlots, long dial, long answerLead, long firstLine,
-    long silence, long unease, long moment, int unanswered, long linger, long moveWithin, long noteEvery, double noteShare, long probe,
-    long probeIdle, long watchSilence, long adoptPause, long adoptFor, long throttleFor, long drainAccept,
-    long drainHold, long drainStep, long drainSpread, long drainMost, int probeLinks) {
+public record Limits(int maxLineBytes, int ringBytes, int maxListBytes, int readBytesPerTurn, int maxLingerBytes, int maxClients,
+    int maxRingsMb, boolean sharedMachine, int maxPending, int maxLingering, int maxAccepted, int acceptsPerTurn, int maxAdminConnections, int maxAdminLineBytes,
+    long adminTimeout, long firstListTimeout, long timerTick, int wheelSlots, long connectTimeout, long clientDeadlineMargin, long firstLineTimeout,
+    long serverSilenceTimeout, long slowAnswerDelay, long pauseAllowance, int maxUnanswered, long lingerTimeout, long moveTimeout, long delayReportInterval, double delayReportShare, long probeTimeout,
+    long probeLinkIdleTimeout, long discoveryConnectTimeout, long adoptRetryDelay, long adoptTimeout, long throttleRetryAfter, long drainAcceptTime,
+    long drainHoldTime, long drainStepInterval, long drainMoveTime, long drainTimeout, int maxProbeLinks) {
 
   private static final long MILLI = 1_000;
   private static final long SECOND = 1_000_000;
   /** Descriptors of the program itself: 13 are seen (files, selectors, the listener); the rest is room. */
-  private static final int OWN_FILES = 16;
+  private static final int OWN_DESCRIPTORS = 16;
   /** A watch and a fetch, each with the one that takes its place. */
   private static final int DISCOVERY_SOCKETS = 4;
   /** Descriptors that are closed and still at the selector. */
-  private static final int CLOSING = 2;
+  private static final int CLOSING_SOCKETS = 2;
   /** Connections to the second address, beside its listener and one that has just been accepted. */
-  private static final int ADMIN_CALLERS = 8;
-  private static final int ADMIN_FILES = ADMIN_CALLERS + 2;
+  private static final int ADMIN_CONNECTIONS = 8;
+  private static final int ADMIN_DESCRIPTORS = ADMIN_CONNECTIONS + 2;
   /** What a process holds whatever clients do, beside its links for probes. */
-  private static final int OWN = OWN_FILES + DISCOVERY_SOCKETS + CLOSING + ADMIN_FILES;
+  private static final int FIXED_DESCRIPTORS = OWN_DESCRIPTORS + DISCOVERY_SOCKETS + CLOSING_SOCKETS + ADMIN_DESCRIPTORS;
   /** Links for probes: so many on the smallest machine, and one more for each so many of its further sockets. */
-  private static final int PROBE_LINKS_LEAST = 16;
-  private static final int PROBE_LINKS_PART = 8;
+  private static final int MIN_PROBE_LINKS = 16;
+  private static final int SOCKETS_PER_PROBE_LINK = 8;
   /** Connections without a request: so many on the smallest machine, and one more for each so many sockets. */
-  private static final int IDLE_LEAST = 36;
-  private static final int IDLE_PART = 16;
-  private static final int SMALLEST = 256;
+  private static final int MIN_IDLE = 36;
+  private static final int SOCKETS_PER_IDLE = 16;
+  private static final int SMALLEST_MACHINE_SOCKETS = 256;
   /** Where two processes run, free slots for each further one: the other one's clients need room too. */
-  private static final int SLOTS_PER_PENDING = 8;
+  private static final int FREE_CLIENTS_PER_PENDING = 8;
   /** Connections accepted in one go before the oldest of a full crowd are closed. */
   private static final int ACCEPT_SLACK = 6;
   private static final int RING_BYTES = 8192;
   /** STANDING: 3,200 servers at most; discovery's entries have some 170 bytes each, and the rest is room for names. */
-  private static final int LIST_BYTES = 3_200 * 1_280;
+  private static final int MAX_LIST_BYTES = 3_200 * 1_280;
   /** Share of the memory that rings may take. */
-  private static final int RINGS_PART = 8;
+  private static final int RING_MEMORY_DIVISOR = 8;
   /**
    * What the platform's JVM flags leave for rings in any case: 16 MB of direct memory, less what XNIO and the JDK take. An
    * operator's own file may give more, with more direct memory.
    */
-  public static final int RINGS_MB = 12;
+  public static final int DEFAULT_RINGS_MB = 12;
 
   /** A stop may take as long as the longest deadline, counted as this where it is longer, and somewhat more. */
-  private static final long DRAIN_DEADLINE = 3 * SECOND;
-  private static final long DRAIN_MORE = 500 * MILLI;
-  private static final long DRAIN_ACCEPT = 450 * MILLI;
-  private static final long LINGER = 500 * MILLI;
+  private static final long MAX_DRAIN_DEADLINE = 3 * SECOND;
+  private static final long DRAIN_EXTRA = 500 * MILLI;
+  private static final long DRAIN_ACCEPT_TIME = 450 * MILLI;
+  private static final long LINGER_TIMEOUT = 500 * MILLI;
   /**
    * PROTOCOL: a connection that brings nothing back must be ended or moved within 7 s. Clients send a line every 2 s, so
    * the first that is left unanswered may come that late, and 1 s is left for a proxy that stands still meanwhile.
    */
-  private static final long SILENCE = 7 * SECOND - 2 * SECOND - SECOND;
+  private static final long SERVER_SILENCE_TIMEOUT = 7 * SECOND - 2 * SECOND - SECOND;
   /** Kept back at a stop for the last client's line to end. */
-  private static final long DRAIN_SPARE = 300 * MILLI;
-  private static final long DRAIN_STEP = 50 * MILLI;
+  private static final long DRAIN_RESERVE = 300 * MILLI;
+  private static final long DRAIN_STEP_INTERVAL = 50 * MILLI;
   /** Clients are moved over this long, as late as can be: until then they are served. */
-  private static final long DRAIN_SPREAD = 1500 * MILLI;
+  private static final long MAX_DRAIN_MOVE_TIME = 1500 * MILLI;
 
   /** Derives the counts from what the machine allows, and the times of a stop from the longest deadline. */
   public static Limits of(int sockets, int memoryMb, long dialTimeout, long keepalive, long longestDeadline) {
-    return of(sockets, memoryMb, dialTimeout, keepalive, longestDeadline, false, RINGS_MB);
+    return of(sockets, memoryMb, dialTimeout, keepalive, longestDeadline, false, DEFAULT_RINGS_MB);
   }
 
   /**
@@ -134,33 +134,33 @@
    * @param ringsMb megabytes that rings may take at most: {@link #RINGS_MB} on the platform
    */
   public static Limits of(int sockets, int memoryMb, long dialTimeout, long keepalive, long longestDeadline,
-      boolean shared, int ringsMb) {
-    int processes = shared ? 2 : 1;
-    long drainMost = Math.min(DRAIN_DEADLINE, longestDeadline) + DRAIN_MORE;
-    long drainMoves = Math.max(DRAIN_STEP, drainMost - DRAIN_ACCEPT - LINGER - DRAIN_SPARE);
-    long drainSpread = Math.min(DRAIN_SPREAD, drainMoves);
-    int idle = (IDLE_LEAST + Math.max(0, sockets - SMALLEST) / IDLE_PART) / processes;
-    int lingering = idle / 3;
-    int pending = idle - lingering - ACCEPT_SLACK;
-    int probeLinks = PROBE_LINKS_LEAST + Math.max(0, sockets / processes - SMALLEST) / PROBE_LINKS_PART;
-    int room = sockets - processes * (OWN + probeLinks + idle);
-    int bySockets = shared ? room * SLOTS_PER_PENDING / (2 * SLOTS_PER_PENDING + 1) : room / 2;
-    int byMemory = (int) (((long) Math.min(memoryMb / RINGS_PART, ringsMb) << 20) / (2 * RING_BYTES));
-    int clients = Math.min(bySockets, byMemory);
-    if (clients < 1) {
+      boolean sharedMachine, int maxRingsMb) {
+    int processes = sharedMachine ? 2 : 1;
+    long drainTimeout = Math.min(MAX_DRAIN_DEADLINE, longestDeadline) + DRAIN_EXTRA;
+    long timeToMove = Math.max(DRAIN_STEP_INTERVAL, drainTimeout - DRAIN_ACCEPT_TIME - LINGER_TIMEOUT - DRAIN_RESERVE);
+    long drainMoveTime = Math.min(MAX_DRAIN_MOVE_TIME, timeToMove);
+    int idle = (MIN_IDLE + Math.max(0, sockets - SMALLEST_MACHINE_SOCKETS) / SOCKETS_PER_IDLE) / processes;
+    int maxLingering = idle / 3;
+    int maxPending = idle - maxLingering - ACCEPT_SLACK;
+    int maxProbeLinks = MIN_PROBE_LINKS + Math.max(0, sockets / processes - SMALLEST_MACHINE_SOCKETS) / SOCKETS_PER_PROBE_LINK;
+    int clientSockets = sockets - processes * (FIXED_DESCRIPTORS + maxProbeLinks + idle);
+    int bySockets = sharedMachine ? clientSockets * FREE_CLIENTS_PER_PENDING / (2 * FREE_CLIENTS_PER_PENDING + 1) : clientSockets / 2;
+    int byMemory = (int) (((long) Math.min(memoryMb / RING_MEMORY_DIVISOR, maxRingsMb) << 20) / (2 * RING_BYTES));
+    int maxClients = Math.min(bySockets, byMemory);
+    if (maxClients < 1) {
       throw new ConfigException("limits: " + sockets + " sockets and " + memoryMb + " MB leave no room for clients");
     }
-    int accepted = shared ? clients + clients / SLOTS_PER_PENDING + idle : 2 * clients + idle;
-    return new Limits(4096, RING_BYTES, LIST_BYTES, 64 * 1024, 64 * 1024, clients, ringsMb,
-        shared, pending, lingering, accepted, 32, ADMIN_CALLERS, 256, 5 * SECOND,
-        3 * SECOND, 5 * MILLI, 1024, dialTimeout, 10 * MILLI, 2300 * MILLI, SILENCE, 400 * MILLI,
-        30 * MILLI, 64, LINGER, 5 * SECOND, SECOND, 1.0 / 3, SECOND,
-        keepalive, 3500 * MILLI, 250 * MILLI, 35 * SECOND, SECOND, DRAIN_ACCEPT,
-        drainMoves - drainSpread, DRAIN_STEP, drainSpread, drainMost, probeLinks);
+    int maxAccepted = sharedMachine ? maxClients + maxClients / FREE_CLIENTS_PER_PENDING + idle : 2 * maxClients + idle;
+    return new Limits(4096, RING_BYTES, MAX_LIST_BYTES, 64 * 1024, 64 * 1024, maxClients, maxRingsMb,
+        sharedMachine, maxPending, maxLingering, maxAccepted, 32, ADMIN_CONNECTIONS, 256, 5 * SECOND,
+        3 * SECOND, 5 * MILLI, 1024, dialTimeout, 10 * MILLI, 2300 * MILLI, SERVER_SILENCE_TIMEOUT, 400 * MILLI,
+        30 * MILLI, 64, LINGER_TIMEOUT, 5 * SECOND, SECOND, 1.0 / 3, SECOND,
+        keepalive, 3500 * MILLI, 250 * MILLI, 35 * SECOND, SECOND, DRAIN_ACCEPT_TIME,
+        timeToMove - drainMoveTime, DRAIN_STEP_INTERVAL, drainMoveTime, drainTimeout, maxProbeLinks);
   }
 
   /** Connections that may be held without a first line while so many client links are not taken. */
-  public int pending(int left) {
-    return pending + (shared ? left / SLOTS_PER_PENDING : 2 * left);
+  public int maxPending(int freeClients) {
+    return maxPending + (sharedMachine ? freeClients / FREE_CLIENTS_PER_PENDING : 2 * freeClients);
   }
 }
--- a/proxy/src/main/java/lemondeal/config/Part.java
+++ b/proxy/src/main/java/lemondeal/config/Section.java
@@ -8,23 +8,23 @@
  * One JSON object of the settings or the configuration with typed look-ups; what is absent reads as zero, false
  * or empty.
  */
-record Part(String name, Map<String, Object> values) {
+record Section(String name, Map<String, Object> values) {
 
   @SuppressWarnings("unchecked")
-  Part part(String key) {
+  Section section(String key) {
     Object value = values.get(key);
     check(value == null || value instanceof Map, key, "an object");
-    return new Part(name + "." + key, value == null ? Map.of() : (Map<String, Object>) value);
+    return new Section(name + "." + key, value == null ? Map.of() : (Map<String, Object>) value);
   }
 
   @SuppressWarnings("unchecked")
-  List<Part> parts(String key) {
-    List<Part> parts = new ArrayList<>();
+  List<Section> sections(String key) {
+    List<Section> sections = new ArrayList<>();
     for (Object value : list(key)) {
       check(value instanceof Map, key, "a list of objects");
-      parts.add(new Part(name + "." + key + "[" + parts.size() + "]", (Map<String, Object>) value));
+      sections.add(new Section(name + "." + key + "[" + sections.size() + "]", (Map<String, Object>) value));
     }
-    return parts;
+    return sections;
   }
 
   @SuppressWarnings("unchecked")
@@ -40,12 +40,12 @@
     return value == null ? 0 : (Double) value;
   }
 
-  long whole(String key) {
+  long wholeNumber(String key) {
     return (long) number(key);
   }
 
-  long whole(String key, long absent) {
-    return values.containsKey(key) ? whole(key) : absent;
+  long wholeNumber(String key, long defaultValue) {
+    return values.containsKey(key) ? wholeNumber(key) : defaultValue;
   }
 
   boolean flag(String key) {
@@ -54,10 +54,10 @@
     return value != null && (Boolean) value;
   }
 
-  String text(String key, String absent) {
+  String string(String key, String defaultValue) {
     Object value = values.get(key);
     check(value == null || value instanceof String, key, "a string");
-    return value == null ? absent : (String) value;
+    return value == null ? defaultValue : (String) value;
   }
 
   /** What is wrong at a key: its place, what was found and what is allowed there. */
@@ -65,11 +65,11 @@
     return new ConfigException(name + "." + key + ": found " + found + "; allowed: " + allowed);
   }
 
-  private void check(boolean holds, String key, String what) {
-    if (!holds) {
+  private void check(boolean valid, String key, String expected) {
+    if (!valid) {
       Object value = values.get(key);
       String found = value instanceof Map ? "an object" : value instanceof List ? "a list" : String.valueOf(value);
-      throw new ConfigException(name + "." + key + " should be " + what + ", found " + found);
+      throw new ConfigException(name + "." + key + " should be " + expected + ", found " + found);
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/config/SettingsCheck.java
+++ b/proxy/src/main/java/lemondeal/config/SettingsCheck.java
@@ -11,161 +11,161 @@
  */
 final class SettingsCheck {
   /** The longest time that a timer may be set for, on the wire's page: 71 minutes. */
-  private static final double LONGEST = 71 * 60e6;
+  private static final double MAX_TIME_MICROS = 71 * 60e6;
   /** Counts beyond this are no counts of anything that a proxy could have. */
-  private static final double MOST = 1 << 20;
+  private static final double MAX_COUNT = 1 << 20;
   /** Shares are given in decimals, and need not sum to 1 to the last bit. */
-  private static final double ROUNDING = 1e-6;
+  private static final double SUM_TOLERANCE = 1e-6;
 
-  private static final String TIME = "microseconds, 0 to 71 minutes";
-  private static final String TIME_AT_LEAST_ONE = "microseconds, 1 to 71 minutes";
+  private static final String TIME_RANGE = "microseconds, 0 to 71 minutes";
+  private static final String POSITIVE_TIME_RANGE = "microseconds, 1 to 71 minutes";
 
-  private final Part root;
+  private final Section root;
 
-  private SettingsCheck(Part root) {
+  private SettingsCheck(Section root) {
     this.root = root;
   }
 
   /** Throws on the first thing that can't be served. */
-  static void check(Part settings) {
-    new SettingsCheck(settings).all();
+  static void check(Section settings) {
+    new SettingsCheck(settings).checkAll();
   }
 
   /** What this machine may use. */
-  static void checkMachine(Part limits) {
+  static void checkMachine(Section limits) {
     for (String key : List.of("sockets", "memory_mb")) {
-      ifThere(limits, key, 1, MOST, "a whole number, 1 to " + (int) MOST);
+      checkIfPresent(limits, key, 1, MAX_COUNT, "a whole number, 1 to " + (int) MAX_COUNT);
     }
   }
 
-  private void all() {
-    word(root, "membershipMode", "automatic", "subscribe");
-    word(root, "weightSource", "off", "nominal", "rough", "live");
-    word(root, "worthBy", "request", "work");
-    word(root.part("loadReport"), "via", "off", "inline", "on_probe");
-    word(root.part("familyInfo"), "mode", "proxy", "pass");
-    ifThere(root, "overShareWorth", 0, 1, "0 to 1");
-    places();
-    classes();
+  private void checkAll() {
+    checkChoice(root, "membershipMode", "automatic", "subscribe");
+    checkChoice(root, "weightSource", "off", "nominal", "rough", "live");
+    checkChoice(root, "worthBy", "request", "work");
+    checkChoice(root.section("loadReport"), "via", "off", "inline", "on_probe");
+    checkChoice(root.section("familyInfo"), "mode", "proxy", "pass");
+    checkIfPresent(root, "overShareWorth", 0, 1, "0 to 1");
+    checkTopology();
+    checkClasses();
     for (String section : List.of("rules", "permissions")) {
       if (root.values().get(section) == null) {
         throw root.fault(section, "nothing", "an object with the figures that the wire's page names");
       }
     }
-    tenants();
-    rules(root.part("rules"));
-    permissions(root.part("permissions"));
+    checkTenants();
+    checkRules(root.section("rules"));
+    checkPermissions(root.section("permissions"));
     for (String key : List.of("crossZone", "waste", "probe", "peer", "moves")) {
-      ifThere(root.part("prices"), key, 0, MOST, "a number from 0 on");
+      checkIfPresent(root.section("prices"), key, 0, MAX_COUNT, "a number from 0 on");
     }
   }
 
-  private void places() {
-    unique(root, "azs", root.list("azs"));
-    unique(root, "flavors", root.list("flavors"));
+  private void checkTopology() {
+    checkUnique(root, "azs", root.list("azs"));
+    checkUnique(root, "flavors", root.list("flavors"));
     int zones = Math.max(1, root.list("azs").size());
-    ifThere(root, "locality", 0, zones - 1, "a place in azs, 0 to " + (zones - 1));
-    ifThere(root, "balancers", 1, MOST, "a whole number, 1 to " + (int) MOST);
-    double nodes = root.values().containsKey("balancers") ? root.number("balancers") : 1;
-    ifThere(root, "slotNo", 0, nodes - 1, "0 to balancers - 1, " + (long) (nodes - 1));
+    checkIfPresent(root, "locality", 0, zones - 1, "a place in azs, 0 to " + (zones - 1));
+    checkIfPresent(root, "balancers", 1, MAX_COUNT, "a whole number, 1 to " + (int) MAX_COUNT);
+    double balancers = root.values().containsKey("balancers") ? root.number("balancers") : 1;
+    checkIfPresent(root, "slotNo", 0, balancers - 1, "0 to balancers - 1, " + (long) (balancers - 1));
   }
 
-  private void classes() {
-    List<Part> classes = root.parts("profiles");
+  private void checkClasses() {
+    List<Section> classes = root.sections("profiles");
     if (classes.isEmpty()) {
       throw root.fault("profiles", "no class", "one class at least");
     }
     Set<String> names = new HashSet<>();
-    for (Part part : classes) {
-      name(part, names);
-      word(part, "semantics", "idempotent", "deduplicated", "at_most_once");
-      word(part, "group", "all", "zone", "cell");
-      needed(part, "hardLimit", 1, LONGEST, TIME_AT_LEAST_ONE);
-      ifThere(part, "aim", 0, LONGEST, TIME);
-      ifThere(part, "dedupWindow", 0, LONGEST, TIME);
-      ifThere(part, "gain", 0, Double.MAX_VALUE, "a number from 0 on");
-    }
-    numbers(root.part("familyInfo"), "messageAim", LONGEST, TIME);
+    for (Section section : classes) {
+      checkClassName(section, names);
+      checkChoice(section, "semantics", "idempotent", "deduplicated", "at_most_once");
+      checkChoice(section, "group", "all", "zone", "cell");
+      checkRequired(section, "hardLimit", 1, MAX_TIME_MICROS, POSITIVE_TIME_RANGE);
+      checkIfPresent(section, "aim", 0, MAX_TIME_MICROS, TIME_RANGE);
+      checkIfPresent(section, "dedupWindow", 0, MAX_TIME_MICROS, TIME_RANGE);
+      checkIfPresent(section, "gain", 0, Double.MAX_VALUE, "a number from 0 on");
+    }
+    checkNumbers(root.section("familyInfo"), "messageAim", MAX_TIME_MICROS, TIME_RANGE);
   }
 
   /** A class's name stands in the first line of a client, and in a figure's name. */
-  private static void name(Part part, Set<String> names) {
-    String name = part.text("name", "");
+  private static void checkClassName(Section section, Set<String> names) {
+    String name = section.string("name", "");
     if (!name.matches("[^\\s,=\\p{Cntrl}]+")) {
-      throw part.fault("name", "'" + name + "'", "a name without blanks, commas and =");
+      throw section.fault("name", "'" + name + "'", "a name without blanks, commas and =");
     }
     if (!names.add(name)) {
-      throw part.fault("name", "'" + name + "' twice", "a name of its own for each class");
+      throw section.fault("name", "'" + name + "' twice", "a name of its own for each class");
     }
   }
 
-  private void tenants() {
+  private void checkTenants() {
     double sum = 0;
-    for (Part part : root.parts("tenants")) {
-      ifThere(part, "portion", 0, 1, "0 to 1");
-      ifThere(part, "quotaPerS", 0, Double.MAX_VALUE, "a number from 0 on");
-      sum += part.number("portion");
+    for (Section section : root.sections("tenants")) {
+      checkIfPresent(section, "portion", 0, 1, "0 to 1");
+      checkIfPresent(section, "quotaPerS", 0, Double.MAX_VALUE, "a number from 0 on");
+      sum += section.number("portion");
     }
-    if (sum > 1 + ROUNDING) {
+    if (sum > 1 + SUM_TOLERANCE) {
       throw root.fault("tenants", "portions that sum to " + sum, "portions that sum to 1 at most");
     }
-    numbers(root.part("familyInfo"), "tenantQuotaConnections", Double.MAX_VALUE, "a number from 0 on");
+    checkNumbers(root.section("familyInfo"), "tenantQuotaConnections", Double.MAX_VALUE, "a number from 0 on");
   }
 
-  private void rules(Part rules) {
+  private void checkRules(Section rules) {
     for (String key : List.of("answerSlack", "drainGrace", "warmWithin")) {
-      ifThere(rules, key, 0, LONGEST, TIME);
+      checkIfPresent(rules, key, 0, MAX_TIME_MICROS, TIME_RANGE);
     }
-    ifThere(rules, "overloadFor", 1, LONGEST, TIME_AT_LEAST_ONE);
-    ifThere(rules, "fallMultiple", Double.MIN_VALUE, MOST, "a number above 0");
-    ifThere(rules, "coldFrom", 0, 1, "0 to 1");
-    if (root.text("membershipMode", "").equals("subscribe")) {
-      needed(rules, "askEvery", 1, LONGEST, TIME_AT_LEAST_ONE);
+    checkIfPresent(rules, "overloadFor", 1, MAX_TIME_MICROS, POSITIVE_TIME_RANGE);
+    checkIfPresent(rules, "fallMultiple", Double.MIN_VALUE, MAX_COUNT, "a number above 0");
+    checkIfPresent(rules, "coldFrom", 0, 1, "0 to 1");
+    if (root.string("membershipMode", "").equals("subscribe")) {
+      checkRequired(rules, "askEvery", 1, MAX_TIME_MICROS, POSITIVE_TIME_RANGE);
     }
   }
 
-  private static void permissions(Part permissions) {
-    ifThere(permissions, "tryLimit", 1, MOST, "a whole number, 1 to " + (int) MOST);
-    ifThere(permissions, "dialTimeout", 1, LONGEST, TIME_AT_LEAST_ONE);
-    ifThere(permissions, "keepalive", 0, LONGEST, TIME);
-    ifThere(permissions, "maxRetryAfter", 0, LONGEST, TIME);
-    ifThere(permissions, "cpuUsPerS", 0, Double.MAX_VALUE, "a number from 0 on");
+  private static void checkPermissions(Section permissions) {
+    checkIfPresent(permissions, "tryLimit", 1, MAX_COUNT, "a whole number, 1 to " + (int) MAX_COUNT);
+    checkIfPresent(permissions, "dialTimeout", 1, MAX_TIME_MICROS, POSITIVE_TIME_RANGE);
+    checkIfPresent(permissions, "keepalive", 0, MAX_TIME_MICROS, TIME_RANGE);
+    checkIfPresent(permissions, "maxRetryAfter", 0, MAX_TIME_MICROS, TIME_RANGE);
+    checkIfPresent(permissions, "cpuUsPerS", 0, Double.MAX_VALUE, "a number from 0 on");
   }
 
   // ---- Kinds of checks -----------------------------------------------------------------------
 
-  private static void ifThere(Part part, String key, double least, double most, String allowed) {
-    if (part.values().get(key) != null) {
-      needed(part, key, least, most, allowed);
+  private static void checkIfPresent(Section section, String key, double min, double max, String allowed) {
+    if (section.values().get(key) != null) {
+      checkRequired(section, key, min, max, allowed);
     }
   }
 
-  private static void needed(Part part, String key, double least, double most, String allowed) {
-    double number = part.number(key);
-    if (!(number >= least && number <= most)) {
-      Object found = part.values().get(key);
-      throw part.fault(key, found == null ? "nothing" : String.valueOf(found), allowed);
+  private static void checkRequired(Section section, String key, double min, double max, String allowed) {
+    double number = section.number(key);
+    if (!(number >= min && number <= max)) {
+      Object found = section.values().get(key);
+      throw section.fault(key, found == null ? "nothing" : String.valueOf(found), allowed);
     }
   }
 
-  private static void numbers(Part part, String key, double most, String allowed) {
-    for (Object value : part.list(key)) {
-      if (!(value instanceof Double number && number >= 0 && number <= most)) {
-        throw part.fault(key, String.valueOf(value), "each " + allowed);
+  private static void checkNumbers(Section section, String key, double max, String allowed) {
+    for (Object value : section.list(key)) {
+      if (!(value instanceof Double number && number >= 0 && number <= max)) {
+        throw section.fault(key, String.valueOf(value), "each " + allowed);
       }
     }
   }
 
-  private static void word(Part part, String key, String... allowed) {
-    String word = part.text(key, allowed[0]);
-    if (!List.of(allowed).contains(word)) {
-      throw part.fault(key, "'" + word + "'", String.join(", ", allowed));
+  private static void checkChoice(Section section, String key, String... allowed) {
+    String value = section.string(key, allowed[0]);
+    if (!List.of(allowed).contains(value)) {
+      throw section.fault(key, "'" + value + "'", String.join(", ", allowed));
     }
   }
 
-  private static void unique(Part part, String key, List<Object> names) {
+  private static void checkUnique(Section section, String key, List<Object> names) {
     if (new HashSet<>(names).size() < names.size()) {
-      throw part.fault(key, names + " with a name twice", "each name once");
+      throw section.fault(key, names + " with a name twice", "each name once");
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/config/SettingsReader.java
+++ b/proxy/src/main/java/lemondeal/config/SettingsReader.java
@@ -18,94 +18,94 @@
  * it does not know are ignored.
  */
 public final class SettingsReader {
-  private final Map<String, Object> top;
+  private final Map<String, Object> object;
 
-  private SettingsReader(Map<String, Object> top) {
-    this.top = top;
+  private SettingsReader(Map<String, Object> object) {
+    this.object = object;
   }
 
-  public static Settings read(Map<String, Object> top) {
-    return new SettingsReader(top).settings();
+  public static Settings read(Map<String, Object> object) {
+    return new SettingsReader(object).settings();
   }
 
   private Settings settings() {
-    Part root = new Part("settings", top);
-    Part family = root.part("familyInfo");
-    boolean asks = root.text("membershipMode", "automatic").equals("subscribe");
-    String via = root.part("loadReport").text("via", "off");
-    return new Settings((int) root.whole("slotNo"), (int) root.whole("balancers"),
-        (int) root.whole("locality"), classes(root, family), tenants(root, family),
-        rules(root.part("rules"), asks), limits(root.part("permissions")), prices(root.part("prices")),
-        weights(root.text("weightSource", "off")), asks, family.flag("groups"),
-        family.text("mode", "").equals("pass"), !via.equals("off"),
-        root.text("worthBy", "request").equals("work"), root.number("overShareWorth"));
+    Section root = new Section("settings", object);
+    Section family = root.section("familyInfo");
+    boolean subscribes = root.string("membershipMode", "automatic").equals("subscribe");
+    String via = root.section("loadReport").string("via", "off");
+    return new Settings((int) root.wholeNumber("slotNo"), (int) root.wholeNumber("balancers"),
+        (int) root.wholeNumber("locality"), classes(root, family), tenants(root, family),
+        rules(root.section("rules"), subscribes), limits(root.section("permissions")), prices(root.section("prices")),
+        weights(root.string("weightSource", "off")), subscribes, family.flag("groups"),
+        family.string("mode", "").equals("pass"), !via.equals("off"),
+        root.string("worthBy", "request").equals("work"), root.number("overShareWorth"));
   }
 
-  private static List<RequestClass> classes(Part root, Part family) {
+  private static List<RequestClass> classes(Section root, Section family) {
     List<Object> aims = family.list("messageAim");
     List<RequestClass> classes = new ArrayList<>();
-    for (Part part : root.parts("profiles")) {
+    for (Section section : root.sections("profiles")) {
       Object aim = classes.size() < aims.size() ? aims.get(classes.size()) : null;
-      classes.add(new RequestClass(effect(part.text("semantics", "at_most_once")),
-          scope(part.text("group", "all")), part.whole("dedupWindow"), part.whole("aim"),
-          part.whole("hardLimit"), part.number("gain"), aim instanceof Double d ? d.longValue() : 0));
+      classes.add(new RequestClass(effect(section.string("semantics", "at_most_once")),
+          scope(section.string("group", "all")), section.wholeNumber("dedupWindow"), section.wholeNumber("aim"),
+          section.wholeNumber("hardLimit"), section.number("gain"), aim instanceof Double micros ? micros.longValue() : 0));
     }
     return classes;
   }
 
-  private static List<Tenant> tenants(Part root, Part family) {
+  private static List<Tenant> tenants(Section root, Section family) {
     List<Object> quotas = family.list("tenantQuotaConnections");
     List<Tenant> tenants = new ArrayList<>();
-    for (Part part : root.parts("tenants")) {
+    for (Section section : root.sections("tenants")) {
       Object quota = tenants.size() < quotas.size() ? quotas.get(tenants.size()) : null;
-      tenants.add(new Tenant(part.number("portion"), part.number("quotaPerS"),
-          quota instanceof Double d ? d : 0));
+      tenants.add(new Tenant(section.number("portion"), section.number("quotaPerS"),
+          quota instanceof Double number ? number : 0));
     }
     return tenants;
   }
 
-  private static Rules rules(Part part, boolean asks) {
-    return new Rules(part.whole("answerSlack"), part.whole("drainGrace"), part.number("fallMultiple"),
-        part.whole("overloadFor"), part.number("coldFrom"), part.whole("warmWithin"),
-        asks ? part.whole("askEvery") : 0);
+  private static Rules rules(Section section, boolean subscribes) {
+    return new Rules(section.wholeNumber("answerSlack"), section.wholeNumber("drainGrace"), section.number("fallMultiple"),
+        section.wholeNumber("overloadFor"), section.number("coldFrom"), section.wholeNumber("warmWithin"),
+        subscribes ? section.wholeNumber("askEvery") : 0);
   }
 
-  private static Limits limits(Part part) {
-    return new Limits((int) part.whole("tryLimit"), part.flag("cancelling"), part.flag("mayProbe"),
-        part.flag("mayTell"), part.flag("parallelTries"), part.flag("retryAfter"),
-        part.whole("maxRetryAfter"), part.whole("cpuUsPerS"));
+  private static Limits limits(Section section) {
+    return new Limits((int) section.wholeNumber("tryLimit"), section.flag("cancelling"), section.flag("mayProbe"),
+        section.flag("mayTell"), section.flag("parallelTries"), section.flag("retryAfter"),
+        section.wholeNumber("maxRetryAfter"), section.wholeNumber("cpuUsPerS"));
   }
 
-  private static Prices prices(Part part) {
-    return new Prices(part.number("crossZone"), part.number("waste"), part.number("probe"),
-        part.number("peer"), part.number("moves"));
+  private static Prices prices(Section section) {
+    return new Prices(section.number("crossZone"), section.number("waste"), section.number("probe"),
+        section.number("peer"), section.number("moves"));
   }
 
-  private static Idempotency effect(String word) {
-    return switch (word) {
+  private static Idempotency effect(String value) {
+    return switch (value) {
       case "idempotent" -> Idempotency.SAFE;
       case "deduplicated" -> Idempotency.KEYED;
       case "at_most_once" -> Idempotency.UNSAFE;
-      default -> throw new ConfigException("settings: unknown semantics " + word);
+      default -> throw new ConfigException("settings: unknown semantics " + value);
     };
   }
 
-  private static DedupScope scope(String word) {
-    return switch (word) {
+  private static DedupScope scope(String value) {
+    return switch (value) {
       case "all" -> DedupScope.ALL;
       case "zone" -> DedupScope.ZONE;
       case "cell" -> DedupScope.CELL;
-      default -> throw new ConfigException("settings: unknown group " + word);
+      default -> throw new ConfigException("settings: unknown group " + value);
     };
   }
 
-  private static WeightMeaning weights(String word) {
-    return switch (word) {
+  private static WeightMeaning weights(String value) {
+    return switch (value) {
       case "off" -> WeightMeaning.NONE;
       case "nominal" -> WeightMeaning.NOMINAL;
       case "rough" -> WeightMeaning.ROUGH;
       case "live" -> WeightMeaning.LIVE;
-      default -> throw new ConfigException("settings: unknown weightSource " + word);
+      default -> throw new ConfigException("settings: unknown weightSource " + value);
     };
   }
 }
--- a/proxy/src/main/java/lemondeal/consul/ConsulClient.java
+++ b/proxy/src/main/java/lemondeal/consul/ConsulClient.java
@@ -182,7 +182,7 @@
       case CONSISTENT -> query.append(query.length() == 0 ? "?" : "&").append("consistent");
       case DEFAULT -> { }
     }
-    URI uri = URI.create((settings.tls() == null ? "http" : "https") + "://" + Addresses.text(agent)
+    URI uri = URI.create((settings.tls() == null ? "http" : "https") + "://" + Addresses.format(agent)
         + "/v1/health/service/" + URLEncoder.encode(settings.service(), StandardCharsets.UTF_8) + query);
     HttpRequest.Builder builder = HttpRequest.newBuilder(uri).GET().header("Accept", "application/json")
         .timeout(Duration.ofMillis(wait + wait / 16 + RESPONSE_SLACK_MILLIS));
--- a/proxy/src/main/java/lemondeal/consul/ConsulSource.java
+++ b/proxy/src/main/java/lemondeal/consul/ConsulSource.java
@@ -132,7 +132,7 @@
    */
   public void reload(ConsulSettings newSettings) throws IOException {
     ConsulClient newClient = new ConsulClient(newSettings);
-    net.later(() -> applySettings(newSettings, newClient));
+    net.execute(() -> applySettings(newSettings, newClient));
   }
 
   private void applySettings(ConsulSettings newSettings, ConsulClient newClient) {
@@ -177,7 +177,7 @@
     int queryEpoch = ++callEpoch;
     long queryIndex = watching ? index : 0;
     long timeoutMillis = client.callTimeoutMillis(queryIndex);
-    pendingCall = client.query(agentIndex, queryIndex, reply -> net.later(() -> {
+    pendingCall = client.query(agentIndex, queryIndex, reply -> net.execute(() -> {
       if (queryEpoch == callEpoch) {
         pendingCall = null;
         Timers.cancel(callTimeout);
@@ -264,8 +264,8 @@
     if (outcome == PollBackoff.CallOutcome.FAILED && settings.agents().size() > 1) {
       agentIndex = (agentIndex + 1) % settings.agents().size();
     }
-    tell("consul-failed", Addresses.text(failedAgent) + " " + reply.status(), "lemondeal: Consul at " + Addresses.text(failedAgent)
-        + " did not answer: " + reply.error() + "; the list held stays", "agent", Addresses.text(failedAgent), "why",
+    tell("consul-failed", Addresses.format(failedAgent) + " " + reply.status(), "lemondeal: Consul at " + Addresses.format(failedAgent)
+        + " did not answer: " + reply.error() + "; the list held stays", "agent", Addresses.format(failedAgent), "why",
         reply.error());
     scheduleQuery(PollBackoff.nextDelay(outcome, failures++, reply.durationMillis(), random.nextDouble(), settings.backoff()));
   }
--- a/proxy/src/main/java/lemondeal/discovery/Call.java
+++ b/proxy/src/main/java/lemondeal/discovery/Call.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import lemondeal.codec.HttpParser;
 import lemondeal.codec.Json;
-import lemondeal.codec.ObjectLines;
+import lemondeal.codec.JsonObjectAssembler;
 import lemondeal.codec.ProtocolException;
 import lemondeal.config.Limits;
 import lemondeal.discovery.clock.ListClock;
@@ -40,7 +40,7 @@
   private final Runnable onFailure;
   private final Consumer<String> onUnreadable;
   private final HttpParser parser;
-  private final ObjectLines objects;
+  private final JsonObjectAssembler objects;
   private Dial dial;
   private Link link;
   private Timers.Timer silenceTimer;
@@ -66,8 +66,8 @@
     this.listHandler = listHandler;
     this.onFailure = onFailure;
     this.onUnreadable = onUnreadable;
-    parser = new HttpParser(limits.listLineBytes(), this);
-    objects = new ObjectLines(limits.listLineBytes());
+    parser = new HttpParser(limits.maxListBytes(), this);
+    objects = new JsonObjectAssembler(limits.maxListBytes());
   }
 
   void start(Net net, InetSocketAddress address) {
@@ -75,7 +75,7 @@
         + "\r\nAccept: application/json\r\n\r\n";
     clock.callStarted(timers.now());
     updateSilenceTimer();
-    dial = net.dial(address, limits.watchSilence(), opened -> {
+    dial = net.dial(address, limits.discoveryConnectTimeout(), opened -> {
       link = opened;
       clock.discoveryReachable(timers.now());
       link.start(this);
@@ -113,7 +113,7 @@
 
   /** Looks again a moment later: it may be this process that stood still, with a line waiting to be read. */
   private void onSilence() {
-    silenceTimer = timers.after(limits.moment(), this::fail);
+    silenceTimer = timers.after(limits.pauseAllowance(), this::fail);
   }
 
   private void onUnreachable() {
@@ -132,14 +132,14 @@
   }
 
   @Override
-  public int room() {
+  public int receiveCapacity() {
     return Integer.MAX_VALUE;
   }
 
   @Override
   public void received(ByteBuffer bytes) {
     try {
-      parser.take(bytes);
+      parser.parse(bytes);
       if (!finished) {
         clock.bytesReceived(timers.now());
         updateSilenceTimer();
@@ -151,9 +151,9 @@
   }
 
   @Override
-  public void ended() {
+  public void endOfInput() {
     try {
-      parser.ended();
+      parser.endOfInput();
     } catch (ProtocolException e) {
       // An answer that breaks off has failed.
     }
@@ -161,7 +161,7 @@
   }
 
   @Override
-  public void broken() {
+  public void connectionLost() {
     fail();
   }
 
@@ -182,7 +182,7 @@
     if (finished) {
       return;
     }
-    if (line.isBlank() && !objects.midObject()) {
+    if (line.isBlank() && !objects.isMidObject()) {
       if (isWatch && !listReceived) {
         deliver(Map.of());
       } else if (listReceived) {
@@ -192,7 +192,7 @@
     }
     String object = objects.add(line);
     if (object != null) {
-      deliver(Json.object(object));
+      deliver(Json.parseObject(object));
     }
   }
 
@@ -207,7 +207,7 @@
   @Override
   public void end() {
     if (!finished) {
-      if (listReceived && !isWatch && !objects.midObject()) {
+      if (listReceived && !isWatch && !objects.isMidObject()) {
         clock.listReceived(timers.now());
         stop();
       } else {
--- a/proxy/src/main/java/lemondeal/discovery/Discovery.java
+++ b/proxy/src/main/java/lemondeal/discovery/Discovery.java
@@ -57,7 +57,7 @@
     this.timers = timers;
     this.limits = limits;
     settings = config.settings();
-    configuredList = config.known();
+    configuredList = config.knownServers();
     address = config.discovery();
     this.group = group;
     this.onServerList = onServerList;
@@ -81,7 +81,7 @@
     withheldSavedList = savedList;
     permanentWatch = true;
     watchRequested = true;
-    timers.after(limits.listWithin(), this::releaseWithheldList);
+    timers.after(limits.firstListTimeout(), this::releaseWithheldList);
     openWatch();
     return List.of();
   }
--- a/proxy/src/main/java/lemondeal/log/JsonLog.java
+++ b/proxy/src/main/java/lemondeal/log/JsonLog.java
@@ -24,7 +24,7 @@
     context.setMDCAdapter(new LogbackMDCAdapter());
     LogstashEncoder encoder = new LogstashEncoder();
     encoder.setContext(context);
-    encoder.setFieldNames(names());
+    encoder.setFieldNames(fieldNames());
     encoder.setTimeZone("UTC");
     // Quoted by the library that writes it: a name is the platform's, and may hold anything.
     encoder.setCustomFields(com.fasterxml.jackson.databind.node.JsonNodeFactory.instance.objectNode()
@@ -39,7 +39,7 @@
     logger.addAppender(appender);
   }
 
-  private static LogstashFieldNames names() {
+  private static LogstashFieldNames fieldNames() {
     LogstashFieldNames names = new LogstashFieldNames();
     names.setTimestamp("time");
     names.setVersion("[ignore]");
@@ -52,15 +52,15 @@
 
   @Override
   public void event(Level level, String name, String line, Object... fields) {
-    Object[] all = new Object[1 + fields.length / 2];
-    all[0] = keyValue("event", name);
-    for (int i = 1; i < all.length; i++) {
-      all[i] = keyValue((String) fields[2 * i - 2], fields[2 * i - 1]);
+    Object[] arguments = new Object[1 + fields.length / 2];
+    arguments[0] = keyValue("event", name);
+    for (int i = 1; i < arguments.length; i++) {
+      arguments[i] = keyValue((String) fields[2 * i - 2], fields[2 * i - 1]);
     }
     switch (level) {
-      case INFO -> logger.info(line, all);
-      case WARN -> logger.warn(line, all);
-      default -> logger.error(line, all);
+      case INFO -> logger.info(line, arguments);
+      case WARN -> logger.warn(line, arguments);
+      default -> logger.error(line, arguments);
     }
   }
 
--- a/proxy/src/main/java/lemondeal/log/LogQueue.java
+++ b/proxy/src/main/java/lemondeal/log/LogQueue.java
@@ -17,34 +17,34 @@
  */
 public final class LogQueue extends OutputStream {
   /** Some thousand lines: enough for a collector that restarts. */
-  private static final int WAITING_BYTES_MOST = 256 * 1024;
+  private static final int MAX_QUEUED_BYTES = 256 * 1024;
   /** How long the end of a program that has not been told to stop waits for the log. */
-  private static final long DRAIN_AT_EXIT_MILLIS = 500;
+  private static final long EXIT_DRAIN_MILLIS = 500;
 
   /** The one that stands behind {@link System#err}, or null. */
   private static volatile LogQueue installed;
 
   private final OutputStream log;
-  private final int most;
-  private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
-  private int waitingBytes;
-  private long dropped;
+  private final int maxBytes;
+  private final ArrayDeque<byte[]> queuedWrites = new ArrayDeque<>();
+  private int queuedBytes;
+  private long droppedWrites;
   /** Whether what was taken from the queue last is still being written. */
   private boolean writing;
 
   /** For this log, with so many bytes waiting at most. */
-  LogQueue(OutputStream log, int most) {
+  LogQueue(OutputStream log, int maxBytes) {
     this.log = log;
-    this.most = most;
+    this.maxBytes = maxBytes;
   }
 
   /** From now on all that is printed to {@link System#err} goes through a queue. */
   public static void install() {
-    LogQueue queue = new LogQueue(new FileOutputStream(FileDescriptor.err), WAITING_BYTES_MOST);
+    LogQueue queue = new LogQueue(new FileOutputStream(FileDescriptor.err), MAX_QUEUED_BYTES);
     queue.start();
     installed = queue;
     System.setErr(new PrintStream(queue));
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> queue.drain(DRAIN_AT_EXIT_MILLIS), "log-drain"));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> queue.drain(EXIT_DRAIN_MILLIS), "log-drain"));
   }
 
   /** Waits until all that was told is written, or so long; nothing where no queue is installed. */
@@ -72,21 +72,21 @@
     if (length == 0) {
       return;
     }
-    if (waitingBytes + length > most) {
-      dropped++;
+    if (queuedBytes + length > maxBytes) {
+      droppedWrites++;
       return;
     }
-    waiting.add(Arrays.copyOfRange(bytes, offset, offset + length));
-    waitingBytes += length;
+    queuedWrites.add(Arrays.copyOfRange(bytes, offset, offset + length));
+    queuedBytes += length;
     notifyAll();
   }
 
   /** Waits until all that was told is written, or so long. */
   synchronized void drain(long millis) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     try {
-      while (writing || !waiting.isEmpty()) {
-        long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
+      while (writing || !queuedWrites.isEmpty()) {
+        long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
         if (left <= 0) {
           return;
         }
@@ -100,7 +100,7 @@
   private void writeAll() {
     try {
       while (true) {
-        byte[] next = take();
+        byte[] next = takeNext();
         try {
           log.write(next);
         } catch (IOException e) {
@@ -112,21 +112,21 @@
     }
   }
 
-  private synchronized byte[] take() throws InterruptedException {
+  private synchronized byte[] takeNext() throws InterruptedException {
     writing = false;
     notifyAll();
-    if (waiting.isEmpty() && dropped > 0) {
-      byte[] told = ("lemondeal: " + dropped + " parts of the log were dropped while nobody read it\n")
+    if (queuedWrites.isEmpty() && droppedWrites > 0) {
+      byte[] notice = ("lemondeal: " + droppedWrites + " parts of the log were dropped while nobody read it\n")
           .getBytes(StandardCharsets.US_ASCII);
-      dropped = 0;
+      droppedWrites = 0;
       writing = true;
-      return told;
+      return notice;
     }
-    while (waiting.isEmpty()) {
+    while (queuedWrites.isEmpty()) {
       wait();
     }
-    byte[] next = waiting.poll();
-    waitingBytes -= next.length;
+    byte[] next = queuedWrites.poll();
+    queuedBytes -= next.length;
     writing = true;
     return next;
   }
--- a/proxy/src/main/java/lemondeal/net/Dial.java
+++ b/proxy/src/main/java/lemondeal/net/Dial.java
@@ -10,65 +10,65 @@
 /** A connection being opened. Tells its outcome once, on the I/O thread, unless it was called off. */
 public final class Dial {
   private final Net net;
-  private final Consumer<Link> connected;
-  private final Runnable failed;
+  private final Consumer<Link> onConnected;
+  private final Runnable onFailed;
   private IoFuture<StreamConnection> future;
   private Timers.Timer timeout;
-  private boolean over;
+  private boolean finished;
 
-  Dial(Net net, Consumer<Link> connected, Runnable failed) {
+  Dial(Net net, Consumer<Link> onConnected, Runnable onFailed) {
     this.net = net;
-    this.connected = connected;
-    this.failed = failed;
+    this.onConnected = onConnected;
+    this.onFailed = onFailed;
   }
 
-  void start(InetSocketAddress address, long micros) {
-    timeout = net.timers().after(micros, this::late);
+  void start(InetSocketAddress address, long timeoutMicros) {
+    timeout = net.timers().after(timeoutMicros, this::onTimeout);
     future = net.open(address);
-    future.addNotifier((result, unused) -> net.later(() -> settled(result)), null);
+    future.addNotifier((result, unused) -> net.execute(() -> onConnectResult(result)), null);
   }
 
   /**
    * Looks again a moment later. Guards against a pause of the proxy itself, as in its first second on part of a core:
    * the connection may have come up meanwhile and only not been seen, and its server would be taken for dead.
    */
-  private void late() {
-    timeout = net.timers().after(net.limits().moment(), this::fail);
+  private void onTimeout() {
+    timeout = net.timers().after(net.limits().pauseAllowance(), this::fail);
   }
 
   /** Calls the dial off; nothing is told any more. */
   public void cancel() {
-    if (!over) {
-      over = true;
+    if (!finished) {
+      finished = true;
       Timers.cancel(timeout);
       future.cancel();
     }
   }
 
-  private void settled(IoFuture<? extends StreamConnection> result) {
+  private void onConnectResult(IoFuture<? extends StreamConnection> result) {
     if (result.getStatus() != IoFuture.Status.DONE) {
       fail();
       return;
     }
     try {
-      if (over) {
+      if (finished) {
         // The connection came up in the moment in which it was called off.
         IoUtils.safeClose(result.get());
         return;
       }
-      over = true;
+      finished = true;
       timeout.cancel();
       Link link = new Link(net, result.get());
-      link.guarded(() -> connected.accept(link));
+      link.runGuarded(() -> onConnected.accept(link));
     } catch (IOException e) {
       fail();
     }
   }
 
   private void fail() {
-    if (!over) {
+    if (!finished) {
       cancel();
-      failed.run();
+      onFailed.run();
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/net/EvictingSet.java
+++ b/proxy/src/main/java/lemondeal/net/EvictingSet.java
@@ -10,18 +10,18 @@
  * the oldest is sent away, so that connections by the hundred that say nothing keep no client out.
  */
 public final class EvictingSet<T> {
-  private final IntSupplier most;
-  private final Consumer<T> away;
+  private final IntSupplier maxSize;
+  private final Consumer<T> onEvict;
   private final LinkedHashSet<T> members = new LinkedHashSet<>();
   private boolean trimming;
 
   /** {@code away} ends a member, which has left by then; how many there may be can change. */
-  public EvictingSet(IntSupplier most, Consumer<T> away) {
-    this.most = most;
-    this.away = away;
+  public EvictingSet(IntSupplier maxSize, Consumer<T> onEvict) {
+    this.maxSize = maxSize;
+    this.onEvict = onEvict;
   }
 
-  public void enter(T member) {
+  public void add(T member) {
     members.add(member);
     trim();
   }
@@ -37,10 +37,10 @@
     }
     trimming = true;
     try {
-      while (members.size() > Math.max(0, most.getAsInt())) {
+      while (members.size() > Math.max(0, maxSize.getAsInt())) {
         T oldest = members.iterator().next();
         members.remove(oldest);
-        away.accept(oldest);
+        onEvict.accept(oldest);
       }
     } finally {
       trimming = false;
@@ -48,13 +48,13 @@
   }
 
   /** Sends all away that are members now. */
-  public void clear(Consumer<T> end) {
+  public void closeAll(Consumer<T> close) {
     for (T member : List.copyOf(members)) {
-      end.accept(member);
+      close.accept(member);
     }
   }
 
-  public void leave(T member) {
+  public void remove(T member) {
     members.remove(member);
   }
 
--- a/proxy/src/main/java/lemondeal/net/Link.java
+++ b/proxy/src/main/java/lemondeal/net/Link.java
@@ -18,16 +18,16 @@
   /** Hears of a link, on the I/O thread. After {@link #broken} or a close of its own it hears nothing more. */
   public interface Owner {
     /** Bytes that {@link #received} would take now; 0 stops the reading until {@link Link#resume}. */
-    int room();
+    int receiveCapacity();
 
     /** Takes all of the bytes. */
     void received(ByteBuffer bytes);
 
     /** The other side has ended its sending. */
-    void ended();
+    void endOfInput();
 
     /** The connection was reset or failed. */
-    void broken();
+    void connectionLost();
 
     /** All that was sent has been written. */
     void flushed();
@@ -38,29 +38,29 @@
   private final ConduitStreamSourceChannel source;
   private final ConduitStreamSinkChannel sink;
   /** Taken on first use and given back when it is empty: most links have nothing waiting. */
-  private Ring out;
+  private RingBuffer writeBuffer;
   private Owner owner;
   private boolean closed;
-  private boolean lastSent;
-  private boolean sinkShut;
-  private boolean otherEnded;
-  private Timers.Timer lingering;
+  private boolean sendingEnded;
+  private boolean outputShutDown;
+  private boolean inputEnded;
+  private Timers.Timer lingerTimer;
   /** Bytes of a lingering side that are still read and dropped. */
-  private int lingerLeft;
+  private int lingerBytesLeft;
 
   Link(Net net, StreamConnection connection) {
     this.net = net;
     this.connection = connection;
     source = connection.getSourceChannel();
     sink = connection.getSinkChannel();
-    source.setReadListener(channel -> guarded(this::readable));
-    sink.setWriteListener(channel -> guarded(this::writable));
+    source.setReadListener(channel -> runGuarded(this::onReadable));
+    sink.setWriteListener(channel -> runGuarded(this::onWritable));
   }
 
   /** Begins to read for this owner. */
   public void start(Owner newOwner) {
     owner = newOwner;
-    resume();
+    resumeReads();
   }
 
   /**
@@ -68,29 +68,29 @@
    * bytes still stand in the shared buffer.
    */
   public void readNow() {
-    ByteBuffer bytes = net.rings().borrow();
-    guarded(() -> read(bytes));
-    net.rings().giveBack(bytes);
+    ByteBuffer bytes = net.ringPool().borrow();
+    runGuarded(() -> read(bytes));
+    net.ringPool().giveBack(bytes);
   }
 
   /** Room for bytes to be sent. */
-  public int free() {
-    return closed || lastSent ? Integer.MAX_VALUE : out == null ? net.limits().ringBytes() : out.free();
+  public int sendCapacity() {
+    return closed || sendingEnded ? Integer.MAX_VALUE : writeBuffer == null ? net.limits().ringBytes() : writeBuffer.free();
   }
 
   /** Whether all that was sent has been written to the socket; also after the close. */
   public boolean isFlushed() {
-    return out == null || out.isEmpty();
+    return writeBuffer == null || writeBuffer.isEmpty();
   }
 
   /** Runs what concerns this link: a failure in it ends this connection alone. */
-  public void guarded(Runnable task) {
-    net.faults().guard(task, this::broke);
+  public void runGuarded(Runnable task) {
+    net.taskGuard().guard(task, this::fail);
   }
 
   /** Runs the task after a time, as {@link #guarded} does. */
   public Timers.Timer after(long micros, Runnable task) {
-    return net.timers().after(micros, () -> guarded(task));
+    return net.timers().after(micros, () -> runGuarded(task));
   }
 
   public void send(String text) {
@@ -99,28 +99,28 @@
 
   /** Sends all of the bytes, for which there must be room. What comes after the end is dropped. */
   public void send(ByteBuffer bytes) {
-    if (closed || lastSent) {
+    if (closed || sendingEnded) {
       bytes.position(bytes.limit());
       return;
     }
-    if (out == null) {
-      out = net.rings().take();
+    if (writeBuffer == null) {
+      writeBuffer = net.ringPool().take();
     }
-    out.put(bytes);
+    writeBuffer.put(bytes);
     flush();
   }
 
   /** Ends the sending once all is written; the other direction goes on. */
   public void endSending() {
-    if (!closed && !lastSent) {
-      lastSent = true;
+    if (!closed && !sendingEnded) {
+      sendingEnded = true;
       flush();
     }
   }
 
   /** Reads on, after the owner had no room. */
-  public void resume() {
-    if (!closed && !otherEnded) {
+  public void resumeReads() {
+    if (!closed && !inputEnded) {
       source.resumeReads();
       // Bytes that came while the reading was suspended bring no word of their own from some selectors.
       source.wakeupReads();
@@ -131,39 +131,39 @@
    * Ends both directions such that what was sent still arrives: a socket closed with unread bytes is reset,
    * and the reset overtakes what was written. The owner hears nothing more.
    */
-  public void finish() {
+  public void closeGracefully() {
     if (closed) {
       return;
     }
-    owner = new Lingering();
+    owner = new LingeringOwner();
     endSending();
-    if (otherEnded && isFlushed()) {
+    if (inputEnded && isFlushed()) {
       close();
-    } else if (!closed && lingering == null) {
-      lingerLeft = net.limits().lingerBytes();
-      lingering = after(net.limits().linger(), this::close);
-      net.lingering().enter(this);
-      resume();
+    } else if (!closed && lingerTimer == null) {
+      lingerBytesLeft = net.limits().maxLingerBytes();
+      lingerTimer = after(net.limits().lingerTimeout(), this::close);
+      net.lingeringLinks().add(this);
+      resumeReads();
     }
   }
 
   /** Whether the link will close by itself. */
-  public boolean isFinishing() {
-    return lingering != null;
+  public boolean isLingering() {
+    return lingerTimer != null;
   }
 
   /** Closes at once. The owner hears nothing more. */
   public void close() {
     if (!closed) {
       closed = true;
-      if (lingering != null) {
-        lingering.cancel();
-        net.lingering().leave(this);
-        dropUnread();
+      if (lingerTimer != null) {
+        lingerTimer.cancel();
+        net.lingeringLinks().remove(this);
+        discardUnread();
       }
       IoUtils.safeClose(connection);
-      if (out != null) {
-        out.release(net.rings());
+      if (writeBuffer != null) {
+        writeBuffer.release(net.ringPool());
       }
     }
   }
@@ -172,19 +172,19 @@
    * Guards the last answer of a side that lingers no longer: a close over unread bytes would reset it. Who has sent more
    * than is worth the time is reset on purpose: a side that is stuck in its sending would hear of no other end.
    */
-  private void dropUnread() {
-    ByteBuffer bytes = net.rings().borrow();
+  private void discardUnread() {
+    ByteBuffer bytes = net.ringPool().borrow();
     try {
-      for (int count = 1; count > 0 && lingerLeft > 0; lingerLeft -= count) {
+      for (int count = 1; count > 0 && lingerBytesLeft > 0; lingerBytesLeft -= count) {
         count = source.read(bytes.clear());
       }
-      if (lingerLeft <= 0) {
+      if (lingerBytesLeft <= 0) {
         connection.setOption(Options.CLOSE_ABORT, true);
       }
     } catch (IOException | IllegalArgumentException e) {
       // The other side was reset: nothing can reach it any more.
     } finally {
-      net.rings().giveBack(bytes);
+      net.ringPool().giveBack(bytes);
     }
   }
 
@@ -204,62 +204,62 @@
    * Reads for one turn. Guards against a side that sends at full speed: read until its socket is empty, it would
    * keep all others from the one I/O thread. What is left over is told again in the next turn.
    */
-  private void readable() {
-    read(net.scratch(Integer.MAX_VALUE));
+  private void onReadable() {
+    read(net.readBuffer(Integer.MAX_VALUE));
   }
 
   private void read(ByteBuffer bytes) {
     try {
-      int left = net.limits().turnBytes();
-      while (!closed && !otherEnded && left > 0) {
-        int room = Math.min(left, owner.room());
-        if (room <= 0) {
+      int bytesLeft = net.limits().readBytesPerTurn();
+      while (!closed && !inputEnded && bytesLeft > 0) {
+        int maxBytes = Math.min(bytesLeft, owner.receiveCapacity());
+        if (maxBytes <= 0) {
           source.suspendReads();
           return;
         }
-        int count = source.read(bytes.clear().limit(Math.min(room, bytes.capacity())));
+        int count = source.read(bytes.clear().limit(Math.min(maxBytes, bytes.capacity())));
         if (count == 0) {
           return;
         }
         if (count < 0) {
-          otherEnded = true;
+          inputEnded = true;
           source.suspendReads();
           source.shutdownReads();
-          owner.ended();
+          owner.endOfInput();
           return;
         }
-        left -= count;
+        bytesLeft -= count;
         owner.received(bytes.flip());
       }
     } catch (IOException e) {
-      broke();
+      fail();
     }
   }
 
-  private void writable() {
+  private void onWritable() {
     if (closed) {
       return;
     }
-    boolean waited = !isFlushed();
+    boolean hadPendingBytes = !isFlushed();
     flush();
-    if (waited && !closed && isFlushed()) {
+    if (hadPendingBytes && !closed && isFlushed()) {
       owner.flushed();
     }
   }
 
   private void flush() {
     try {
-      if (out != null) {
-        out.writeTo(sink);
-        if (!out.isEmpty()) {
+      if (writeBuffer != null) {
+        writeBuffer.writeTo(sink);
+        if (!writeBuffer.isEmpty()) {
           sink.resumeWrites();
           return;
         }
-        out.release(net.rings());
-        out = null;
+        writeBuffer.release(net.ringPool());
+        writeBuffer = null;
       }
-      if (lastSent && !sinkShut) {
-        sinkShut = true;
+      if (sendingEnded && !outputShutDown) {
+        outputShutDown = true;
         sink.shutdownWrites();
       }
       if (sink.flush()) {
@@ -269,22 +269,22 @@
       }
     } catch (IOException e) {
       // Told later: whoever sends must not hear of the failure in the middle of its own work.
-      net.later(() -> guarded(this::writeFailed));
+      net.execute(() -> runGuarded(this::onWriteFailed));
     }
   }
 
   /** What came before the other side went is still taken: it may be the last answer. */
-  private void writeFailed() {
-    readable();
-    broke();
+  private void onWriteFailed() {
+    onReadable();
+    fail();
   }
 
-  private void broke() {
+  private void fail() {
     if (!closed) {
-      Owner told = owner;
+      Owner formerOwner = owner;
       close();
-      if (told != null) {
-        told.broken();
+      if (formerOwner != null) {
+        formerOwner.connectionLost();
       }
     }
   }
@@ -293,33 +293,33 @@
    * Reads and drops until the other side has ended too, but not without end: a side that goes on sending at full
    * speed is not worth the time, and has had its answer.
    */
-  private final class Lingering implements Owner {
+  private final class LingeringOwner implements Owner {
     @Override
-    public int room() {
-      return lingerLeft;
+    public int receiveCapacity() {
+      return lingerBytesLeft;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      lingerLeft -= bytes.remaining();
+      lingerBytesLeft -= bytes.remaining();
       bytes.position(bytes.limit());
     }
 
     @Override
-    public void ended() {
+    public void endOfInput() {
       if (isFlushed()) {
         close();
       }
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
       // The link is closed already.
     }
 
     @Override
     public void flushed() {
-      if (otherEnded) {
+      if (inputEnded) {
         close();
       }
     }
--- a/proxy/src/main/java/lemondeal/net/LinkPool.java
+++ b/proxy/src/main/java/lemondeal/net/LinkPool.java
@@ -12,42 +12,42 @@
   /** Has a link that is kept. */
   public interface Holder {
     /** Closes the link, which is idle, and with it {@link LinkPool#release releases} its place. */
-    void giveUp();
+    void evict();
   }
 
-  private final int most;
+  private final int maxLinks;
   private final Set<Holder> idle = new LinkedHashSet<>();
-  private int held;
+  private int linkCount;
 
-  LinkPool(int most) {
-    this.most = most;
+  LinkPool(int maxLinks) {
+    this.maxLinks = maxLinks;
   }
 
   /** Takes a place for one more link; false if there is none. */
-  public boolean take() {
-    if (held >= most && !idle.isEmpty()) {
-      idle.iterator().next().giveUp();
+  public boolean acquire() {
+    if (linkCount >= maxLinks && !idle.isEmpty()) {
+      idle.iterator().next().evict();
     }
-    if (held >= most) {
+    if (linkCount >= maxLinks) {
       return false;
     }
-    held++;
+    linkCount++;
     return true;
   }
 
   /** The holder's link is not in use now. */
-  public void idle(Holder holder) {
+  public void markIdle(Holder holder) {
     idle.add(holder);
   }
 
   /** The holder's link is in use again. */
-  public void busy(Holder holder) {
+  public void markBusy(Holder holder) {
     idle.remove(holder);
   }
 
   /** Gives the holder's place back, with its link closed. */
   public void release(Holder holder) {
     idle.remove(holder);
-    held--;
+    linkCount--;
   }
 }
--- a/proxy/src/main/java/lemondeal/net/Listener.java
+++ b/proxy/src/main/java/lemondeal/net/Listener.java
@@ -24,29 +24,29 @@
 public final class Listener {
   private static final int BACKLOG = 1024;
   /** Microseconds until accepting is tried again after a failure; doubled by each further one, up to the longest. */
-  private static final long RETRY_FIRST = 10_000;
-  private static final long RETRY_LONGEST = 80_000;
+  private static final long RETRY_DELAY_FIRST = 10_000;
+  private static final long RETRY_DELAY_MAX = 80_000;
   /** How often the rest of the system's queue is tried for at a close: about a second of failures. */
-  private static final int REST_TRIES = 15;
+  private static final int BACKLOG_RETRIES = 15;
 
   private final Net net;
-  private final int turn;
-  private final Consumer<Link> accepted;
-  private final AcceptingChannel<? extends StreamConnection> server;
-  private final Set<Link> open = new LinkedHashSet<>();
-  private long retryAfter = RETRY_FIRST;
+  private final int acceptsPerTurn;
+  private final Consumer<Link> onAccepted;
+  private final AcceptingChannel<? extends StreamConnection> acceptingChannel;
+  private final Set<Link> openLinks = new LinkedHashSet<>();
+  private long retryDelay = RETRY_DELAY_FIRST;
   /** Whether connections are to be accepted, though a retry may be waited for. */
-  private boolean wanted;
+  private boolean accepting;
 
-  Listener(Net net, XnioWorker worker, ServerSocketChannel channel, int most, Consumer<Link> accepted)
+  Listener(Net net, XnioWorker worker, ServerSocketChannel channel, int maxConnections, Consumer<Link> onAccepted)
       throws IOException {
     this.net = net;
-    this.accepted = accepted;
-    turn = net.limits().accepts();
+    this.onAccepted = onAccepted;
+    acceptsPerTurn = net.limits().acceptsPerTurn();
     channel.configureBlocking(false);
-    server = OpenListener.serve(worker, channel, ready -> accept(),
-        OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.CONNECTION_HIGH_WATER, most)
-            .set(Options.CONNECTION_LOW_WATER, most - 1).getMap());
+    acceptingChannel = OpenListener.serve(worker, channel, ready -> acceptBatch(),
+        OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.CONNECTION_HIGH_WATER, maxConnections)
+            .set(Options.CONNECTION_LOW_WATER, maxConnections - 1).getMap());
   }
 
   /** A listening socket of this process's own. */
@@ -74,19 +74,19 @@
   }
 
   public InetSocketAddress address() {
-    return server.getLocalAddress(InetSocketAddress.class);
+    return acceptingChannel.getLocalAddress(InetSocketAddress.class);
   }
 
   /** Accepts from now on. */
   public void resume() {
-    wanted = true;
-    server.resumeAccepts();
+    accepting = true;
+    acceptingChannel.resumeAccepts();
   }
 
   /** Accepts nothing more; the socket stays open. */
   public void suspend() {
-    wanted = false;
-    server.suspendAccepts();
+    accepting = false;
+    acceptingChannel.suspendAccepts();
   }
 
   /**
@@ -97,21 +97,21 @@
    *
    * @param closed run once the socket is closed
    */
-  public void acceptRestAndClose(Runnable closed) {
-    acceptRestAndClose(closed, REST_TRIES);
+  public void acceptBacklogAndClose(Runnable onClosed) {
+    acceptBacklogAndClose(onClosed, BACKLOG_RETRIES);
   }
 
-  private void acceptRestAndClose(Runnable closed, int tries) {
-    Accepted last = Accepted.ONE;
-    for (int i = 0; i <= BACKLOG && last == Accepted.ONE; i++) {
-      last = acceptOne();
+  private void acceptBacklogAndClose(Runnable onClosed, int retriesLeft) {
+    AcceptResult result = AcceptResult.ONE;
+    for (int i = 0; i <= BACKLOG && result == AcceptResult.ONE; i++) {
+      result = acceptOne();
     }
-    if (last == Accepted.FAILED && tries > 0) {
-      net.timers().after(RETRY_LONGEST, () -> acceptRestAndClose(closed, tries - 1));
+    if (result == AcceptResult.FAILED && retriesLeft > 0) {
+      net.timers().after(RETRY_DELAY_MAX, () -> acceptBacklogAndClose(onClosed, retriesLeft - 1));
       return;
     }
-    IoUtils.safeClose(server);
-    closed.run();
+    IoUtils.safeClose(acceptingChannel);
+    onClosed.run();
   }
 
   /**
@@ -119,8 +119,8 @@
    * last: the system resets a connection that its process leaves with unread bytes, and one whose line lay there
    * would get no answer at all.
    */
-  public void endAll() {
-    for (Link link : List.copyOf(open)) {
+  public void readAndCloseAll() {
+    for (Link link : List.copyOf(openLinks)) {
       link.readNow();
       link.close();
     }
@@ -130,42 +130,42 @@
    * Lets connections in for one turn, and the others when all that is open has had its own. Guards against clients
    * that come again as soon as they are turned away: there was always one more, and nothing was read meanwhile.
    */
-  private void accept() {
-    Accepted last = Accepted.ONE;
-    for (int i = 0; i < turn && last == Accepted.ONE; i++) {
-      last = acceptOne();
+  private void acceptBatch() {
+    AcceptResult result = AcceptResult.ONE;
+    for (int i = 0; i < acceptsPerTurn && result == AcceptResult.ONE; i++) {
+      result = acceptOne();
     }
-    if (last == Accepted.FAILED) {
-      server.suspendAccepts();
-      net.timers().after(retryAfter, this::resumeIfWanted);
-      retryAfter = Math.min(2 * retryAfter, RETRY_LONGEST);
+    if (result == AcceptResult.FAILED) {
+      acceptingChannel.suspendAccepts();
+      net.timers().after(retryDelay, this::retryIfAccepting);
+      retryDelay = Math.min(2 * retryDelay, RETRY_DELAY_MAX);
     }
   }
 
-  private void resumeIfWanted() {
-    if (wanted && server.isOpen()) {
-      server.resumeAccepts();
+  private void retryIfAccepting() {
+    if (accepting && acceptingChannel.isOpen()) {
+      acceptingChannel.resumeAccepts();
     }
   }
 
   /** What came of accepting one connection. */
-  private enum Accepted { ONE, NONE, FAILED }
+  private enum AcceptResult { ONE, NONE, FAILED }
 
-  private Accepted acceptOne() {
+  private AcceptResult acceptOne() {
     try {
-      StreamConnection next = server.isOpen() ? server.accept() : null;
-      if (next == null) {
-        return server.isOpen() && OpenListener.clearFailure(server) ? Accepted.FAILED : Accepted.NONE;
+      StreamConnection connection = acceptingChannel.isOpen() ? acceptingChannel.accept() : null;
+      if (connection == null) {
+        return acceptingChannel.isOpen() && OpenListener.clearFailure(acceptingChannel) ? AcceptResult.FAILED : AcceptResult.NONE;
       }
-      retryAfter = RETRY_FIRST;
-      Link link = new Link(net, next);
-      open.add(link);
-      next.setCloseListener(closed -> open.remove(link));
-      link.guarded(() -> accepted.accept(link));
-      return Accepted.ONE;
+      retryDelay = RETRY_DELAY_FIRST;
+      Link link = new Link(net, connection);
+      openLinks.add(link);
+      connection.setCloseListener(closed -> openLinks.remove(link));
+      link.runGuarded(() -> onAccepted.accept(link));
+      return AcceptResult.ONE;
     } catch (IOException e) {
-      net.faults().tell("accepting failed: " + e.getMessage());
-      return Accepted.FAILED;
+      net.taskGuard().report("accepting failed: " + e.getMessage());
+      return AcceptResult.FAILED;
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/net/Net.java
+++ b/proxy/src/main/java/lemondeal/net/Net.java
@@ -23,59 +23,59 @@
 
 /** XNIO with one I/O thread, on which everything runs; opens and accepts links. */
 public final class Net {
-  private static final int SCRATCH_BYTES = 16 * 1024;
+  private static final int READ_BUFFER_BYTES = 16 * 1024;
   /**
    * Stands in for the library's pool of task threads, of which nothing here makes use. Its own pool brings up the
    * JDK's management server, which took a third of the time of a start.
    */
-  private static final ExecutorService NO_TASKS = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS,
+  private static final ExecutorService UNUSED_TASK_POOL = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS,
       new LinkedBlockingQueue<>());
   /** Stands for a task that will not run. */
-  private static final XnioIoThread.Key NOTHING = () -> false;
-  private static final OptionMap SOCKETS = OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
+  private static final XnioIoThread.Key NO_OP_KEY = () -> false;
+  private static final OptionMap SOCKET_OPTIONS = OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
 
   private final Limits limits;
-  private final RingPool rings;
-  private final ByteBuffer scratch = ByteBuffer.allocateDirect(SCRATCH_BYTES);
+  private final RingBufferPool ringPool;
+  private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
   private final XnioWorker worker;
   private final XnioIoThread thread;
-  private final Faults faults;
-  private final EvictingSet<Link> lingering;
+  private final TaskGuard taskGuard;
+  private final EvictingSet<Link> lingeringLinks;
   private final LinkPool probeLinks;
   private Timers timers;
   /** From then on connections are closed and nothing more is begun: the I/O thread would refuse it. */
-  private volatile boolean ending;
+  private volatile boolean shuttingDown;
 
-  public Net(Limits limits, Faults faults) throws IOException {
+  public Net(Limits limits, TaskGuard taskGuard) throws IOException {
     this.limits = limits;
-    this.faults = faults;
-    lingering = new EvictingSet<>(limits::lingering, Link::close);
-    probeLinks = new LinkPool(limits.probeLinks());
-    rings = new RingPool(limits.ringBytes());
+    this.taskGuard = taskGuard;
+    lingeringLinks = new EvictingSet<>(limits::maxLingering, Link::close);
+    probeLinks = new LinkPool(limits.maxProbeLinks());
+    ringPool = new RingBufferPool(limits.ringBytes());
     worker = Xnio.getInstance().createWorkerBuilder()
         .setWorkerName("lemondeal")
         .setWorkerIoThreads(1)
         .setDaemon(false)
-        .setExternalExecutorService(NO_TASKS)
+        .setExternalExecutorService(UNUSED_TASK_POOL)
         .build();
     thread = worker.getIoThread();
   }
 
   /** Must be called before anything is opened. */
-  public void use(Timers newTimers) {
+  public void setTimers(Timers newTimers) {
     timers = newTimers;
   }
 
   /** Runs the task on the I/O thread, after what runs there now. */
-  public void later(Runnable task) {
-    if (ending) {
+  public void execute(Runnable task) {
+    if (shuttingDown) {
       return;
     }
-    thread.execute(() -> faults.guard(task));
+    thread.execute(() -> taskGuard.guard(task));
   }
 
   /** Runs the task on the I/O thread and waits for it. */
-  public void run(Callable<Void> task) throws IOException {
+  public void runAndWait(Callable<Void> task) throws IOException {
     FutureTask<Void> future = new FutureTask<>(task);
     thread.execute(future);
     try {
@@ -87,21 +87,21 @@
     }
   }
 
-  public XnioIoThread.Key laterBy(long micros, Runnable task) {
-    if (ending) {
-      return NOTHING;
+  public XnioIoThread.Key executeAfter(long micros, Runnable task) {
+    if (shuttingDown) {
+      return NO_OP_KEY;
     }
-    return thread.executeAfter(() -> faults.guard(task), micros, TimeUnit.MICROSECONDS);
+    return thread.executeAfter(() -> taskGuard.guard(task), micros, TimeUnit.MICROSECONDS);
   }
 
   /** Accepts connections from this socket once the listener is resumed, at most so many at once. */
-  public Listener listen(ServerSocketChannel channel, int most, Consumer<Link> accepted) throws IOException {
-    return new Listener(this, worker, channel, most, accepted);
+  public Listener listen(ServerSocketChannel channel, int maxConnections, Consumer<Link> onAccepted) throws IOException {
+    return new Listener(this, worker, channel, maxConnections, onAccepted);
   }
 
   /** Opens a connection; exactly one of the two is told, unless the dial is called off. */
-  public Dial dial(InetSocketAddress address, long timeout, Consumer<Link> connected, Runnable failed) {
-    Dial dial = new Dial(this, connected, failed);
+  public Dial dial(InetSocketAddress address, long timeout, Consumer<Link> onConnected, Runnable onFailed) {
+    Dial dial = new Dial(this, onConnected, onFailed);
     dial.start(address, timeout);
     return dial;
   }
@@ -113,12 +113,12 @@
 
   /** Tells in the log what others did that can't be used. */
   public void warn(String text) {
-    faults.tell(text);
+    taskGuard.report(text);
   }
 
   /** Ends the threads, with whatever is still open. */
   public void shutdown() {
-    ending = true;
+    shuttingDown = true;
     worker.shutdownNow();
   }
 
@@ -128,19 +128,19 @@
   }
 
   IoFuture<StreamConnection> open(InetSocketAddress address) {
-    return thread.openStreamConnection(address, null, SOCKETS);
+    return thread.openStreamConnection(address, null, SOCKET_OPTIONS);
   }
 
-  Faults faults() {
-    return faults;
+  TaskGuard taskGuard() {
+    return taskGuard;
   }
 
-  EvictingSet<Link> lingering() {
-    return lingering;
+  EvictingSet<Link> lingeringLinks() {
+    return lingeringLinks;
   }
 
-  RingPool rings() {
-    return rings;
+  RingBufferPool ringPool() {
+    return ringPool;
   }
 
   Timers timers() {
@@ -152,7 +152,7 @@
   }
 
   /** The buffer into which every link reads; its bytes are used up before the next read. */
-  ByteBuffer scratch(int most) {
-    return scratch.clear().limit(Math.min(most, SCRATCH_BYTES));
+  ByteBuffer readBuffer(int maxBytes) {
+    return readBuffer.clear().limit(Math.min(maxBytes, READ_BUFFER_BYTES));
   }
 }
--- a/proxy/src/main/java/lemondeal/net/Ring.java
+++ b/proxy/src/main/java/lemondeal/net/RingBuffer.java
@@ -5,17 +5,17 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /** The ring buffer of one direction of a connection. */
-final class Ring {
+final class RingBuffer {
   private ByteBuffer bytes;
   private int head;
   private int size;
 
-  Ring(ByteBuffer bytes) {
+  RingBuffer(ByteBuffer bytes) {
     this.bytes = bytes;
   }
 
   /** Gives the memory back for reuse; whether anything was left unwritten can still be asked. */
-  void release(RingPool pool) {
+  void release(RingBufferPool pool) {
     pool.giveBack(bytes);
     bytes = null;
   }
@@ -35,12 +35,12 @@
     }
     while (source.hasRemaining()) {
       int tail = (head + size) % bytes.capacity();
-      int part = Math.min(source.remaining(), bytes.capacity() - tail);
-      bytes.limit(tail + part).position(tail);
-      ByteBuffer slice = source.slice().limit(part);
+      int chunkLength = Math.min(source.remaining(), bytes.capacity() - tail);
+      bytes.limit(tail + chunkLength).position(tail);
+      ByteBuffer slice = source.slice().limit(chunkLength);
       bytes.put(slice);
-      source.position(source.position() + part);
-      size += part;
+      source.position(source.position() + chunkLength);
+      size += chunkLength;
     }
   }
 
--- a/proxy/src/main/java/lemondeal/net/RingPool.java
+++ b/proxy/src/main/java/lemondeal/net/RingBufferPool.java
@@ -4,25 +4,25 @@
 import java.util.ArrayDeque;
 
 /** Ring buffers off the heap, kept for reuse: such memory is returned late by the collector. */
-public final class RingPool {
+public final class RingBufferPool {
   private final int ringBytes;
-  private final ArrayDeque<ByteBuffer> spare = new ArrayDeque<>();
+  private final ArrayDeque<ByteBuffer> freeBuffers = new ArrayDeque<>();
 
-  public RingPool(int ringBytes) {
+  public RingBufferPool(int ringBytes) {
     this.ringBytes = ringBytes;
   }
 
-  Ring take() {
-    return new Ring(borrow());
+  RingBuffer take() {
+    return new RingBuffer(borrow());
   }
 
   /** The memory alone, to be given back. */
   ByteBuffer borrow() {
-    ByteBuffer bytes = spare.poll();
+    ByteBuffer bytes = freeBuffers.poll();
     return bytes != null ? bytes : ByteBuffer.allocateDirect(ringBytes);
   }
 
   void giveBack(ByteBuffer bytes) {
-    spare.push(bytes.clear());
+    freeBuffers.push(bytes.clear());
   }
 }
--- a/proxy/src/main/java/lemondeal/net/Faults.java
+++ b/proxy/src/main/java/lemondeal/net/TaskGuard.java
@@ -7,23 +7,23 @@
  * here is told in the log, never swallowed, and whoever ran the task goes on. A moment without memory is such a failure,
  * too: an error that passed through the timer wheel or the queue of decisions once left the process alive and deaf.
  */
-public final class Faults {
+public final class TaskGuard {
   private final EventLog log;
 
-  public Faults(EventLog log) {
+  public TaskGuard(EventLog log) {
     this.log = log;
   }
 
   /** Runs the task; if it fails, tells so and runs {@code failed}, which may fail in its turn. */
-  public void guard(Runnable task, Runnable failed) {
+  public void guard(Runnable task, Runnable onFailure) {
     try {
       task.run();
     } catch (RuntimeException | VirtualMachineError e) {
-      tell(e);
+      report(e);
       try {
-        failed.run();
-      } catch (RuntimeException | VirtualMachineError again) {
-        tell(again);
+        onFailure.run();
+      } catch (RuntimeException | VirtualMachineError secondFailure) {
+        report(secondFailure);
       }
     }
   }
@@ -34,11 +34,11 @@
   }
 
   /** Tells of a failure that is not the program's own. */
-  void tell(String text) {
+  void report(String text) {
     log.warn("net", "lemondeal: " + text);
   }
 
-  private void tell(Throwable e) {
+  private void report(Throwable e) {
     log.failure("lemondeal: failed inside: " + e, e);
   }
 }
--- a/proxy/src/main/java/lemondeal/operator/FleetSection.java
+++ b/proxy/src/main/java/lemondeal/operator/FleetSection.java
@@ -70,7 +70,7 @@
         fault(at + "/name", path + ".name: '" + name + "' stands twice; allowed: each name once");
       }
       if (address != null && !addresses.add(address)) {
-        fault(at + "/address", path + ".address: " + Addresses.text(address) + " stands twice; allowed: each address once");
+        fault(at + "/address", path + ".address: " + Addresses.format(address) + " stands twice; allowed: each address once");
       }
       members.add(new FleetRoster.Named(name, member.get("zone").asText(), address));
     }
--- a/proxy/src/main/java/lemondeal/proxy/ClientLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/ClientLink.java
@@ -62,11 +62,11 @@
     id = admission.register(this);
     context.trace().taken(openLine.id(), openLine.value("c"), openLine.deadlineMillis());
     // The client counts from its sending: what the module believes ends a little earlier.
-    request = new Request(id, deadline - context.limits().answerLead(), requestClass, openLine.key(), openLine.value("g"),
-        openLine.number("h"), false, openLine.marked("again"), 0, openLine.marked("r"));
+    request = new Request(id, deadline - context.limits().clientDeadlineMargin(), requestClass, openLine.key(), openLine.value("g"),
+        openLine.number("h"), false, openLine.isFlagSet("again"), 0, openLine.isFlagSet("r"));
     link.start(this);
     if (isAdoption()) {
-      adoptionDeadline = now + context.limits().adoptFor();
+      adoptionDeadline = now + context.limits().adoptTimeout();
       adopt();
     } else {
       timer = link.after(deadline - now, this::deadlineExpired);
@@ -95,8 +95,8 @@
   }
 
   @Override
-  public int room() {
-    return context.limits().lineBytes();
+  public int receiveCapacity() {
+    return context.limits().maxLineBytes();
   }
 
   /**
@@ -180,7 +180,7 @@
     }
     long remaining = adoptionDeadline - context.now();
     if (remaining <= 0) {
-      throttle(context.limits().throttleFor(), EndReason.NOT_ADOPTED);
+      throttle(context.limits().throttleRetryAfter(), EndReason.NOT_ADOPTED);
       return;
     }
     execution = new Execution(context, this, openLine.value("at"), attempts);
@@ -198,7 +198,7 @@
     endContinuity();
     if (isAdoption() && !endedExecution.cameUp()) {
       if (state == State.WAITING) {
-        timer = link.after(context.limits().adoptPause(), this::adopt);
+        timer = link.after(context.limits().adoptRetryDelay(), this::adopt);
       }
       return;
     }
@@ -221,7 +221,7 @@
   void forwardUp(Execution attempt, String line) {
     link.send(line + "\r\n" + continuity.up(attempt.number(), attempt.server(), line));
     link.start(tunnel);
-    context.figures().served(requestClass);
+    context.figures().countServed(requestClass);
     if (isAdoption()) {
       context.dispatcher().dispatch(new Adopted(request, attempt.server()));
     } else {
@@ -333,7 +333,7 @@
 
   @Override
   public void later(Runnable task) {
-    context.net().later(() -> link.guarded(task));
+    context.net().execute(() -> link.runGuarded(task));
   }
 
   // ---- Ends ----------------------------------------------------------------------------------
@@ -366,12 +366,12 @@
 
   /** Most have left altogether; one that has only ended its sending still reads what it is owed. */
   @Override
-  public void ended() {
+  public void endOfInput() {
     failAndAbandon(EndReason.CLIENT_DID_NOT_WAIT);
   }
 
   @Override
-  public void broken() {
+  public void connectionLost() {
     if (state == State.WAITING) {
       clientGone();
     }
--- a/proxy/src/main/java/lemondeal/proxy/Context.java
+++ b/proxy/src/main/java/lemondeal/proxy/Context.java
@@ -5,14 +5,14 @@
 import lemondeal.config.Config;
 import lemondeal.config.Limits;
 import lemondeal.discovery.HostGroup;
-import lemondeal.figures.Figures;
+import lemondeal.figures.RequestCounters;
 import lemondeal.net.Net;
 import lemondeal.net.Timers;
 import lemondeal.resume.Continuity;
 
 /** What a connection works with: the settings under which it came, and what goes by them. */
 record Context(Generations generations, Config config, Net net, Timers timers, EventDispatcher dispatcher, DelayMeter delayMeter,
-    Figures figures, FinalAnswer answers, KnownServers servers, ViolationCounter violations, RequestTrace trace,
+    RequestCounters figures, FinalAnswer answers, KnownServers servers, ViolationCounter violations, RequestTrace trace,
     Function<OpenLine, Continuity> continuityFactory) {
 
   /** What a request works with that begins now. */
--- a/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
+++ b/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
@@ -47,9 +47,9 @@
     for (RequestClass requestClass : settings.classes()) {
       shortestAim = requestClass.messageLatencyTarget() > 0 ? Math.min(shortestAim, requestClass.messageLatencyTarget()) : shortestAim;
     }
-    threshold = shortestAim == Long.MAX_VALUE ? shortestAim : (long) (shortestAim * limits.noteShare());
-    reportInterval = limits.noteEvery();
-    coincidenceWindow = limits.noteEvery() + limits.unease();
+    threshold = shortestAim == Long.MAX_VALUE ? shortestAim : (long) (shortestAim * limits.delayReportShare());
+    reportInterval = limits.delayReportInterval();
+    coincidenceWindow = limits.delayReportInterval() + limits.slowAnswerDelay();
     this.eventSink = eventSink;
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/Execution.java
+++ b/proxy/src/main/java/lemondeal/proxy/Execution.java
@@ -39,7 +39,7 @@
     this.server = server;
     this.number = number;
     startedAt = context.now();
-    lineParser = new LineParser(context.limits().lineBytes());
+    lineParser = new LineParser(context.limits().maxLineBytes());
   }
 
   String server() {
@@ -56,7 +56,7 @@
 
   /** Whether nothing of a line has come that is not whole yet. */
   boolean isBetweenLines() {
-    return !lineParser.midLine();
+    return !lineParser.isMidLine();
   }
 
   /** Whether it came up, also after its end. */
@@ -76,11 +76,11 @@
     InetSocketAddress address = context.group().address(server);
     if (timeoutMicros < 0 || address == null) {
       Outcome outcome = timeoutMicros < 0 ? Outcome.NOT_SENT : Outcome.NO_CONNECTION;
-      context.net().later(() -> client.link().guarded(() -> end(outcome, null)));
+      context.net().execute(() -> client.link().runGuarded(() -> end(outcome, null)));
       return;
     }
     timeoutTimer = client.link().after(timeoutMicros, this::timedOut);
-    dial = context.net().dial(address, Math.min(context.limits().dial(), drainGrace()), this::connected,
+    dial = context.net().dial(address, Math.min(context.limits().connectTimeout(), drainGrace()), this::connected,
         () -> end(Outcome.NO_CONNECTION, null));
   }
 
@@ -123,7 +123,7 @@
   private void countIfSent() {
     if (state == State.SENDING && link.isFlushed()) {
       state = State.SENT;
-      context.figures().attempted();
+      context.figures().countAttempt();
       if (earlyBytes.hasRemaining()) {
         received(earlyBytes);
       }
@@ -162,7 +162,7 @@
 
   /** Guards against an answer that is none: one without a receipt. */
   private void cameUp(String line, ServerLine answer) {
-    if (answer.rest().isEmpty() || !client.acceptsUp(line)) {
+    if (answer.arguments().isEmpty() || !client.acceptsUp(line)) {
       end(Outcome.ERROR, null);
       return;
     }
@@ -175,10 +175,10 @@
   // ---- From UP on ----------------------------------------------------------------------------
 
   @Override
-  public int room() {
-    int lineBytes = context.limits().lineBytes();
+  public int receiveCapacity() {
+    int lineBytes = context.limits().maxLineBytes();
     return switch (state) {
-      case UP -> Math.max(0, tunnel.clientRoom() - lineParser.pending());
+      case UP -> Math.max(0, tunnel.clientRoom() - lineParser.pendingBytes());
       case SENDING -> lineBytes - earlyBytes.remaining();
       default -> lineBytes;
     };
@@ -246,7 +246,7 @@
 
   /** Both sides have ended, or one has and the other had its time: what was sent still goes out. */
   void finish(boolean serverFirst) {
-    link.finish();
+    link.closeGracefully();
     end(serverFirst ? endOutcome() : Outcome.CANCELLED, null);
   }
 
@@ -265,14 +265,14 @@
     if (dial != null) {
       dial.cancel();
     }
-    if (link != null && !link.isFinishing()) {
+    if (link != null && !link.isLingering()) {
       link.close();
     }
     client.executionEnded(this, outcome, report);
   }
 
   @Override
-  public void ended() {
+  public void endOfInput() {
     if (state == State.UP) {
       tunnel.serverEnded();
     } else {
@@ -282,7 +282,7 @@
 
   /** A server that has said its last word has ended in good order, and a reset would overtake that word. */
   @Override
-  public void broken() {
+  public void connectionLost() {
     if (state != State.UP) {
       end(noConnectionUnlessSent(Outcome.RESET), null);
     } else if (endOutcome() == Outcome.RESET) {
@@ -303,6 +303,6 @@
   @Override
   public void flushed() {
     countIfSent();
-    client.link().resume();
+    client.link().resumeReads();
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
+++ b/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
@@ -1,6 +1,6 @@
 package lemondeal.proxy;
 
-import lemondeal.figures.Figures;
+import lemondeal.figures.RequestCounters;
 import lemondeal.net.Link;
 
 /** Final answers that are this proxy's own: the one place where they are sent, and so where they are counted. */
@@ -9,10 +9,10 @@
   private static final String FAILED = "ERR\r\n";
   private static final String THROTTLED = "BUSY\r\n";
 
-  private final Figures figures;
+  private final RequestCounters figures;
   private final RequestTrace trace;
 
-  FinalAnswer(Figures figures, RequestTrace trace) {
+  FinalAnswer(RequestCounters figures, RequestTrace trace) {
     this.figures = figures;
     this.trace = trace;
   }
@@ -20,7 +20,7 @@
   /** Throttles: trying again is harmless, after this time if it is not 0. */
   void sendBusy(Link link, int requestClass, long retryAfterMicros, String id, EndReason reason) {
     trace.ended(id, reason);
-    figures.refused(requestClass);
+    figures.countRefused(requestClass);
     sendAndFinish(link, retryAfterMicros <= 0 ? THROTTLED : "BUSY " + (retryAfterMicros + MILLI - 1) / MILLI + "\r\n");
   }
 
@@ -31,7 +31,7 @@
   /** Any other line tells a client that its request has failed. */
   void sendFailure(Link link, int requestClass, String line, String id, EndReason reason) {
     trace.ended(id, reason);
-    figures.failed(requestClass);
+    figures.countFailed(requestClass);
     sendAndFinish(link, line);
   }
 
@@ -49,6 +49,6 @@
 
   private static void sendAndFinish(Link link, String line) {
     link.send(line);
-    link.finish();
+    link.closeGracefully();
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Generation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generation.java
@@ -34,7 +34,7 @@
 import lemondeal.config.Config;
 import lemondeal.discovery.HostGroup;
 import lemondeal.discovery.ListSource;
-import lemondeal.figures.Figures;
+import lemondeal.figures.RequestCounters;
 import lemondeal.log.EventLog;
 import lemondeal.net.Net;
 import lemondeal.resume.Continuity;
@@ -59,7 +59,7 @@
   private final HostGroup group;
   private final EventDispatcher dispatcher;
   private final ListSource source;
-  private final Figures figures;
+  private final RequestCounters figures;
   private final Context context;
   private final KnownServers servers;
   private final Map<String, Prober> probers = new HashMap<>();
@@ -73,12 +73,12 @@
   private final long configuredListFingerprint;
   private boolean dropped;
 
-  Generation(Generations generations, SharedServices shared, Config config, Balancer module, Figures figures) {
+  Generation(Generations generations, SharedServices shared, Config config, Balancer module, RequestCounters figures) {
     this.generations = generations;
     this.shared = shared;
-    this.config = config.withoutKnown();
-    configuredList = config.known();
-    configuredListFingerprint = config.knownFingerprint();
+    this.config = config.withoutKnownServers();
+    configuredList = config.knownServers();
+    configuredListFingerprint = config.knownServersFingerprint();
     this.module = module;
     this.figures = figures;
     group = new HostGroup(config.names());
@@ -103,7 +103,7 @@
     return group;
   }
 
-  Figures figures() {
+  RequestCounters figures() {
     return figures;
   }
 
@@ -175,7 +175,7 @@
 
   /** Sends the clients away that are up: they come again and are served by the newest settings. */
   void moveAll() {
-    remainingClients.forEach(client -> client.link().guarded(() -> client.move(EndReason.SETTINGS_REPLACED)));
+    remainingClients.forEach(client -> client.link().runGuarded(() -> client.move(EndReason.SETTINGS_REPLACED)));
   }
 
   /** Discovery is asked no more under these settings. */
@@ -280,7 +280,7 @@
   private void withClient(String id, Consumer<ClientLink> task) {
     ClientLink client = shared.requests().find(id);
     if (client != null) {
-      client.link().guarded(() -> task.accept(client));
+      client.link().runGuarded(() -> task.accept(client));
     }
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/Generations.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generations.java
@@ -13,7 +13,7 @@
 import lemondeal.codec.ProtocolException;
 import lemondeal.config.Config;
 import lemondeal.discovery.HostGroup;
-import lemondeal.figures.Figures;
+import lemondeal.figures.RequestCounters;
 import lemondeal.net.Timers;
 
 /**
@@ -45,7 +45,7 @@
     this.shared = shared;
     this.onListReceived = onListReceived;
     seed = config.seed();
-    newest = new Generation(this, shared, config, module, new Figures(config.names().classes()));
+    newest = new Generation(this, shared, config, module, new RequestCounters(config.names().classes()));
   }
 
   void start() throws ProtocolException {
@@ -77,7 +77,7 @@
 
   /** Takes a configuration over that was read anew and checked. What can't be served is one line in the log. */
   void reconfigure(Config fresh) {
-    if (fresh.servesAs(newest.config())) {
+    if (fresh.hasSameServiceSettings(newest.config())) {
       reconfigureDiscovery(fresh);
     } else if (moduleFactory == null) {
       shared.log().info("settings-kept", "lemondeal: the new settings count from the next start");
@@ -91,7 +91,7 @@
     Generation previous = newest;
     Set<ClientLink> clients = activeClients();
     older.forEach(generation -> clients.removeAll(generation.remainingClients(activeClients())));
-    newest = new Generation(this, shared, fresh, moduleFactory.get(), previous.figures().next(fresh.names().classes()));
+    newest = new Generation(this, shared, fresh, moduleFactory.get(), previous.figures().withClasses(fresh.names().classes()));
     try {
       newest.startAfter(previous, seed);
     } catch (ProtocolException e) {
--- a/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
@@ -45,17 +45,17 @@
   void begin(Listener ownListener) {
     if (startOnce(ownListener)) {
       admission.throttle();
-      timers.after(limits.drainAccept(), () -> {
+      timers.after(limits.drainAcceptTime(), () -> {
         long closesAt = timers.now();
-        ownListener.acceptRestAndClose(() -> serveOn(closesAt));
+        ownListener.acceptBacklogAndClose(() -> serveOn(closesAt));
       });
     }
   }
 
   /** The socket is closed: those inside stay for a while, counted from when it was to close. */
   private void serveOn(long closesAt) {
-    long remaining = requests.isEmpty() ? 0 : closesAt + limits.drainHold() - timers.now();
-    timers.after(Math.max(0, remaining), () -> moveWithin(limits.drainSpread()));
+    long remaining = requests.isEmpty() ? 0 : closesAt + limits.drainHoldTime() - timers.now();
+    timers.after(Math.max(0, remaining), () -> moveWithin(limits.drainMoveTime()));
   }
 
   /**
@@ -65,7 +65,7 @@
   void handOver(Listener sharedListener) {
     if (startOnce(sharedListener)) {
       sharedListener.suspend();
-      moveWithin(limits.drainAccept() + limits.drainHold() + limits.drainSpread());
+      moveWithin(limits.drainAcceptTime() + limits.drainHoldTime() + limits.drainMoveTime());
     }
   }
 
@@ -76,8 +76,8 @@
     }
     state = State.SERVING;
     listener = clientListener;
-    timers.after(limits.drainMost() - limits.linger(), this::endRequests);
-    timers.after(limits.drainMost(), this::end);
+    timers.after(limits.drainTimeout() - limits.lingerTimeout(), this::endRequests);
+    timers.after(limits.drainTimeout(), this::end);
     return true;
   }
 
@@ -98,7 +98,7 @@
       state = State.DONE;
       endPendingLinks.run();
       requests.all().forEach(ClientLink::endAtProcessExit);
-      listener.endAll();
+      listener.readAndCloseAll();
       done.countDown();
     }
   }
@@ -114,16 +114,16 @@
    * behind set-ups against a crowd: clients that are moved come again within a moment, all of them together.
    */
   private void moveNextBatch() {
-    long remainingSteps = Math.max(0, moveDeadline - timers.now()) / limits.drainStep();
+    long remainingSteps = Math.max(0, moveDeadline - timers.now()) / limits.drainStepInterval();
     List<ClientLink> movable = requests.all().stream().filter(ClientLink::isMovable).toList();
     long batchSize = (movable.size() + remainingSteps) / (remainingSteps + 1);
     movable.subList(0, (int) batchSize).forEach(client -> readThenApply(client, moved -> moved.move(EndReason.STOPPING)));
     boolean noneRemaining = movable.size() <= batchSize && !hasPendingLinks.getAsBoolean();
     if (remainingSteps == 0 || noneRemaining) {
       // Who comes up from now on is moved at once.
-      admission.close(() -> timers.after(limits.linger(), this::endUnlessPending));
+      admission.close(() -> timers.after(limits.lingerTimeout(), this::endUnlessPending));
     } else {
-      timers.after(limits.drainStep(), this::moveNextBatch);
+      timers.after(limits.drainStepInterval(), this::moveNextBatch);
     }
   }
 
@@ -143,6 +143,6 @@
    */
   private static void readThenApply(ClientLink client, Consumer<ClientLink> action) {
     client.link().readNow();
-    client.link().guarded(() -> action.accept(client));
+    client.link().runGuarded(() -> action.accept(client));
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/LoadReportParser.java
+++ b/proxy/src/main/java/lemondeal/proxy/LoadReportParser.java
@@ -10,10 +10,10 @@
 
   /** The report behind a line's word, or null where there is none. */
   static LoadReport parse(ServerLine line) {
-    if (line.rest().isEmpty()) {
+    if (line.arguments().isEmpty()) {
       return null;
     }
-    Map<String, Double> figures = line.figures();
+    Map<String, Double> figures = line.loadValues();
     return new LoadReport(figure(figures, "x0", "x0"), figure(figures, "x1", "x1"),
         figure(figures, "inflight", "busy_reqs"), figure(figures, "queue", "pending"),
         figure(figures, "util", "cpu_share"));
--- a/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
+++ b/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
@@ -70,7 +70,7 @@
 
   /** Where the settings say that servers tell both, and the client gave no hint, a figure counts as a load. */
   private boolean isDelay(double value) {
-    return switch (context.config().loadLines()) {
+    return switch (context.config().loadLineMeaning()) {
       case LOADS -> false;
       case DELAYS -> true;
       case BOTH -> value < MIN_LOAD_SHARE * usualLoad || context.delayMeter().continuesDelaySeries(context.now(), execution.server(), value);
--- a/proxy/src/main/java/lemondeal/proxy/PendingLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/PendingLink.java
@@ -30,13 +30,13 @@
     this.admission = admission;
     this.pending = pending;
     this.link = link;
-    lineParser = new LineParser(context.limits().lineBytes());
+    lineParser = new LineParser(context.limits().maxLineBytes());
   }
 
   void start() {
-    timer = link.after(context.limits().firstLine(), this::firstLineTimedOut);
+    timer = link.after(context.limits().firstLineTimeout(), this::firstLineTimedOut);
     link.start(this);
-    pending.enter(this);
+    pending.add(this);
   }
 
   /**
@@ -44,8 +44,8 @@
    * asks at full speed and does not read: its ring was overrun.
    */
   @Override
-  public int room() {
-    return Math.min(context.limits().lineBytes(), link.free() - RESERVED_ANSWER_BYTES);
+  public int receiveCapacity() {
+    return Math.min(context.limits().maxLineBytes(), link.sendCapacity() - RESERVED_ANSWER_BYTES);
   }
 
   @Override
@@ -89,7 +89,7 @@
       current.answers().sendFailure(link, requestClass, openLine.id(), EndReason.BAD_FIRST_LINE);
     } else if (!admission.canAdmit()) {
       EndReason reason = admission.isOpen() ? EndReason.NO_ROOM : EndReason.STOPPING;
-      current.answers().sendBusy(link, requestClass, current.limits().throttleFor(), openLine.id(), reason);
+      current.answers().sendBusy(link, requestClass, current.limits().throttleRetryAfter(), openLine.id(), reason);
     } else {
       new ClientLink(current, admission, link, openLine, requestClass).start();
       pending.trim();
@@ -136,28 +136,28 @@
   private void endSilently(EndReason reason) {
     context.trace().ended(null, reason);
     removeFromPending();
-    link.finish();
+    link.closeGracefully();
   }
 
   private void removeFromPending() {
     closed = true;
     Timers.cancel(timer);
-    pending.leave(this);
+    pending.remove(this);
   }
 
   @Override
-  public void ended() {
+  public void endOfInput() {
     endSilently(EndReason.ENDED_BEFORE_LINE);
   }
 
   @Override
-  public void broken() {
+  public void connectionLost() {
     context.trace().ended(null, EndReason.ENDED_BEFORE_LINE);
     removeFromPending();
   }
 
   @Override
   public void flushed() {
-    link.resume();
+    link.resumeReads();
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Prober.java
+++ b/proxy/src/main/java/lemondeal/proxy/Prober.java
@@ -45,7 +45,7 @@
   void probe() {
     probeStarts.add(context.now());
     if (link != null) {
-      pool().busy(this);
+      pool().markBusy(this);
       sendProbe();
     } else if (dial == null) {
       connect();
@@ -59,16 +59,16 @@
   private void connect() {
     InetSocketAddress address = context.group().address(server);
     if (address == null) {
-      context.net().later(() -> end(Outcome.NO_CONNECTION));
+      context.net().execute(() -> end(Outcome.NO_CONNECTION));
       return;
     }
-    inPool = inPool || pool().take();
+    inPool = inPool || pool().acquire();
     if (!inPool) {
-      context.net().later(() -> end(Outcome.NOT_SENT));
+      context.net().execute(() -> end(Outcome.NOT_SENT));
       return;
     }
-    lineParser = new LineParser(context.limits().lineBytes());
-    dial = context.net().dial(address, context.limits().dial(), opened -> {
+    lineParser = new LineParser(context.limits().maxLineBytes());
+    dial = context.net().dial(address, context.limits().connectTimeout(), opened -> {
       link = opened;
       openedAt = context.now();
       link.start(this);
@@ -79,7 +79,7 @@
   }
 
   private void sendProbe() {
-    if (link.free() < context.limits().lineBytes()) {
+    if (link.sendCapacity() < context.limits().maxLineBytes()) {
       end(Outcome.TIMED_OUT);
       return;
     }
@@ -92,7 +92,7 @@
    * up: counted from the last probe, the time never was.
    */
   private void armAnswerTimeout() {
-    armTimer(Math.max(probeStarts.peek(), openedAt) + context.limits().probe() - context.now(), Outcome.TIMED_OUT);
+    armTimer(Math.max(probeStarts.peek(), openedAt) + context.limits().probeTimeout() - context.now(), Outcome.TIMED_OUT);
   }
 
   private void armTimer(long micros, Outcome outcome) {
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public void giveUp() {
+  public void evict() {
     end(Outcome.CANCELLED);
   }
 
@@ -138,8 +138,8 @@
   }
 
   @Override
-  public int room() {
-    return context.limits().lineBytes();
+  public int receiveCapacity() {
+    return context.limits().maxLineBytes();
   }
 
   @Override
@@ -161,8 +161,8 @@
     }
     hasAnswered = true;
     if (probeStarts.size() == 1) {
-      pool().idle(this);
-      armTimer(context.limits().probeIdle(), Outcome.CANCELLED);
+      pool().markIdle(this);
+      armTimer(context.limits().probeLinkIdleTimeout(), Outcome.CANCELLED);
     }
     switch (line.kind()) {
       case PONG -> reportResult(Outcome.SERVED, LoadReportParser.parse(line));
@@ -175,12 +175,12 @@
   }
 
   @Override
-  public void ended() {
+  public void endOfInput() {
     handleConnectionLost();
   }
 
   @Override
-  public void broken() {
+  public void connectionLost() {
     handleConnectionLost();
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import lemondeal.admin.Admin;
+import lemondeal.admin.AdminEndpoint;
 import lemondeal.config.Config;
 import lemondeal.config.Limits;
 import lemondeal.discovery.ListSource;
 import lemondeal.log.EventLog;
 import lemondeal.log.PlainLog;
 import lemondeal.net.EvictingSet;
-import lemondeal.net.Faults;
+import lemondeal.net.TaskGuard;
 import lemondeal.net.Link;
 import lemondeal.net.Listener;
 import lemondeal.net.Net;
@@ -31,7 +31,7 @@
 import org.xnio.XnioIoThread;
 
 /** One real proxy: puts the parts together and carries out what the module decides. */
-public final class Proxy implements Admin.Subject, AutoCloseable {
+public final class Proxy implements AdminEndpoint.ProcessStatus, AutoCloseable {
   private final Config config;
   private final Net net;
   private final TimerWheel wheel;
@@ -74,43 +74,43 @@
   Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Factory sourceFactory, Clock clock)
       throws IOException {
     this.resumption = resumption;
-    this.config = config.withoutKnown();
+    this.config = config.withoutKnownServers();
     this.log = log;
     Limits limits = config.limits();
-    Faults faults = new Faults(log);
+    TaskGuard faults = new TaskGuard(log);
     net = new Net(limits, faults);
-    wheel = new TimerWheel(clock::now, limits.tick(), limits.wheelSlots(), faults, this::scheduleAdvance);
-    net.use(wheel);
+    wheel = new TimerWheel(clock::now, limits.timerTick(), limits.wheelSlots(), faults, this::scheduleAdvance);
+    net.setTimers(wheel);
     startTimes = new StartTimes(clock::now, clock::wallTime);
     violations = new ViolationCounter(log);
     trace = new RequestTrace(log, config.name(), System::currentTimeMillis);
-    requests = new ActiveRequests(limits.clients());
+    requests = new ActiveRequests(limits.maxClients());
     admission = new AdmissionControl(requests);
-    pendingLinks = new EvictingSet<>(() -> limits.pending(requests.freeSlots()), PendingLink::evict);
+    pendingLinks = new EvictingSet<>(() -> limits.maxPending(requests.freeSlots()), PendingLink::evict);
     generations = new Generations(new Generation.SharedServices(net, wheel, requests, sourceFactory, log, config.name(), startTimes, violations, trace,
         resumption == null ? Continuity.Plain::new : resumption::of), config, module, this::listReceived);
   }
 
   /** Starts on the I/O thread; returns when the addresses are listened on, or throws what went wrong. */
   public void start() throws IOException {
-    start(config.inherited() ? Listener.inherited() : Listener.bind(config.listen()));
+    start(config.inheritedSocket() ? Listener.inherited() : Listener.bind(config.listen()));
   }
 
   /** Starts with this listening socket for clients. */
   void start(ServerSocketChannel socket) throws IOException {
-    net.run(() -> {
+    net.runAndWait(() -> {
       Limits limits = config.limits();
-      clientListener = net.listen(socket, limits.accepted(), this::clientAccepted);
+      clientListener = net.listen(socket, limits.maxAccepted(), this::clientAccepted);
       if (config.admin() != null) {
-        Admin admin = new Admin(limits, this);
-        adminListener = net.listen(Listener.bind(config.admin()), limits.adminCallers() + 1, admin::accepted);
+        AdminEndpoint admin = new AdminEndpoint(limits, this);
+        adminListener = net.listen(Listener.bind(config.admin()), limits.maxAdminConnections() + 1, admin::accepted);
         adminListener.resume();
       }
       generations.start();
-      if (!config.inherited()) {
+      if (!config.inheritedSocket()) {
         clientListener.resume();
       }
-      wheel.after(limits.listWithin(), this::startAccepting);
+      wheel.after(limits.firstListTimeout(), this::startAccepting);
       return null;
     });
   }
@@ -149,7 +149,7 @@
 
   /** Runs tasks on the I/O thread, for what comes from threads of others; from any thread. */
   public Executor executor() {
-    return net::later;
+    return net::execute;
   }
 
   /** Deadlines on the I/O thread; for use there alone. */
@@ -164,12 +164,12 @@
 
   /** From now on what becomes of each request is told in the log. */
   public void traceRequests() {
-    net.later(trace::enable);
+    net.execute(trace::enable);
   }
 
   /** Has these figures told on the second address, too. */
   public void addFigures(Consumer<Map<String, Long>> source) {
-    net.later(() -> extraFigures = source);
+    net.execute(() -> extraFigures = source);
   }
 
   /**
@@ -177,7 +177,7 @@
    * start. May be called on any thread.
    */
   public void setModuleFactory(Supplier<Balancer> moduleFactory) {
-    net.later(() -> generations.setModuleFactory(moduleFactory));
+    net.execute(() -> generations.setModuleFactory(moduleFactory));
   }
 
   /**
@@ -185,7 +185,7 @@
    * is served any more and discovery alone moves.
    */
   public void reconfigure(Config fresh) {
-    net.later(() -> {
+    net.execute(() -> {
       if (stopping) {
         generations.reconfigureDiscovery(fresh);
       } else {
@@ -197,14 +197,14 @@
   /** Stops politely; returns when all is done or the time is up. */
   public void stop() throws InterruptedException {
     BlockingQueue<GracefulShutdown> started = new ArrayBlockingQueue<>(1);
-    net.later(() -> {
+    net.execute(() -> {
       stopping = true;
       // How long it may take is for the settings to say that are in force by now.
       Limits limits = generations.newest().config().limits();
       shutdown = shutdown != null ? shutdown : new GracefulShutdown(limits, wheel, admission, requests, () -> !pendingLinks.isEmpty(),
-          () -> pendingLinks.clear(PendingLink::endNow));
+          () -> pendingLinks.closeAll(PendingLink::endNow));
       started.add(shutdown);
-      if (config.inherited()) {
+      if (config.inheritedSocket()) {
         shutdown.handOver(clientListener);
       } else {
         shutdown.begin(clientListener);
@@ -238,7 +238,7 @@
   }
 
   @Override
-  public Map<String, Long> figures() {
+  public Map<String, Long> metrics() {
     Map<String, Long> result = new LinkedHashMap<>();
     generations.newest().figures().addTo(result);
     ServerSummary standing = generations.newest().standing();
@@ -263,7 +263,7 @@
       nextAdvance.remove();
     }
     long delay = wheel.untilNext();
-    nextAdvance = delay == Long.MAX_VALUE ? null : net.laterBy(delay, this::advance);
+    nextAdvance = delay == Long.MAX_VALUE ? null : net.executeAfter(delay, this::advance);
   }
 
   private void advance() {
--- a/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
+++ b/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
@@ -37,7 +37,7 @@
   }
 
   void lineSent() {
-    if (sentTimes.size() < context.limits().unanswered()) {
+    if (sentTimes.size() < context.limits().maxUnanswered()) {
       sentTimes.add(context.now());
       if (sentTimes.size() == 1) {
         armTimer();
@@ -61,7 +61,7 @@
   private void armTimer() {
     Timers.cancel(timer);
     if (!sentTimes.isEmpty()) {
-      timer = link.after(context.limits().unease() - oldestWait(), this::scheduleCheck);
+      timer = link.after(context.limits().slowAnswerDelay() - oldestWait(), this::scheduleCheck);
     }
   }
 
@@ -71,7 +71,7 @@
 
   /** Looks again a moment later: after a pause of the proxy itself the answer may be there, only not read. */
   private void scheduleCheck() {
-    timer = link.after(context.limits().moment(), this::checkOldestWait);
+    timer = link.after(context.limits().pauseAllowance(), this::checkOldestWait);
   }
 
   private void checkOldestWait() {
@@ -81,15 +81,15 @@
       return;
     }
     long waited = oldestWait();
-    if (waited >= context.limits().silence()) {
+    if (waited >= context.limits().serverSilenceTimeout()) {
       onSilent.run();
       return;
     }
     onWaiting.accept(waited);
     // What was told may have moved this very client.
     if (!stopped && !sentTimes.isEmpty()) {
-      long nextCheck = Math.min(context.limits().silence() - waited, context.limits().noteEvery());
-      timer = link.after(nextCheck - context.limits().moment(), this::scheduleCheck);
+      long nextCheck = Math.min(context.limits().serverSilenceTimeout() - waited, context.limits().delayReportInterval());
+      timer = link.after(nextCheck - context.limits().pauseAllowance(), this::scheduleCheck);
     }
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
+++ b/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
@@ -1,7 +1,7 @@
 package lemondeal.proxy;
 
 import java.util.function.LongSupplier;
-import lemondeal.net.Faults;
+import lemondeal.net.TaskGuard;
 import lemondeal.net.Timers;
 
 /**
@@ -12,7 +12,7 @@
   private final LongSupplier clock;
   private final long tick;
   private final Entry[] slots;
-  private final Faults faults;
+  private final TaskGuard faults;
   private final Runnable onEarlierDeadline;
   private long currentTick;
   private long nextTick = Long.MAX_VALUE;
@@ -21,7 +21,7 @@
   /**
    * @param earlier is run when a deadline comes in before all others, so that the wheel is moved in time
    */
-  TimerWheel(LongSupplier clock, long tick, int slotCount, Faults faults, Runnable onEarlierDeadline) {
+  TimerWheel(LongSupplier clock, long tick, int slotCount, TaskGuard faults, Runnable onEarlierDeadline) {
     this.clock = clock;
     this.tick = tick;
     this.faults = faults;
--- a/proxy/src/main/java/lemondeal/proxy/Tunnel.java
+++ b/proxy/src/main/java/lemondeal/proxy/Tunnel.java
@@ -41,7 +41,7 @@
     this.onClosed = onClosed;
     this.ended = ended;
     healthCheck = new PassiveHealthCheck(context, client, request, execution, () -> moveNow(Outcome.RESET, EndReason.SERVER_SILENT));
-    lineParser = new LineParser(context.limits().lineBytes());
+    lineParser = new LineParser(context.limits().maxLineBytes());
   }
 
   /** Whether its client has not been sent away and does not go by itself. */
@@ -52,8 +52,8 @@
   // ---- Passing on ----------------------------------------------------------------------------
 
   @Override
-  public int room() {
-    return execution.link().free();
+  public int receiveCapacity() {
+    return execution.link().sendCapacity();
   }
 
   @Override
@@ -82,7 +82,7 @@
    * slowly: what the server's side has room for says nothing of the client's.
    */
   int clientRoom() {
-    return Math.max(0, client.free() - continuity.moveBytes());
+    return Math.max(0, client.sendCapacity() - continuity.moveBytes());
   }
 
   /** Passes a whole line of the server on, for which there was room. */
@@ -103,7 +103,7 @@
   /** Passes a line of the proxy's own between two others, if there is room. */
   boolean sendLine(String line) {
     int bytes = line.length() + 2;
-    if (state == State.CLOSED || client.free() < bytes + continuity.moveBytes()) {
+    if (state == State.CLOSED || client.sendCapacity() < bytes + continuity.moveBytes()) {
       return false;
     }
     client.send(line + "\r\n");
@@ -112,7 +112,7 @@
 
   @Override
   public void flushed() {
-    execution.link().resume();
+    execution.link().resumeReads();
   }
 
   // ---- Ends ----------------------------------------------------------------------------------
@@ -127,7 +127,7 @@
       moveNow(Outcome.CANCELLED, reason);
     } else {
       state = State.MOVING;
-      timer = client.after(context.limits().moveWithin(), () -> moveNow(Outcome.CANCELLED, reason));
+      timer = client.after(context.limits().moveTimeout(), () -> moveNow(Outcome.CANCELLED, reason));
     }
   }
 
@@ -137,10 +137,10 @@
       return;
     }
     close(reason);
-    if (client.free() >= continuity.moveBytes()) {
+    if (client.sendCapacity() >= continuity.moveBytes()) {
       client.send(continuity.move());
     }
-    client.finish();
+    client.closeGracefully();
     execution.end(outcome, null);
   }
 
@@ -159,7 +159,7 @@
   }
 
   @Override
-  public void ended() {
+  public void endOfInput() {
     clientEnded = true;
     execution.link().endSending();
     onOneSideEnded(serverEnded);
@@ -171,7 +171,7 @@
     } else {
       state = State.HALF_CLOSED;
       Timers.cancel(timer);
-      timer = client.after(context.limits().linger(), () -> finish(serverFirst));
+      timer = client.after(context.limits().lingerTimeout(), () -> finish(serverFirst));
     }
   }
 
@@ -179,7 +179,7 @@
   void finish(boolean serverFirst) {
     if (state != State.CLOSED) {
       close(serverFirst ? EndReason.SERVER_ENDED : EndReason.CLIENT_ENDED);
-      client.finish();
+      client.closeGracefully();
       execution.finish(serverFirst);
     }
   }
@@ -193,7 +193,7 @@
 
   /** The client was reset. */
   @Override
-  public void broken() {
+  public void connectionLost() {
     if (state != State.CLOSED) {
       close(EndReason.CLIENT_RESET);
       execution.reset();
--- a/proxy/src/main/java/lemondeal/resume/Resumable.java
+++ b/proxy/src/main/java/lemondeal/resume/Resumable.java
@@ -142,7 +142,7 @@
 
   @Override
   public String firstLine(long millis, int attempt) {
-    return open.with(millis, OURS, "session=" + session + ",epoch=" + epoch(attempt) + ",have=" + toClient);
+    return open.rewrite(millis, OURS, "session=" + session + ",epoch=" + epoch(attempt) + ",have=" + toClient);
   }
 
   /** Each attempt has an epoch of its own: two that were sent to different servers must not both write. */
--- a/proxy/src/main/java/lemondeal/resume/Resumption.java
+++ b/proxy/src/main/java/lemondeal/resume/Resumption.java
@@ -44,7 +44,7 @@
 
   /** How a client's connection hangs together with others: not at all, unless both sides have asked for it. */
   public Continuity of(OpenLine open) {
-    return open.marked("resume") && settings.classes().contains(open.value("c"))
+    return open.isFlagSet("resume") && settings.classes().contains(open.value("c"))
         && open.value("at") == null ? new Resumable(this, open) : new Continuity.Plain(open);
   }
 
--- a/proxy/src/main/java/lemondeal/saved/ListFile.java
+++ b/proxy/src/main/java/lemondeal/saved/ListFile.java
@@ -172,7 +172,7 @@
     SavedList.Builder list = SavedList.newBuilder().setSource(pending.source()).setSavedAtMillis(clock.getAsLong());
     for (Member member : pending.members()) {
       list.addMembers(SavedMember.newBuilder().setId(member.id()).setZone(member.zone()).setModel(member.model())
-          .setCell(member.cell()).setAddress(Addresses.text(member.address())).setHealth(member.health().name())
+          .setCell(member.cell()).setAddress(Addresses.format(member.address())).setHealth(member.health().name())
           .setPassingWeight(member.passingWeight()).setWarningWeight(member.warningWeight())
           .setIncarnation(member.incarnation()));
     }
--- a/proxy/src/test/java/lemondeal/InheritedTest.java
+++ b/proxy/src/test/java/lemondeal/InheritedSocketTest.java
@@ -22,13 +22,13 @@
 
 /** The program with its clients' socket as descriptor 0, as the platform starts it. No JVM can hand that down. */
 @Timeout(60)
-class InheritedTest {
-  private static final String HAND_DOWN = "socket(S, AF_INET, SOCK_STREAM, 0)"
+class InheritedSocketTest {
+  private static final String LISTEN_AND_EXEC = "socket(S, AF_INET, SOCK_STREAM, 0)"
       + " && bind(S, pack_sockaddr_in(0, INADDR_LOOPBACK)) && listen(S, 64)"
       + " && open(STDIN, '<&S') && exec(@ARGV) or die $!";
 
-  private static final long PATIENCE_S = 20;
-  private static final String KNOWN = """
+  private static final long TIMEOUT_SECONDS = 20;
+  private static final String KNOWN_SERVERS = """
       [{"instanceId":"s-1","hostPort":"127.0.0.1:9","zone":"a","machineType":"toy","lifecycle":"in_service"}]""";
 
   @TempDir
@@ -38,16 +38,16 @@
   private Process start() throws IOException {
     String example = Files.readString(Path.of("../example/config.json"));
     Path file = Files.writeString(folder.resolve("config.json"),
-        example.replace("\"instances\": []", "\"instances\": " + KNOWN));
-    List<String> command = new ArrayList<>(ProgramCommands.OWN_SIGNALS);
-    command.addAll(List.of("perl", "-MSocket", "-e", HAND_DOWN, ProgramCommands.java(), "-cp",
-        ProgramCommands.classes(), "lemondeal.Main", "serve"));
+        example.replace("\"instances\": []", "\"instances\": " + KNOWN_SERVERS));
+    List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
+    command.addAll(List.of("perl", "-MSocket", "-e", LISTEN_AND_EXEC, ProgramCommands.java(), "-cp",
+        ProgramCommands.classPath(), "lemondeal.Main", "serve"));
     ProcessBuilder builder = new ProcessBuilder(command);
     // An address that cannot be bound: it must not be tried.
     builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_LISTEN", "192.0.2.1:1",
         "GW_DISCOVERY", "127.0.0.1:1", "GW_ACCEPT_FD", "0", "GW_ADMIN_ADDR", "127.0.0.1:0"));
     Process program = builder.start();
-    CompletableFuture.delayedExecutor(PATIENCE_S, TimeUnit.SECONDS).execute(program::destroyForcibly);
+    CompletableFuture.delayedExecutor(TIMEOUT_SECONDS, TimeUnit.SECONDS).execute(program::destroyForcibly);
     return program;
   }
 
@@ -60,9 +60,9 @@
     throw new AssertionError("the log ends without " + part);
   }
 
-  private static String ask(int port, String call) throws IOException {
+  private static String send(int port, String line) throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+      socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
       return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1)).readLine();
     }
   }
@@ -79,8 +79,8 @@
       int clients = port(await(log, "listening on "));
       int admin = port(await(log, "second address "));
       await(log, "ready");
-      assertEquals("200 yes", ask(admin, "ready"));
-      assertEquals("PONG", ask(clients, "PING"));
+      assertEquals("200 yes", send(admin, "ready"));
+      assertEquals("PONG", send(clients, "PING"));
       // Not by the process itself: that would close its log here.
       program.toHandle().destroy();
       await(log, "stopping");
