--- a/proxy/src/test/java/lemondeal/WideListTest.java
+++ b/proxy/src/test/java/lemondeal/LargeServerListTest.java
@@ -22,7 +22,7 @@
 
 /** The program with the deploy file's flags, and the longest list that the users' pages know, however it is written. */
 @Timeout(60)
-class WideListTest {
+class LargeServerListTest {
   /** STANDING: fleets with up to sixteen times the servers, 3,200 at most. */
   private static final int SERVERS = 3_200;
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -30,29 +30,29 @@
   @TempDir
   Path folder;
 
-  private static String list(String indent) {
-    return list(indent, "");
+  private static String serverList(String indent) {
+    return serverList(indent, "");
   }
 
-  private static String list(String indent, String note) {
-    String line = indent.isEmpty() ? "" : "\n";
-    String inner = line + indent.repeat(3);
-    String entries = IntStream.range(0, SERVERS).mapToObj(i -> line + indent.repeat(2) + "{" + List.of(
+  private static String serverList(String indent, String padding) {
+    String lineBreak = indent.isEmpty() ? "" : "\n";
+    String fieldIndent = lineBreak + indent.repeat(3);
+    String entries = IntStream.range(0, SERVERS).mapToObj(i -> lineBreak + indent.repeat(2) + "{" + List.of(
         "\"instanceId\": \"s-%08x\"".formatted(i * 2_654_435_761L & 0xffffffffL),
         "\"hostPort\": \"10.144.%d.%d:18443\"".formatted(i / 250, i % 250 + 1), "\"zone\": \"a\"",
-        "\"machineType\": \"toy\"", "\"cell\": " + i / 8, "\"lifecycle\": \"in_service\"", "\"weight\": 1.25", "\"note\": \"" + note + "\"",
-        "\"startedAtMs\": 1796206017000").stream().map(field -> inner + field).collect(Collectors.joining(","))
-        + line + indent.repeat(2) + "}").collect(Collectors.joining(","));
-    return "{" + line + indent + "\"generation\": 7," + line + indent + "\"reset\": true," + line + indent
-        + "\"instances\": [" + entries + line + indent + "]" + line + "}\n";
+        "\"machineType\": \"toy\"", "\"cell\": " + i / 8, "\"lifecycle\": \"in_service\"", "\"weight\": 1.25", "\"note\": \"" + padding + "\"",
+        "\"startedAtMs\": 1796206017000").stream().map(field -> fieldIndent + field).collect(Collectors.joining(","))
+        + lineBreak + indent.repeat(2) + "}").collect(Collectors.joining(","));
+    return "{" + lineBreak + indent + "\"generation\": 7," + lineBreak + indent + "\"reset\": true," + lineBreak + indent
+        + "\"instances\": [" + entries + lineBreak + indent + "]" + lineBreak + "}\n";
   }
 
-  private static void answer(ServerSocket discovery, String list) {
+  private static void serveDiscovery(ServerSocket discovery, String list) {
     try {
       while (true) {
-        Socket call = discovery.accept();
-        call.getInputStream().read();
-        OutputStream out = call.getOutputStream();
+        Socket connection = discovery.accept();
+        connection.getInputStream().read();
+        OutputStream out = connection.getOutputStream();
         out.write((HEAD + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n")
             .getBytes(StandardCharsets.ISO_8859_1));
       }
@@ -63,35 +63,35 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", " ", "    ", "        "})
-  void theWholeListOfTheLargestFleetIsTaken(String indent) throws Exception {
-    assertEquals(List.of(), complaintsUntilReady(list(indent)));
+  void theListOfTheLargestFleetIsAccepted(String indent) throws Exception {
+    assertEquals(List.of(), errorsUntilReady(serverList(indent)));
   }
 
   /** Whatever else a platform tells of each server. */
   @Test
-  void aListWithLongEntriesIsTaken() throws Exception {
-    assertEquals(List.of(), complaintsUntilReady(list("", "x".repeat(900))));
+  void aListWithLongEntriesIsAccepted() throws Exception {
+    assertEquals(List.of(), errorsUntilReady(serverList("", "x".repeat(900))));
   }
 
   @Test
-  void aListThatIsTooLongIsToldInTheLog() throws Exception {
+  void aListThatIsTooLongIsLogged() throws Exception {
     try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-        RunningProgram program = start(discovery, list("", "x".repeat(2_000)))) {
-      program.await("can't be read: a line of the body is longer than");
+        RunningProgram program = start(discovery, serverList("", "x".repeat(2_000)))) {
+      program.awaitLine("can't be read: a line of the body is longer than");
     }
   }
 
   /** No server is known before, so that it is ready only with the list. */
-  private List<String> complaintsUntilReady(String list) throws Exception {
+  private List<String> errorsUntilReady(String list) throws Exception {
     try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         RunningProgram program = start(discovery, list)) {
-      program.await("lemondeal: ready");
-      return program.seen().stream().filter(line -> line.contains("failed inside") || line.contains("can't be")).toList();
+      program.awaitLine("lemondeal: ready");
+      return program.seenLines().stream().filter(line -> line.contains("failed inside") || line.contains("can't be")).toList();
     }
   }
 
   private RunningProgram start(ServerSocket discovery, String list) throws IOException {
-    Thread answers = new Thread(() -> answer(discovery, list));
+    Thread answers = new Thread(() -> serveDiscovery(discovery, list));
     answers.setDaemon(true);
     answers.start();
     String text = Files.readString(Path.of("../example/config.json")).replace("127.0.0.1:8443", "127.0.0.1:0")
--- a/proxy/src/test/java/lemondeal/ManyReloadsTest.java
+++ b/proxy/src/test/java/lemondeal/ManyReloadsTest.java
@@ -27,12 +27,12 @@
   /** STANDING: fleets with up to sixteen times the servers, 3,200 at most. */
   private static final int SERVERS = 3_200;
   private static final int RELOADS = 30;
-  private static final String TAKEN_OVER = "new settings serve what comes from now on";
+  private static final String SETTINGS_APPLIED = "new settings serve what comes from now on";
 
   @TempDir
   Path folder;
 
-  private final List<Socket> open = new ArrayList<>();
+  private final List<Socket> openSockets = new ArrayList<>();
 
   private static String list(int port) {
     return IntStream.range(0, SERVERS).mapToObj(i -> "{\"instanceId\":\"s-%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"a\","
@@ -45,7 +45,7 @@
     try {
       while (true) {
         Socket accepted = server.accept();
-        open.add(accepted);
+        openSockets.add(accepted);
         BufferedReader in = new BufferedReader(new InputStreamReader(accepted.getInputStream(), StandardCharsets.ISO_8859_1));
         if (in.readLine() != null) {
           accepted.getOutputStream().write("UP r1\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -57,9 +57,9 @@
   }
 
   /** A client whose request was taken up by its server, and who stays. */
-  private BufferedReader opened(int port, int number) throws IOException {
+  private BufferedReader openClient(int port, int number) throws IOException {
     Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-    open.add(client);
+    openSockets.add(client);
     client.setSoTimeout(20_000);
     client.getOutputStream().write("OPEN %016x k%d c=chat,d=2000,at=s-%d\r\n".formatted(number, number, number)
         .getBytes(StandardCharsets.ISO_8859_1));
@@ -71,7 +71,7 @@
   /** The platform may write the list anew each time, with changes or without. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void theMemoryLastsWhileClientsOfEverySettingsStay(boolean listChanges) throws Exception {
+  void memorySufficesWhileClientsOfAllOldSettingsStay(boolean listChanges) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       Thread serving = new Thread(() -> serve(server));
       serving.setDaemon(true);
@@ -84,21 +84,21 @@
         int port = program.awaitListening().port();
         List<BufferedReader> clients = new ArrayList<>();
         for (int i = 0; i < RELOADS; i++) {
-          clients.add(opened(port, i));
-          String fresh = text.replace("\"tryLimit\": 3", "\"tryLimit\": " + (2 + i % 2));
-          Files.writeString(config, listChanges ? fresh.replace("\"cell\":0", "\"cell\":" + i) : fresh);
+          clients.add(openClient(port, i));
+          String changed = text.replace("\"tryLimit\": 3", "\"tryLimit\": " + (2 + i % 2));
+          Files.writeString(config, listChanges ? changed.replace("\"cell\":0", "\"cell\":" + i) : changed);
           program.signal("HUP");
-          program.await(TAKEN_OVER);
+          program.awaitLine(SETTINGS_APPLIED);
         }
-        opened(port, RELOADS);
-        assertEquals(List.of(), program.seen().stream().filter(line -> line.contains("failed inside")
+        openClient(port, RELOADS);
+        assertEquals(List.of(), program.seenLines().stream().filter(line -> line.contains("failed inside")
             || line.contains("OutOfMemory") || line.contains("stays as it was")).toList());
-        for (BufferedReader oldest : clients.subList(0, RELOADS - 1)) {
-          assertEquals("MOVE", oldest.readLine());
+        for (BufferedReader client : clients.subList(0, RELOADS - 1)) {
+          assertEquals("MOVE", client.readLine());
         }
       }
     } finally {
-      for (Socket socket : open) {
+      for (Socket socket : openSockets) {
         socket.close();
       }
     }
--- a/proxy/src/test/java/lemondeal/ProgramCommands.java
+++ b/proxy/src/test/java/lemondeal/ProgramCommands.java
@@ -15,53 +15,53 @@
    * Starts what follows with the default action of each signal that the program hears. A signal that the test's own
    * starter ignores, as {@code nohup} does, would be ignored in each of its child processes too.
    */
-  public static final List<String> OWN_SIGNALS = List.of("env", "--default-signal=HUP,INT,TERM");
+  public static final List<String> DEFAULT_SIGNALS = List.of("env", "--default-signal=HUP,INT,TERM");
   /** Starts what follows as a supervisor does that ignores these signals itself. */
   public static final List<String> IGNORED_SIGNALS =
       List.of("sh", "-c", "trap '' HUP INT TERM; exec \"$@\"", "sh");
 
-  private static final String RUN = "run = \"";
-  private static final String JAVA = "java ";
-  private static final String JAR = " -jar ";
+  private static final String RUN_KEY = "run = \"";
+  private static final String JAVA_WORD = "java ";
+  private static final String JAR_OPTION = " -jar ";
 
   private ProgramCommands() {}
 
   /** {@code serve} without any flag of the JVM, hearing its signals. */
   public static List<String> serve() {
-    List<String> command = new ArrayList<>(OWN_SIGNALS);
-    command.addAll(serveAsStarted());
+    List<String> command = new ArrayList<>(DEFAULT_SIGNALS);
+    command.addAll(serveWithInheritedSignals());
     return command;
   }
 
   /** {@code serve} without any flag of the JVM, with the signals that its starter ignores. */
-  public static List<String> serveAsStarted() {
-    return List.of(java(), "-cp", classes(), "lemondeal.Main", "serve");
+  public static List<String> serveWithInheritedSignals() {
+    return List.of(java(), "-cp", classPath(), "lemondeal.Main", "serve");
   }
 
   /** The main method of this class, hearing its signals. */
   public static List<String> java(Class<?> main) {
-    List<String> command = new ArrayList<>(OWN_SIGNALS);
-    command.addAll(List.of(java(), "-cp", classes(), main.getName()));
+    List<String> command = new ArrayList<>(DEFAULT_SIGNALS);
+    command.addAll(List.of(java(), "-cp", classPath(), main.getName()));
     return command;
   }
 
   /** The deploy file's flags of the JVM. */
   public static List<String> deployedFlags() throws IOException {
-    String line = deployedRun();
-    return List.of(line.substring(line.indexOf(JAVA) + JAVA.length(), line.indexOf(JAR)).split(" "));
+    String line = deployedRunLine();
+    return List.of(line.substring(line.indexOf(JAVA_WORD) + JAVA_WORD.length(), line.indexOf(JAR_OPTION)).split(" "));
   }
 
   /** The deploy file's whole {@code run}, for a shell. */
   public static List<String> deployed() throws IOException {
-    String line = deployedRun();
-    String start = line.substring(RUN.length(), line.indexOf(JAVA));
+    String line = deployedRunLine();
+    String start = line.substring(RUN_KEY.length(), line.indexOf(JAVA_WORD));
     String flags = String.join(" ", deployedFlags());
-    return List.of("sh", "-c", start + java() + " " + flags + " -cp " + classes() + " lemondeal.Main serve");
+    return List.of("sh", "-c", start + java() + " " + flags + " -cp " + classPath() + " lemondeal.Main serve");
   }
 
-  private static String deployedRun() throws IOException {
+  private static String deployedRunLine() throws IOException {
     return Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
-        .filter(each -> each.startsWith(RUN)).findFirst().orElseThrow();
+        .filter(each -> each.startsWith(RUN_KEY)).findFirst().orElseThrow();
   }
 
   /** The JVM's own program. */
@@ -70,7 +70,7 @@
   }
 
   /** The class path under test, good in any folder. */
-  public static String classes() {
+  public static String classPath() {
     return Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
         .map(each -> Path.of(each).toAbsolutePath().toString()).collect(Collectors.joining(File.pathSeparator));
   }
--- a/proxy/src/test/java/lemondeal/ReloadTest.java
+++ b/proxy/src/test/java/lemondeal/ReloadTest.java
@@ -25,42 +25,42 @@
 /** A configuration file that is replaced under a running proxy. */
 @Timeout(30)
 class ReloadTest {
-  private static final int OLD = 8500;
+  private static final int INITIAL_PORT = 8500;
 
   @TempDir
   Path folder;
 
-  private final BlockingQueue<Config> taken = new LinkedBlockingQueue<>();
-  private final BlockingQueue<String> logged = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Config> reloaded = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
   private final PrintStream log = new PrintStream(new ByteArrayOutputStream()) {
     @Override
     public void println(String line) {
-      logged.add(line);
+      logLines.add(line);
     }
   };
 
   private Map<String, String> write(int port) throws IOException {
     String example = Files.readString(Path.of("../example/config.json"));
     Path file = folder.resolve("config.json");
-    Files.writeString(file, example.replace("127.0.0.1:" + OLD, "127.0.0.1:" + port));
-    return Map.of("GW_CONFIG", file.toString(), "GW_DISCOVERY", "127.0.0.1:" + OLD);
+    Files.writeString(file, example.replace("127.0.0.1:" + INITIAL_PORT, "127.0.0.1:" + port));
+    return Map.of("GW_CONFIG", file.toString(), "GW_DISCOVERY", "127.0.0.1:" + INITIAL_PORT);
   }
 
-  private Reload reload(Map<String, String> environment) {
-    return new Reload(Config.read(environment), environment, taken::add, new PlainLog(log), () -> { });
+  private ConfigReloader reload(Map<String, String> environment) {
+    return new ConfigReloader(Config.read(environment), environment, reloaded::add, new PlainLog(log), () -> { });
   }
 
   private int nextPort() throws InterruptedException {
-    Config config = taken.poll(10, TimeUnit.SECONDS);
-    assertNotNull(config, logged::toString);
+    Config config = reloaded.poll(10, TimeUnit.SECONDS);
+    assertNotNull(config, logLines::toString);
     return config.discovery().getPort();
   }
 
   /** The environment names the address of the start, and would hide every later one. */
   @Test
-  void theFilesNewAddressCounts() throws Exception {
-    Map<String, String> environment = write(OLD);
-    try (Reload reload = reload(environment)) {
+  void aChangedAddressInTheFileOverridesTheEnvironment() throws Exception {
+    Map<String, String> environment = write(INITIAL_PORT);
+    try (ConfigReloader reload = reload(environment)) {
       for (int port : new int[] {8501, 8502}) {
         write(port);
         reload.request();
@@ -72,14 +72,14 @@
   }
 
   @Test
-  void aBadFileIsOneLineInTheLogAndTheOldOneStays() throws Exception {
-    Map<String, String> environment = write(OLD);
-    try (Reload reload = reload(environment)) {
+  void aBadFileIsLoggedInOneLineAndTheOldConfigurationStays() throws Exception {
+    Map<String, String> environment = write(INITIAL_PORT);
+    try (ConfigReloader reload = reload(environment)) {
       Files.writeString(Path.of(environment.get("GW_CONFIG")), "{\"name\":");
       reload.request();
-      String line = logged.poll(10, TimeUnit.SECONDS);
+      String line = logLines.poll(10, TimeUnit.SECONDS);
       assertTrue(line != null && line.contains("stays as it was") && !line.contains("\n"), line);
-      assertTrue(taken.isEmpty());
+      assertTrue(reloaded.isEmpty());
       write(8501);
       reload.request();
       assertEquals(8501, nextPort());
@@ -88,21 +88,21 @@
 
   /** What can't be served is the same line at a start, with which the program ends, and at a reload, which it outlives. */
   @Test
-  void settingsThatCannotBeServedEndAStartAndRefuseAReload() throws Exception {
-    Map<String, String> environment = write(OLD);
+  void invalidSettingsFailAStartAndAreRejectedByAReload() throws Exception {
+    Map<String, String> environment = write(INITIAL_PORT);
     Path file = Path.of(environment.get("GW_CONFIG"));
-    try (Reload reload = reload(environment)) {
+    try (ConfigReloader reload = reload(environment)) {
       String good = Files.readString(file);
       for (String bad : new String[] {good.replace("\"overloadFor\": 2000000", "\"overloadFor\": 0"),
           good.replace("idempotent", "sometimes"), good.replace("\"profiles\"", "\"classes\"")}) {
         assertNotEquals(good, bad);
         Files.writeString(file, bad);
         assertEquals(2, Serve.run(environment, null));
-        String said = assertThrows(ConfigException.class, () -> Config.read(environment)).getMessage();
+        String message = assertThrows(ConfigException.class, () -> Config.read(environment)).getMessage();
         reload.request();
-        assertEquals("lemondeal: the configuration stays as it was: " + said, logged.poll(10, TimeUnit.SECONDS));
+        assertEquals("lemondeal: the configuration stays as it was: " + message, logLines.poll(10, TimeUnit.SECONDS));
       }
-      assertTrue(taken.isEmpty());
+      assertTrue(reloaded.isEmpty());
       write(8501);
       reload.request();
       assertEquals(8501, nextPort());
@@ -111,29 +111,29 @@
 
   /** What only the next start can change is named, and kept until then. */
   @Test
-  void whatOnlyAStartCanChangeIsNamedInTheLog() throws Exception {
-    Map<String, String> environment = write(OLD);
+  void changesThatNeedARestartAreLogged() throws Exception {
+    Map<String, String> environment = write(INITIAL_PORT);
     Path file = Path.of(environment.get("GW_CONFIG"));
-    try (Reload reload = reload(environment)) {
+    try (ConfigReloader reload = reload(environment)) {
       Files.writeString(file, Files.readString(file).replace("\"sockets\": 1024", "\"sockets\": 512")
           .replace("8c1f30d27a5be964", "1").replace("\"aim\": 500000", "\"aim\": 400000"));
       reload.request();
-      String line = logged.poll(10, TimeUnit.SECONDS);
+      String line = logLines.poll(10, TimeUnit.SECONDS);
       assertTrue(line.endsWith("; seed, limits count from the next start"), line);
-      Config fresh = taken.poll(10, TimeUnit.SECONDS);
-      assertEquals(1024, fresh.machine().sockets());
-      assertEquals(400_000, fresh.settings().classes().get(0).latencyTarget(), "the settings are taken over");
+      Config config = reloaded.poll(10, TimeUnit.SECONDS);
+      assertEquals(1024, config.machineLimits().sockets());
+      assertEquals(400_000, config.settings().classes().get(0).latencyTarget(), "the settings are taken over");
     }
   }
 
   /** A JVM that has no handler ends on SIGHUP. */
   @Test
-  void hangupIsHeardEachTime() throws Exception {
+  void everyHangupIsHandled() throws Exception {
     try (RunningProgram program = new RunningProgram(ProgramCommands.java(HangupEcho.class), Map.of())) {
-      program.await(HangupEcho.READY);
+      program.awaitLine(HangupEcho.READY);
       for (int i = 0; i < 3; i++) {
         program.signal("HUP");
-        program.await(HangupEcho.HEARD + i);
+        program.awaitLine(HangupEcho.RECEIVED + i);
       }
     }
   }
--- a/proxy/src/test/java/lemondeal/RunningProgram.java
+++ b/proxy/src/test/java/lemondeal/RunningProgram.java
@@ -16,12 +16,12 @@
 
 /** The program in a process of its own, whose log is read line by line; killed when its time is up. */
 final class RunningProgram implements AutoCloseable {
-  private static final int PATIENCE_S = 30;
+  private static final int TIMEOUT_SECONDS = 30;
   private static final String LISTENING = "lemondeal: listening on ";
 
   private final Process process;
   private final BufferedReader log;
-  private final List<String> seen = new ArrayList<>();
+  private final List<String> seenLines = new ArrayList<>();
   private int port;
 
   /** Starts it with these variables beside those of the test; what it says on either stream is its log. */
@@ -30,28 +30,28 @@
     builder.environment().putAll(environment);
     process = builder.start();
     // A read of the log takes no interrupt: its end comes with the process's.
-    CompletableFuture.delayedExecutor(PATIENCE_S, TimeUnit.SECONDS).execute(process::destroyForcibly);
+    CompletableFuture.delayedExecutor(TIMEOUT_SECONDS, TimeUnit.SECONDS).execute(process::destroyForcibly);
     log = process.inputReader(StandardCharsets.UTF_8);
   }
 
   /** The next line of the log with this in it. */
-  String await(String part) throws IOException {
+  String awaitLine(String part) throws IOException {
     for (String line = log.readLine(); line != null; line = log.readLine()) {
-      seen.add(line);
+      seenLines.add(line);
       if (line.contains(part)) {
         return line;
       }
     }
-    throw new AssertionError("it ended before it said '" + part + "': " + seen);
+    throw new AssertionError("it ended before it said '" + part + "': " + seenLines);
   }
 
   /** What the log still has to say, to its end. */
-  List<String> rest() throws IOException {
+  List<String> remainingLines() throws IOException {
     return log.lines().toList();
   }
 
   RunningProgram awaitListening() throws IOException {
-    String line = await(LISTENING);
+    String line = awaitLine(LISTENING);
     port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
     return this;
   }
@@ -61,8 +61,8 @@
   }
 
   /** The lines of the log up to the one awaited last. */
-  List<String> seen() {
-    return seen;
+  List<String> seenLines() {
+    return seenLines;
   }
 
   void signal(String name) throws IOException, InterruptedException {
@@ -77,7 +77,7 @@
   }
 
   int exitCode() throws InterruptedException {
-    assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+    assertTrue(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     return process.exitValue();
   }
 
--- a/proxy/src/test/java/lemondeal/SettingsReloadTest.java
+++ b/proxy/src/test/java/lemondeal/SettingsReloadTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aHangupTakesTheSettingsOver() throws Exception {
+  void aHangupAppliesNewSettings() throws Exception {
     String text = Files.readString(Path.of("../example/config.json")).replace("127.0.0.1:8443", "127.0.0.1:0");
     Path config = Files.writeString(folder.resolve("config.json"), text);
     try (RunningProgram program =
@@ -43,7 +43,7 @@
       assertEquals("ERR", answer(port, "feed"));
       Files.writeString(config, text.replace("\"chat\"", "\"feed\""));
       program.signal("HUP");
-      program.await("new settings serve what comes from now on");
+      program.awaitLine("new settings serve what comes from now on");
       assertEquals("ERR", answer(port, "chat"));
       assertEquals("BUSY", answer(port, "feed"));
     }
--- a/proxy/src/test/java/lemondeal/SharedStoreTest.java
+++ b/proxy/src/test/java/lemondeal/SharedStoreTest.java
@@ -25,43 +25,43 @@
  */
 class SharedStoreTest {
   private static final long SECOND = TestNode.SECOND;
-  private static final long CLIENT_WAITS = SECOND;
+  private static final long CLIENT_DEADLINE = SECOND;
   private static final long CLIENT_PAUSE = 100_000;
 
-  private record Happening(long at, long number, Runnable what) {}
+  private record ScheduledEvent(long time, long sequence, Runnable task) {}
 
   private final SplittableRandom random = new SplittableRandom(5);
-  private final PriorityQueue<Happening> agenda = new PriorityQueue<>(
-      Comparator.comparingLong(Happening::at).thenComparingLong(Happening::number));
+  private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>(
+      Comparator.comparingLong(ScheduledEvent::time).thenComparingLong(ScheduledEvent::sequence));
   private final List<TestNode> nodes = new ArrayList<>();
   private long now = 1_000 * SECOND;
-  private long numbers;
+  private long nextSequence;
   private long storeFreeAt;
-  private long storeCall;
-  private int up;
+  private long storeCallMicros;
+  private int established;
 
-  private void at(long time, Runnable what) {
-    agenda.add(new Happening(time, numbers++, what));
+  private void schedule(long time, Runnable task) {
+    eventQueue.add(new ScheduledEvent(time, nextSequence++, task));
   }
 
   private void arrive(int client) {
-    int n = random.nextInt(nodes.size());
-    String id = client + "/" + numbers++;
-    Request request = new Request(id, now + CLIENT_WAITS, 0, "k" + client, null, Double.NaN, false, true, 0, false);
-    act(n, client, tell(n, new Arrived(request)));
+    int node = random.nextInt(nodes.size());
+    String id = client + "/" + nextSequence++;
+    Request request = new Request(id, now + CLIENT_DEADLINE, 0, "k" + client, null, Double.NaN, false, true, 0, false);
+    perform(node, client, deliver(node, new Arrived(request)));
   }
 
-  private List<Action> tell(int n, Event event) {
-    return nodes.get(n).handle(event);
+  private List<Action> deliver(int node, Event event) {
+    return nodes.get(node).handle(event);
   }
 
-  private void act(int n, int client, List<Action> actions) {
+  private void perform(int node, int client, List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Send send) {
-        call(n, clientOf(send.id()), send);
+        callStore(node, clientOf(send.id()), send);
       } else if (action instanceof Refuse refuse) {
-        int who = clientOf(refuse.id());
-        at(now + CLIENT_PAUSE + random.nextLong(CLIENT_PAUSE), () -> arrive(who));
+        int refusedClient = clientOf(refuse.id());
+        schedule(now + CLIENT_PAUSE + random.nextLong(CLIENT_PAUSE), () -> arrive(refusedClient));
       }
     }
   }
@@ -71,58 +71,58 @@
   }
 
   /** The store takes calls one after another, and does not know who has stopped waiting. */
-  private void call(int n, int client, Send send) {
-    storeFreeAt = Math.max(now, storeFreeAt) + storeCall;
-    long began = now;
-    long patience = send.timeout() > 0 ? send.timeout() : CLIENT_WAITS / 2;
-    boolean inTime = storeFreeAt <= now + patience;
-    long ends = inTime ? storeFreeAt : now + patience;
-    int attempt = nodes.get(n).latestAttempt(send.id());
-    at(ends, () -> {
-      up += inTime ? 1 : 0;
-      act(n, client, tell(n, inTime ? new Established(send.id(), attempt, send.server(), now - began)
-          : new Ended(send.id(), attempt, send.server(), Outcome.TIMED_OUT, now - began, false, null)));
+  private void callStore(int node, int client, Send send) {
+    storeFreeAt = Math.max(now, storeFreeAt) + storeCallMicros;
+    long startedAt = now;
+    long timeout = send.timeout() > 0 ? send.timeout() : CLIENT_DEADLINE / 2;
+    boolean inTime = storeFreeAt <= now + timeout;
+    long endsAt = inTime ? storeFreeAt : now + timeout;
+    int attempt = nodes.get(node).latestAttempt(send.id());
+    schedule(endsAt, () -> {
+      established += inTime ? 1 : 0;
+      perform(node, client, deliver(node, inTime ? new Established(send.id(), attempt, send.server(), now - startedAt)
+          : new Ended(send.id(), attempt, send.server(), Outcome.TIMED_OUT, now - startedAt, false, null)));
     });
   }
 
   /** Runs for so long, with the nodes' wake-ups every few milliseconds. */
   private void run(long micros) {
     long end = now + micros;
-    at(now, () -> turn(end));
-    while (!agenda.isEmpty() && agenda.peek().at() <= end) {
-      Happening next = agenda.poll();
-      now = next.at();
-      next.what().run();
+    schedule(now, () -> tick(end));
+    while (!eventQueue.isEmpty() && eventQueue.peek().time() <= end) {
+      ScheduledEvent next = eventQueue.poll();
+      now = next.time();
+      next.task().run();
     }
   }
 
-  private void turn(long end) {
-    for (int n = 0; n < nodes.size(); n++) {
-      TestNode node = nodes.get(n);
-      act(n, -1, node.advance(now - node.now));
+  private void tick(long end) {
+    for (int index = 0; index < nodes.size(); index++) {
+      TestNode node = nodes.get(index);
+      perform(index, -1, node.advance(now - node.now));
     }
     if (now + 5_000 <= end) {
-      at(now + 5_000, () -> turn(end));
+      schedule(now + 5_000, () -> tick(end));
     }
   }
 
   @ParameterizedTest
   @CsvSource({"3, 25, 250", "30, 60, 600", "100, 90, 1000"})
-  void aStoreBehindAllSetUpsIsNotKeptFullOfWorkGivenUp(int count, int callsPerSecond, int clients) {
-    storeCall = SECOND / callsPerSecond;
-    for (int n = 0; n < count; n++) {
-      TestNode.Options with = new TestNode.Options();
-      with.nodeIndex = n;
-      with.nodeCount = count;
-      with.seed = n + 1;
-      nodes.add(new TestNode(with).equalServers(30));
+  void aSharedStoreIsNotOverloadedByAbandonedSetUps(int count, int callsPerSecond, int clients) {
+    storeCallMicros = SECOND / callsPerSecond;
+    for (int index = 0; index < count; index++) {
+      TestNode.Options options = new TestNode.Options();
+      options.nodeIndex = index;
+      options.nodeCount = count;
+      options.seed = index + 1;
+      nodes.add(new TestNode(options).equalServers(30));
     }
     for (int client = 0; client < clients; client++) {
-      int who = client;
-      at(now + random.nextLong(SECOND / 2), () -> arrive(who));
+      int arriving = client;
+      schedule(now + random.nextLong(SECOND / 2), () -> arrive(arriving));
     }
     run(20 * SECOND);
     // The store alone needs 10 to 11 s for them all.
-    assertTrue(up >= clients / 2, up + " of " + clients + " came up");
+    assertTrue(established >= clients / 2, established + " of " + clients + " came up");
   }
 }
--- a/proxy/src/test/java/lemondeal/ShuffledJson.java
+++ b/proxy/src/test/java/lemondeal/ShuffledJson.java
@@ -16,7 +16,7 @@
   public static String of(String object, Random random) {
     try {
       StringBuilder out = new StringBuilder();
-      write(shuffled(Json.object(object), random), out);
+      write(shuffled(Json.parseObject(object), random), out);
       return out.toString();
     } catch (ProtocolException e) {
       throw new AssertionError(e);
--- a/proxy/src/test/java/lemondeal/SideBySideTest.java
+++ b/proxy/src/test/java/lemondeal/SideBySideTest.java
@@ -21,17 +21,17 @@
 /** Two programs started in one folder with the flags of the deploy file, for two deployments. */
 @Timeout(60)
 class SideBySideTest {
-  private static final String READY = "lemondeal: listening on ";
+  private static final String LISTENING = "lemondeal: listening on ";
 
   @TempDir
   Path folder;
 
   /** What the deploy file runs, with this test's classes in place of the jar. */
   private static List<String> command() throws IOException {
-    List<String> command = new ArrayList<>(ProgramCommands.OWN_SIGNALS);
+    List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
     command.add(ProgramCommands.java());
     command.addAll(ProgramCommands.deployedFlags());
-    command.addAll(List.of("-Djava.io.tmpdir=.", "-cp", ProgramCommands.classes(), "lemondeal.Main", "serve"));
+    command.addAll(List.of("-Djava.io.tmpdir=.", "-cp", ProgramCommands.classPath(), "lemondeal.Main", "serve"));
     return command;
   }
 
@@ -44,24 +44,24 @@
     return builder.start();
   }
 
-  private static void awaitReady(Process program) throws IOException {
-    BufferedReader said = new BufferedReader(new InputStreamReader(program.getInputStream(), StandardCharsets.UTF_8));
-    String line = said.readLine();
-    while (line != null && !line.startsWith(READY)) {
-      line = said.readLine();
+  private static void awaitListening(Process program) throws IOException {
+    BufferedReader output = new BufferedReader(new InputStreamReader(program.getInputStream(), StandardCharsets.UTF_8));
+    String line = output.readLine();
+    while (line != null && !line.startsWith(LISTENING)) {
+      line = output.readLine();
     }
     assertNotNull(line, "it ended before it listened");
   }
 
   /** Regular files that the process holds open for writing. */
-  private static List<String> written(Process program) throws IOException {
-    List<String> written = new ArrayList<>();
+  private static List<String> filesOpenForWriting(Process program) throws IOException {
+    List<String> paths = new ArrayList<>();
     Path open = Path.of("/proc/" + program.pid() + "/fd");
     try (Stream<Path> files = Files.list(open)) {
       for (Path file : files.toList()) {
         try {
-          if (isWrittenFile(file, open.resolveSibling("fdinfo").resolve(file.getFileName().toString()))) {
-            written.add(file.toRealPath().toString());
+          if (isOpenForWriting(file, open.resolveSibling("fdinfo").resolve(file.getFileName().toString()))) {
+            paths.add(file.toRealPath().toString());
           }
         } catch (NoSuchFileException e) {
           // Closed since the folder was listed, as a jar after its classes: it is not held open. Any other failure counts.
@@ -69,31 +69,31 @@
         }
       }
     }
-    return written;
+    return paths;
   }
 
-  private static boolean isWrittenFile(Path file, Path information) throws IOException {
+  private static boolean isOpenForWriting(Path file, Path information) throws IOException {
     String flags = Files.readString(information).replaceAll("(?s).*flags:\\s*(\\d+).*", "$1");
     return Files.isRegularFile(file) && (Integer.parseInt(flags, 8) & 3) != 0;
   }
 
   @Test
-  void neitherWritesAFile() throws Exception {
-    Process one = start("one", "chat");
-    Process other = start("other", "feed");
+  void neitherProgramWritesAFile() throws Exception {
+    Process first = start("one", "chat");
+    Process second = start("other", "feed");
     try {
-      awaitReady(one);
-      awaitReady(other);
-      assertEquals(List.of(), written(one));
-      assertEquals(List.of(), written(other));
-      try (Stream<Path> left = Files.list(folder)) {
+      awaitListening(first);
+      awaitListening(second);
+      assertEquals(List.of(), filesOpenForWriting(first));
+      assertEquals(List.of(), filesOpenForWriting(second));
+      try (Stream<Path> remaining = Files.list(folder)) {
         assertEquals(List.of("one.json", "other.json"),
-            left.map(each -> each.getFileName().toString()).sorted().toList());
+            remaining.map(each -> each.getFileName().toString()).sorted().toList());
       }
-      assertTrue(one.isAlive() && other.isAlive());
+      assertTrue(first.isAlive() && second.isAlive());
     } finally {
-      one.destroyForcibly().waitFor();
-      other.destroyForcibly().waitFor();
+      first.destroyForcibly().waitFor();
+      second.destroyForcibly().waitFor();
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/StartSignalsTest.java
+++ b/proxy/src/test/java/lemondeal/StartSignalsTest.java
@@ -19,7 +19,7 @@
 @Timeout(60)
 class StartSignalsTest {
   /** HUP, INT and TERM in a mask of the system's, in which signal n is bit n - 1. */
-  private static final long HEARD = 1L << 0 | 1L << 1 | 1L << 14;
+  private static final long HANDLED_MASK = 1L << 0 | 1L << 1 | 1L << 14;
 
   @TempDir
   Path folder;
@@ -40,32 +40,32 @@
   }
 
   @Test
-  void theDeployedStartHearsItsSignalsWhateverItsStarterIgnores() throws Exception {
+  void theDeployedCommandHandlesSignalsThatItsParentIgnores() throws Exception {
     try (RunningProgram program = startIgnoring(ProgramCommands.deployed())) {
       program.awaitListening();
-      assertEquals(0, program.ignoredSignals() & HEARD);
+      assertEquals(0, program.ignoredSignals() & HANDLED_MASK);
       program.signal("HUP");
-      program.await("configuration read anew");
+      program.awaitLine("configuration read anew");
       program.signal("TERM");
       assertEquals(0, program.exitCode());
     }
   }
 
   @Test
-  void aStartThatCannotHearItsSignalsSaysSo() throws Exception {
-    try (RunningProgram program = startIgnoring(ProgramCommands.serveAsStarted())) {
+  void ignoredSignalsAreLoggedAtTheStart() throws Exception {
+    try (RunningProgram program = startIgnoring(ProgramCommands.serveWithInheritedSignals())) {
       program.awaitListening();
-      List<String> told = program.seen().stream().filter(line -> line.contains("SIGHUP")).toList();
-      assertEquals(1, told.size(), program.seen()::toString);
-      assertTrue(told.get(0).contains("SIGINT") && told.get(0).contains("SIGTERM"), told.get(0));
+      List<String> warnings = program.seenLines().stream().filter(line -> line.contains("SIGHUP")).toList();
+      assertEquals(1, warnings.size(), program.seenLines()::toString);
+      assertTrue(warnings.get(0).contains("SIGINT") && warnings.get(0).contains("SIGTERM"), warnings.get(0));
     }
   }
 
   @Test
-  void aStartThatHearsThemSaysNothing() throws Exception {
+  void noWarningIsLoggedWhereSignalsAreHandled() throws Exception {
     try (RunningProgram program = new RunningProgram(ProgramCommands.serve(), environment)) {
       program.awaitListening();
-      assertFalse(program.seen().stream().anyMatch(line -> line.contains("SIG")), program.seen()::toString);
+      assertFalse(program.seenLines().stream().anyMatch(line -> line.contains("SIG")), program.seenLines()::toString);
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/codec/ParsersTest.java
+++ b/proxy/src/test/java/lemondeal/codec/ParsersTest.java
@@ -18,13 +18,13 @@
 
 /** Random cuts of valid messages, and random garbage, against every parser. */
 class ParsersTest {
-  private static final int LONGEST = 4096;
+  private static final int MAX_LINE_BYTES = 4096;
 
   /** Collects what an HTTP answer brings. */
-  private static final class Collected implements HttpParser.Sink {
+  private static final class CollectedResponse implements HttpParser.Sink {
     final List<String> lines = new ArrayList<>();
     int status;
-    boolean over;
+    boolean ended;
 
     @Override
     public void status(int code) {
@@ -38,11 +38,11 @@
 
     @Override
     public void end() {
-      over = true;
+      ended = true;
     }
   }
 
-  private static Cuts.Taker into(LineParser parser, List<String> lines) {
+  private static SplitInput.Parser collecting(LineParser parser, List<String> lines) {
     return bytes -> {
       for (String line = parser.next(bytes); line != null; line = parser.next(bytes)) {
         lines.add(line);
@@ -62,30 +62,30 @@
   }
 
   @Property(seed = "1", tries = 200)
-  void linesComeWholeHoweverTheyAreCut(@ForAll @Size(max = 20) List<@AlphaChars String> lines, @ForAll long seed)
+  void linesAreReassembledFromAnySplit(@ForAll @Size(max = 20) List<@AlphaChars String> lines, @ForAll long seed)
       throws ProtocolException {
     List<String> out = new ArrayList<>();
-    Cuts.feed(String.join("\r\n", lines) + (lines.isEmpty() ? "" : "\r\n"), seed,
-        into(new LineParser(LONGEST), out));
+    SplitInput.feed(String.join("\r\n", lines) + (lines.isEmpty() ? "" : "\r\n"), seed,
+        collecting(new LineParser(MAX_LINE_BYTES), out));
     assertEquals(lines, out);
   }
 
   @Property(seed = "2", tries = 300)
-  void damagedLinesAreRefusedOrRead(@ForAll @Size(max = 20) List<@AlphaChars String> lines, @ForAll long seed) {
+  void damagedLinesAreRejectedOrParsed(@ForAll @Size(max = 20) List<@AlphaChars String> lines, @ForAll long seed) {
     List<String> out = new ArrayList<>();
-    Cuts.feedDamaged(String.join("\r\n", lines) + "\r\n", seed, into(new LineParser(64), out));
+    SplitInput.feedDamaged(String.join("\r\n", lines) + "\r\n", seed, collecting(new LineParser(64), out));
     assertTrue(out.stream().allMatch(line -> line.length() <= 62));
-    out.forEach(line -> ServerLine.parse(line).figures());
+    out.forEach(line -> ServerLine.parse(line).loadValues());
   }
 
   @Property(seed = "3", tries = 50)
-  void theLongestLinePassesAndOneMoreByteDoesNot(@ForAll @IntRange(min = 3, max = LONGEST) int longest)
+  void theLongestLineIsAcceptedAndOneByteMoreIsRejected(@ForAll @IntRange(min = 3, max = MAX_LINE_BYTES) int maxBytes)
       throws ProtocolException {
-    String line = "x".repeat(longest - 2);
+    String line = "x".repeat(maxBytes - 2);
     byte[] fits = (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-    assertEquals(line, new LineParser(longest).next(ByteBuffer.wrap(fits)));
+    assertEquals(line, new LineParser(maxBytes).next(ByteBuffer.wrap(fits)));
     byte[] tooLong = ("x" + line + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-    assertThrows(ProtocolException.class, () -> new LineParser(longest).next(ByteBuffer.wrap(tooLong)));
+    assertThrows(ProtocolException.class, () -> new LineParser(maxBytes).next(ByteBuffer.wrap(tooLong)));
   }
 
   @Property(seed = "4", tries = 200)
@@ -101,10 +101,10 @@
 
   /** What Java reads as a number and no server does: the client must get its error here. */
   @Example
-  void whatIsNoPlainNumberIsNoDeadline() {
-    for (String d : List.of("0x1p3", "5d", "5f", "1e3", "NaN", "Infinity", "-1", "+1", " 1", "1.", "", "9".repeat(15))) {
-      String line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=" + d;
-      assertThrows(ProtocolException.class, () -> OpenLine.parse(line), d);
+  void nonDecimalDeadlinesAndMalformedIdsAreRejected() {
+    for (String deadline : List.of("0x1p3", "5d", "5f", "1e3", "NaN", "Infinity", "-1", "+1", " 1", "1.", "", "9".repeat(15))) {
+      String line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=" + deadline;
+      assertThrows(ProtocolException.class, () -> OpenLine.parse(line), deadline);
     }
     for (String id : List.of("", "-", "9b1f", "9b1f03aa5c7e2d4g", "9b1f03aa5c7e2d411")) {
       assertThrows(ProtocolException.class, () -> OpenLine.parse("OPEN " + id + " 7f3a c=chat,d=1"), id);
@@ -112,35 +112,35 @@
   }
 
   @Property(seed = "5", tries = 500)
-  void damagedFirstLinesAreRefusedOrRead(@ForAll long seed) {
-    Cuts.feedDamaged("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f\r\n", seed, bytes -> {
+  void damagedFirstLinesAreRejectedOrParsed(@ForAll long seed) {
+    SplitInput.feedDamaged("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f\r\n", seed, bytes -> {
       OpenLine open = OpenLine.parse(StandardCharsets.ISO_8859_1.decode(bytes).toString().trim());
       assertTrue(open.withDeadline(5).contains("d=5"));
     });
   }
 
   @Property(seed = "6", tries = 200)
-  void chunkedAnswersComeLineByLine(@ForAll @Size(min = 1, max = 10) List<@AlphaChars String> lines,
+  void chunkedResponsesAreDeliveredLineByLine(@ForAll @Size(min = 1, max = 10) List<@AlphaChars String> lines,
       @ForAll long seed) throws ProtocolException {
-    Collected out = new Collected();
-    Cuts.feed(chunked(lines, new Random(seed)), seed, new HttpParser(LONGEST, out)::take);
+    CollectedResponse out = new CollectedResponse();
+    SplitInput.feed(chunked(lines, new Random(seed)), seed, new HttpParser(MAX_LINE_BYTES, out)::parse);
     assertEquals(lines, out.lines);
     assertEquals(200, out.status);
-    assertTrue(out.over);
+    assertTrue(out.ended);
   }
 
   @Property(seed = "7", tries = 500)
-  void damagedAnswersAreRefusedOrRead(@ForAll @Size(min = 1, max = 5) List<@AlphaChars String> lines,
+  void damagedResponsesAreRejectedOrParsed(@ForAll @Size(min = 1, max = 5) List<@AlphaChars String> lines,
       @ForAll long seed) {
-    Collected out = new Collected();
-    Cuts.feedDamaged(chunked(lines, new Random(seed)), seed, new HttpParser(LONGEST, out)::take);
+    CollectedResponse out = new CollectedResponse();
+    SplitInput.feedDamaged(chunked(lines, new Random(seed)), seed, new HttpParser(MAX_LINE_BYTES, out)::parse);
     assertTrue(out.status == 0 || (out.status >= 100 && out.status <= 999), "status " + out.status);
   }
 
   @Property(seed = "8", tries = 500)
-  void damagedJsonIsRefusedOrRead(@ForAll long seed) {
+  void damagedJsonIsRejectedOrParsed(@ForAll long seed) {
     String text = "{\"generation\":41,\"instances\":[{\"instanceId\":\"s\",\"weight\":1.5,\"up\":true,\"x\":null}]}";
-    Cuts.feedDamaged(text, seed, bytes -> Json.object(StandardCharsets.ISO_8859_1.decode(bytes).toString()));
-    assertThrows(ProtocolException.class, () -> Json.object(text.substring(0, text.length() - 1)));
+    SplitInput.feedDamaged(text, seed, bytes -> Json.parseObject(StandardCharsets.ISO_8859_1.decode(bytes).toString()));
+    assertThrows(ProtocolException.class, () -> Json.parseObject(text.substring(0, text.length() - 1)));
   }
 }
--- a/proxy/src/test/java/lemondeal/codec/Cuts.java
+++ b/proxy/src/test/java/lemondeal/codec/SplitInput.java
@@ -5,23 +5,23 @@
 import java.util.Random;
 
 /** Feeds a parser as a socket would: in pieces cut anywhere. Shared by all tests of parsers. */
-public final class Cuts {
+public final class SplitInput {
 
   /** What takes bytes as they come. */
-  public interface Taker {
-    void take(ByteBuffer bytes) throws ProtocolException;
+  public interface Parser {
+    void parse(ByteBuffer bytes) throws ProtocolException;
   }
 
-  private Cuts() {}
+  private SplitInput() {}
 
   /** Feeds the text in pieces cut by the seed; every byte must be taken. */
-  public static void feed(String text, long seed, Taker taker) throws ProtocolException {
+  public static void feed(String text, long seed, Parser parser) throws ProtocolException {
     byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
     Random random = new Random(seed);
     for (int from = 0; from < bytes.length; ) {
       int length = Math.min(bytes.length - from, 1 + random.nextInt(1 + random.nextInt(64)));
       ByteBuffer piece = ByteBuffer.wrap(bytes, from, length);
-      taker.take(piece);
+      parser.parse(piece);
       if (piece.hasRemaining()) {
         throw new AssertionError("bytes are left over");
       }
@@ -30,7 +30,7 @@
   }
 
   /** Feeds a valid text damaged at random places; whatever else than refusal comes of it is a failure. */
-  public static void feedDamaged(String text, long seed, Taker taker) {
+  public static void feedDamaged(String text, long seed, Parser parser) {
     Random random = new Random(seed);
     StringBuilder damaged = new StringBuilder(text);
     for (int i = random.nextInt(8); i >= 0 && damaged.length() > 0; i--) {
@@ -38,7 +38,7 @@
     }
     try {
       feed(damaged.toString(), seed, bytes -> {
-        taker.take(bytes);
+        parser.parse(bytes);
         bytes.position(bytes.limit());
       });
     } catch (ProtocolException e) {
--- a/proxy/src/test/java/lemondeal/config/ConfigWordingTest.java
+++ b/proxy/src/test/java/lemondeal/config/ConfigEquivalenceTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 
 /** Configurations that say the same in other words are the same configuration. */
-class ConfigWordingTest {
+class ConfigEquivalenceTest {
   private static final Path EXAMPLE = Path.of("../example/config.json");
 
   private static Config read(String text) throws IOException {
@@ -28,14 +28,14 @@
   }
 
   @Property(tries = 50, seed = "3")
-  void keysAndSectionsInAnotherOrderChangeNothing(@ForAll long seed) throws IOException {
+  void theOrderOfKeysAndSectionsDoesNotMatter(@ForAll long seed) throws IOException {
     String text = Files.readString(EXAMPLE);
     assertEquals(read(text), read(ShuffledJson.of(text, new Random(seed))));
   }
 
   /** The order of classes is said: places in the list are what the module knows them by. */
   @Example
-  void otherNamesChangeNamesAlone() throws IOException {
+  void renamedClassesAndZonesChangeOnlyNames() throws IOException {
     String text = Files.readString(EXAMPLE);
     Config plain = read(text);
     Config renamed = read(text.replace("\"chat\"", "\"other-7\"").replace("\"azs\": [\"a\"]", "\"azs\": [\"north\"]")
--- a/proxy/src/test/java/lemondeal/config/SettingsCheckTest.java
+++ b/proxy/src/test/java/lemondeal/config/SettingsCheckTest.java
@@ -32,10 +32,10 @@
   }
 
   /** The example with one thing in it replaced; it must be there. */
-  private static String with(String there, String instead) throws IOException {
+  private static String exampleWith(String original, String replacement) throws IOException {
     String good = Files.readString(EXAMPLE);
-    assertTrue(good.contains(there), there);
-    return good.replace(there, instead);
+    assertTrue(good.contains(original), original);
+    return good.replace(original, replacement);
   }
 
   @ParameterizedTest
@@ -87,35 +87,35 @@
       "\"memory_mb\": 192 | \"memory_mb\": 0 | limits.memory_mb: found 0.0; allowed: a whole number, 1 to",
       "\"aim\": 500000 | \"aim\": NaN | not JSON",
   })
-  void whatCannotBeServedIsToldWithItsPlaceAndWhatIsAllowed(String there, String instead, String line)
+  void invalidValuesAreReportedWithPathAndAllowedValues(String original, String replacement, String line)
       throws IOException {
-    assertTrue(message(with(there, instead)).contains(line), message(with(there, instead)));
+    assertTrue(message(exampleWith(original, replacement)).contains(line), message(exampleWith(original, replacement)));
   }
 
   @Test
-  void twoClassesOfOneNameAreTold() throws IOException {
-    String line = message(with(CLASS, CLASS + ", " + CLASS));
+  void duplicateClassNamesAreReported() throws IOException {
+    String line = message(exampleWith(CLASS, CLASS + ", " + CLASS));
     assertTrue(line.endsWith("profiles[1].name: found 'chat' twice; allowed: a name of its own for each class"), line);
   }
 
   @Test
-  void sharesOfTenantsThatCannotBeAreTold() throws IOException {
+  void invalidTenantPortionsAreReported() throws IOException {
     String tenants = "\"tenants\": [{\"name\": \"x\", \"portion\": %s}, {\"name\": \"y\", \"portion\": 0.5}], "
         + "\"slotNo\"";
-    String line = message(with("\"slotNo\"", tenants.formatted("0.6")));
+    String line = message(exampleWith("\"slotNo\"", tenants.formatted("0.6")));
     assertTrue(line.endsWith("settings.tenants: found portions that sum to 1.1; allowed: portions that sum to 1 at"
         + " most"), line);
-    line = message(with("\"slotNo\"", tenants.formatted("-0.1")));
+    line = message(exampleWith("\"slotNo\"", tenants.formatted("-0.1")));
     assertTrue(line.endsWith("settings.tenants[0].portion: found -0.1; allowed: 0 to 1"), line);
-    Path file = Files.writeString(folder.resolve("good.json"), with("\"slotNo\"", tenants.formatted("0.5")));
+    Path file = Files.writeString(folder.resolve("good.json"), exampleWith("\"slotNo\"", tenants.formatted("0.5")));
     assertEquals(2, Config.read(Map.of("GW_CONFIG", file.toString())).settings().tenants().size());
   }
 
   /** Deployments of other kinds of service may leave keys out, and name some that are not known. */
   @Test
-  void absentAndUnknownKeysAreNoFault() throws IOException {
+  void absentAndUnknownKeysAreAccepted() throws IOException {
     for (String key : new String[] {"prices", "loadReport", "weightSource", "flavors", "familyInfo"}) {
-      Path file = Files.writeString(folder.resolve("config.json"), with("\"" + key + "\"", "\"other\""));
+      Path file = Files.writeString(folder.resolve("config.json"), exampleWith("\"" + key + "\"", "\"other\""));
       assertEquals("chat", Config.read(Map.of("GW_CONFIG", file.toString())).names().classes().get(0));
     }
   }
--- a/proxy/src/test/java/lemondeal/consul/HealthResponseParserTest.java
+++ b/proxy/src/test/java/lemondeal/consul/HealthResponseParserTest.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lemondeal.codec.Cuts;
+import lemondeal.codec.SplitInput;
 import lemondeal.codec.ProtocolException;
 import lemondeal.membership.Health;
 import lemondeal.membership.Member;
@@ -108,11 +108,11 @@
   @Property(seed = "12", tries = 500)
   void corruptAnswerIsRejectedWithAReason(@ForAll long seed) {
     String intact = "[" + entry("n1", "web", 8080, PASSING_CHECKS) + "]";
-    Cuts.feedDamaged(intact, seed, new Cuts.Taker() {
+    SplitInput.feedDamaged(intact, seed, new SplitInput.Parser() {
       private final ByteArrayOutputStream all = new ByteArrayOutputStream();
 
       @Override
-      public void take(java.nio.ByteBuffer piece) throws ProtocolException {
+      public void parse(java.nio.ByteBuffer piece) throws ProtocolException {
         byte[] part = new byte[piece.remaining()];
         piece.duplicate().get(part);
         all.writeBytes(part);
--- a/proxy/src/test/java/lemondeal/discovery/HostGroupTest.java
+++ b/proxy/src/test/java/lemondeal/discovery/HostGroupTest.java
@@ -20,7 +20,7 @@
   private final HostGroup group = new HostGroup(new Names(List.of("chat"), List.of("a"), List.of("m")));
 
   private static Map<String, Object> list(int generation, boolean reset, String... instances) throws ProtocolException {
-    return Json.object("{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":["
+    return Json.parseObject("{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":["
         + String.join(",", instances) + "]}");
   }
 
--- a/proxy/src/test/java/lemondeal/log/LogQueueTest.java
+++ b/proxy/src/test/java/lemondeal/log/LogQueueTest.java
@@ -15,13 +15,13 @@
 /** A log whose reader stands still, or whose disk is full. */
 @Timeout(20)
 class LogQueueTest {
-  private static final long PATIENCE_MILLIS = 10_000;
+  private static final long TIMEOUT_MILLIS = 10_000;
 
   /** Takes nothing until it is read, and then everything. */
-  private static final class StuckLog extends OutputStream {
-    private final CountDownLatch reached = new CountDownLatch(1);
-    private final CountDownLatch read = new CountDownLatch(1);
-    private final ByteArrayOutputStream taken = new ByteArrayOutputStream();
+  private static final class BlockedLog extends OutputStream {
+    private final CountDownLatch writeStarted = new CountDownLatch(1);
+    private final CountDownLatch unblocked = new CountDownLatch(1);
+    private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
     @Override
     public void write(int b) {
@@ -30,58 +30,58 @@
 
     @Override
     public void write(byte[] bytes, int offset, int length) throws IOException {
-      reached.countDown();
+      writeStarted.countDown();
       try {
-        assertTrue(read.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+        assertTrue(unblocked.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
       } catch (InterruptedException e) {
         throw new IOException(e);
       }
-      taken.write(bytes, offset, length);
+      written.write(bytes, offset, length);
     }
   }
 
-  private static void tell(LogQueue queue, String line) {
+  private static void write(LogQueue queue, String line) {
     byte[] bytes = line.getBytes(StandardCharsets.US_ASCII);
     queue.write(bytes, 0, bytes.length);
   }
 
   @Test
-  void whatFitsWaitsInItsOrderAndTheRestIsCounted() throws Exception {
-    StuckLog log = new StuckLog();
+  void writesAreQueuedInOrderAndDropsAreCounted() throws Exception {
+    BlockedLog log = new BlockedLog();
     LogQueue queue = new LogQueue(log, 6);
     queue.start();
-    tell(queue, "a\n");
-    assertTrue(log.reached.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
-    tell(queue, "b\n");
-    tell(queue, "cc\n");
-    tell(queue, "dd\n");
-    tell(queue, "e\n");
-    tell(queue, "\n");
-    log.read.countDown();
-    queue.drain(PATIENCE_MILLIS);
-    assertEquals("a\nb\ncc\n\nlemondeal: 2 parts of the log were dropped while nobody read it\n", log.taken.toString());
-    tell(queue, "f\n");
-    queue.drain(PATIENCE_MILLIS);
-    assertTrue(log.taken.toString().endsWith("it\nf\n"), "told once");
+    write(queue, "a\n");
+    assertTrue(log.writeStarted.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+    write(queue, "b\n");
+    write(queue, "cc\n");
+    write(queue, "dd\n");
+    write(queue, "e\n");
+    write(queue, "\n");
+    log.unblocked.countDown();
+    queue.drain(TIMEOUT_MILLIS);
+    assertEquals("a\nb\ncc\n\nlemondeal: 2 parts of the log were dropped while nobody read it\n", log.written.toString());
+    write(queue, "f\n");
+    queue.drain(TIMEOUT_MILLIS);
+    assertTrue(log.written.toString().endsWith("it\nf\n"), "told once");
   }
 
   /** The end of the program may not hang on its log. */
   @Test
-  void waitingForALogThatStandsStillEnds() throws Exception {
-    StuckLog log = new StuckLog();
+  void drainOfABlockedLogTimesOut() throws Exception {
+    BlockedLog log = new BlockedLog();
     LogQueue queue = new LogQueue(log, 100);
     queue.start();
-    tell(queue, "a\n");
+    write(queue, "a\n");
     queue.drain(50);
-    assertEquals("", log.taken.toString());
-    log.read.countDown();
-    queue.drain(PATIENCE_MILLIS);
-    assertEquals("a\n", log.taken.toString());
+    assertEquals("", log.written.toString());
+    log.unblocked.countDown();
+    queue.drain(TIMEOUT_MILLIS);
+    assertEquals("a\n", log.written.toString());
   }
 
   @Test
-  void aLineThatCannotBeWrittenIsLostAlone() {
-    ByteArrayOutputStream taken = new ByteArrayOutputStream();
+  void aFailedWriteLosesOnlyItsLine() {
+    ByteArrayOutputStream written = new ByteArrayOutputStream();
     LogQueue queue = new LogQueue(new OutputStream() {
       private boolean full = true;
 
@@ -91,13 +91,13 @@
           full = false;
           throw new IOException("No space left on device");
         }
-        taken.write(b);
+        written.write(b);
       }
     }, 100);
     queue.start();
-    tell(queue, "a\n");
-    tell(queue, "b\n");
-    queue.drain(PATIENCE_MILLIS);
-    assertEquals("b\n", taken.toString());
+    write(queue, "a\n");
+    write(queue, "b\n");
+    queue.drain(TIMEOUT_MILLIS);
+    assertEquals("b\n", written.toString());
   }
 }
--- a/proxy/src/test/java/lemondeal/log/LogTest.java
+++ b/proxy/src/test/java/lemondeal/log/LogTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Test;
 
 class LogTest {
-  private final ByteArrayOutputStream told = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
   private String text() {
-    return told.toString(StandardCharsets.UTF_8);
+    return output.toString(StandardCharsets.UTF_8);
   }
 
   @Test
-  void jsonIsOneObjectALineWithNamedFields() throws IOException {
-    JsonLog log = new JsonLog(told, "n\"0\"");
+  void jsonLogWritesOneObjectPerLineWithNamedFields() throws IOException {
+    JsonLog log = new JsonLog(output, "n\"0\"");
     log.info("listening", "lemondeal: listening on 1.2.3.4:5", "address", "1.2.3.4:5", "count", 3);
     log.failure("lemondeal: failed inside", new IllegalStateException("why\nso"));
     String[] lines = text().split("\n");
@@ -40,8 +40,8 @@
   }
 
   @Test
-  void plainIsTheLineAsItIs() {
-    new PlainLog(new PrintStream(told, true)).info("ready", "lemondeal: ready", "field", 1);
+  void plainLogWritesTheLineUnchanged() {
+    new PlainLog(new PrintStream(output, true)).info("ready", "lemondeal: ready", "field", 1);
     assertEquals("lemondeal: ready" + System.lineSeparator(), text());
   }
 }
--- a/proxy/src/test/java/lemondeal/net/EvictingSetTest.java
+++ b/proxy/src/test/java/lemondeal/net/EvictingSetTest.java
@@ -11,71 +11,71 @@
 
 /** Whoever is sent away may change the set and its bound meanwhile. */
 class EvictingSetTest {
-  private int most;
+  private int maxSize;
   private int depth;
-  private int deepest;
-  private final List<Integer> gone = new ArrayList<>();
-  private Runnable meanwhile = () -> { };
-  private final EvictingSet<Integer> set = new EvictingSet<>(() -> most, member -> {
-    deepest = Math.max(deepest, ++depth);
-    gone.add(member);
-    meanwhile.run();
+  private int maxDepth;
+  private final List<Integer> evicted = new ArrayList<>();
+  private Runnable onEviction = () -> { };
+  private final EvictingSet<Integer> set = new EvictingSet<>(() -> maxSize, member -> {
+    maxDepth = Math.max(maxDepth, ++depth);
+    evicted.add(member);
+    onEviction.run();
     depth--;
   });
 
-  private void enter(int members) {
-    IntStream.range(0, members).forEach(set::enter);
+  private void addMembers(int members) {
+    IntStream.range(0, members).forEach(set::add);
   }
 
   /** A client link made of one that is sent away takes a slot, and so the bound falls by two. */
   @Test
-  void whoIsSentAwayOnTheWayOutDoesNotSendOthersFromWithin() {
-    most = 100_000;
-    enter(100_000);
-    meanwhile = () -> {
-      most -= 2;
+  void trimDuringEvictionDoesNotRecurse() {
+    maxSize = 100_000;
+    addMembers(100_000);
+    onEviction = () -> {
+      maxSize -= 2;
       set.trim();
     };
-    set.enter(100_000);
-    assertEquals(1, deepest);
+    set.add(100_000);
+    assertEquals(1, maxDepth);
     assertTrue(set.isEmpty());
-    assertEquals(IntStream.rangeClosed(0, 100_000).boxed().toList(), gone);
+    assertEquals(IntStream.rangeClosed(0, 100_000).boxed().toList(), evicted);
   }
 
   @Test
-  void whoeverEntersMeanwhileIsSeenToAsWell() {
-    most = 3;
-    enter(3);
-    meanwhile = () -> {
-      if (gone.size() < 5) {
-        set.enter(10 + gone.size());
+  void membersAddedDuringEvictionAreCounted() {
+    maxSize = 3;
+    addMembers(3);
+    onEviction = () -> {
+      if (evicted.size() < 5) {
+        set.add(10 + evicted.size());
       }
     };
-    set.enter(3);
-    assertEquals(1, deepest);
-    assertEquals(List.of(0, 1, 2, 3, 11), gone, "the oldest first");
+    set.add(3);
+    assertEquals(1, maxDepth);
+    assertEquals(List.of(0, 1, 2, 3, 11), evicted, "the oldest first");
   }
 
   @Test
-  void whoeverLeavesMeanwhileIsNotSentAway() {
-    most = 3;
-    enter(3);
-    meanwhile = () -> set.leave(1);
-    most = 1;
+  void membersRemovedDuringEvictionAreNotEvicted() {
+    maxSize = 3;
+    addMembers(3);
+    onEviction = () -> set.remove(1);
+    maxSize = 1;
     set.trim();
-    assertEquals(List.of(0), gone);
+    assertEquals(List.of(0), evicted);
   }
 
   @Test
-  void aFailureOnTheWayOutStopsNoLaterTrim() {
-    most = 1;
-    enter(1);
-    meanwhile = () -> {
+  void aFailedEvictionDoesNotBlockLaterTrims() {
+    maxSize = 1;
+    addMembers(1);
+    onEviction = () -> {
       throw new IllegalStateException("fails");
     };
-    assertThrows(IllegalStateException.class, () -> set.enter(1));
-    meanwhile = () -> { };
-    set.enter(2);
-    assertEquals(List.of(0, 1), gone);
+    assertThrows(IllegalStateException.class, () -> set.add(1));
+    onEviction = () -> { };
+    set.add(2);
+    assertEquals(List.of(0, 1), evicted);
   }
 }
--- a/proxy/src/test/java/lemondeal/net/LinkPoolTest.java
+++ b/proxy/src/test/java/lemondeal/net/LinkPoolTest.java
@@ -11,41 +11,41 @@
 /** Places for links that are kept. */
 class LinkPoolTest {
   private final LinkPool pool = new LinkPool(2);
-  private final List<String> given = new ArrayList<>();
+  private final List<String> evicted = new ArrayList<>();
 
   private LinkPool.Holder holder(String name) {
     return new LinkPool.Holder() {
       @Override
-      public void giveUp() {
-        given.add(name);
+      public void evict() {
+        evicted.add(name);
         pool.release(this);
       }
     };
   }
 
   @Test
-  void theLinkIdleForTheLongestGoesForANewOne() {
+  void theLongestIdleLinkIsEvictedForANewOne() {
     LinkPool.Holder first = holder("first");
     LinkPool.Holder second = holder("second");
-    assertTrue(pool.take() && pool.take());
-    pool.idle(first);
-    pool.idle(second);
-    pool.busy(first);
-    pool.idle(first);
-    assertTrue(pool.take());
-    assertEquals(List.of("second"), given);
+    assertTrue(pool.acquire() && pool.acquire());
+    pool.markIdle(first);
+    pool.markIdle(second);
+    pool.markBusy(first);
+    pool.markIdle(first);
+    assertTrue(pool.acquire());
+    assertEquals(List.of("second"), evicted);
   }
 
   @Test
-  void linksInUseStayAndThereIsNoPlaceBesideThem() {
+  void busyLinksAreNotEvicted() {
     LinkPool.Holder first = holder("first");
-    assertTrue(pool.take() && pool.take());
-    pool.idle(first);
-    pool.busy(first);
-    assertFalse(pool.take());
-    assertEquals(List.of(), given);
+    assertTrue(pool.acquire() && pool.acquire());
+    pool.markIdle(first);
+    pool.markBusy(first);
+    assertFalse(pool.acquire());
+    assertEquals(List.of(), evicted);
     pool.release(first);
-    assertTrue(pool.take());
-    assertFalse(pool.take());
+    assertTrue(pool.acquire());
+    assertFalse(pool.acquire());
   }
 }
--- a/proxy/src/test/java/lemondeal/net/LinkTest.java
+++ b/proxy/src/test/java/lemondeal/net/LinkTest.java
@@ -42,34 +42,34 @@
   private Listener listener;
 
   /** Counts what comes before the I/O thread turns to its next task. */
-  private final class Counting implements Link.Owner {
-    final BlockingQueue<Integer> turns = new LinkedBlockingQueue<>();
-    private int inTurn;
+  private final class CountingOwner implements Link.Owner {
+    final BlockingQueue<Integer> bytesPerTurn = new LinkedBlockingQueue<>();
+    private int bytesInTurn;
 
     @Override
-    public int room() {
+    public int receiveCapacity() {
       return Integer.MAX_VALUE;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      if (inTurn == 0) {
-        net.later(() -> {
-          turns.add(inTurn);
-          inTurn = 0;
+      if (bytesInTurn == 0) {
+        net.execute(() -> {
+          bytesPerTurn.add(bytesInTurn);
+          bytesInTurn = 0;
         });
       }
-      inTurn += bytes.remaining();
+      bytesInTurn += bytes.remaining();
     }
 
     @Override
-    public void ended() {
-      turns.add(-1);
+    public void endOfInput() {
+      bytesPerTurn.add(-1);
     }
 
     @Override
-    public void broken() {
-      turns.add(-1);
+    public void connectionLost() {
+      bytesPerTurn.add(-1);
     }
 
     @Override
@@ -80,10 +80,10 @@
 
   @BeforeEach
   void listen() throws Exception {
-    net = new Net(limits, new Faults(new PlainLog(System.err)));
-    net.run(() -> {
+    net = new Net(limits, new TaskGuard(new PlainLog(System.err)));
+    net.runAndWait(() -> {
       listener = net.listen(Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)),
-          limits.accepted(), link -> {
+          limits.maxAccepted(), link -> {
             accepted.add(link);
             onAccept.run();
           });
@@ -97,13 +97,13 @@
     net.shutdown();
   }
 
-  private Link next() throws InterruptedException {
+  private Link nextAccepted() throws InterruptedException {
     return accepted.poll(10, TimeUnit.SECONDS);
   }
 
   /** A side at full speed was once read until its socket was empty, however long that took. */
   @Test
-  void oneTurnReadsABoundedPart() throws Exception {
+  void oneTurnReadsABoundedNumberOfBytes() throws Exception {
     try (SocketChannel peer = SocketChannel.open(listener.address())) {
       peer.configureBlocking(false);
       ByteBuffer bytes = ByteBuffer.allocate(1 << 20);
@@ -111,35 +111,35 @@
       for (int count = peer.write(bytes); count > 0; count = peer.write(bytes.clear())) {
         sent += count;
       }
-      assertTrue(sent > 2L * limits.turnBytes(), "the system takes enough: " + sent);
-      Counting owner = new Counting();
-      Link link = next();
-      net.later(() -> link.start(owner));
-      for (long got = 0; got < sent; ) {
-        int turn = owner.turns.poll(10, TimeUnit.SECONDS);
-        assertTrue(turn > 0 && turn <= limits.turnBytes(), "one turn read " + turn);
-        got += turn;
+      assertTrue(sent > 2L * limits.readBytesPerTurn(), "the system takes enough: " + sent);
+      CountingOwner owner = new CountingOwner();
+      Link link = nextAccepted();
+      net.execute(() -> link.start(owner));
+      for (long receivedBytes = 0; receivedBytes < sent; ) {
+        int turnBytes = owner.bytesPerTurn.poll(10, TimeUnit.SECONDS);
+        assertTrue(turnBytes > 0 && turnBytes <= limits.readBytesPerTurn(), "one turn read " + turnBytes);
+        receivedBytes += turnBytes;
       }
     }
   }
 
   /** Clients that came again at once kept the I/O thread accepting: open connections were not read meanwhile. */
   @Test
-  void oneTurnAcceptsABoundedPart() throws Exception {
-    int count = 4 * limits.accepts();
-    CountDownLatch come = new CountDownLatch(1);
+  void oneTurnAcceptsABoundedNumberOfConnections() throws Exception {
+    int count = 4 * limits.acceptsPerTurn();
+    CountDownLatch allConnected = new CountDownLatch(1);
     BlockingQueue<Integer> firstTurn = new LinkedBlockingQueue<>();
     List<SocketChannel> peers = new ArrayList<>();
-    onAccept = () -> net.later(() -> firstTurn.add(accepted.size()));
-    net.later(() -> assertDoesNotThrow(() -> come.await(10, TimeUnit.SECONDS)));
+    onAccept = () -> net.execute(() -> firstTurn.add(accepted.size()));
+    net.execute(() -> assertDoesNotThrow(() -> allConnected.await(10, TimeUnit.SECONDS)));
     try {
       for (int i = 0; i < count; i++) {
         peers.add(SocketChannel.open(listener.address()));
       }
-      come.countDown();
-      assertTrue(firstTurn.poll(10, TimeUnit.SECONDS) <= limits.accepts());
+      allConnected.countDown();
+      assertTrue(firstTurn.poll(10, TimeUnit.SECONDS) <= limits.acceptsPerTurn());
       for (int i = 0; i < count; i++) {
-        assertNotNull(next(), "all are accepted in the end");
+        assertNotNull(nextAccepted(), "all are accepted in the end");
       }
     } finally {
       for (SocketChannel peer : peers) {
@@ -150,7 +150,7 @@
 
   /** A ring for each accepted connection was memory for whoever says nothing. */
   @Test
-  void aLinkThatHasNothingToSendHoldsNoRing() throws Exception {
+  void aLinkWithNothingToSendHoldsNoRingBuffer() throws Exception {
     BufferPoolMXBean direct = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
         .filter(pool -> pool.getName().equals("direct")).findFirst().orElseThrow();
     List<SocketChannel> peers = new ArrayList<>();
@@ -158,7 +158,7 @@
       long before = direct.getMemoryUsed();
       for (int i = 0; i < 60; i++) {
         peers.add(SocketChannel.open(listener.address()));
-        assertEquals(limits.ringBytes(), next().free());
+        assertEquals(limits.ringBytes(), nextAccepted().sendCapacity());
       }
       assertTrue(direct.getMemoryUsed() - before < 30L * limits.ringBytes());
     } finally {
@@ -169,47 +169,47 @@
   }
 
   /** Notes what it hears, in order. */
-  private class Noting implements Link.Owner {
-    final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+  private class RecordingOwner implements Link.Owner {
+    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     @Override
-    public int room() {
+    public int receiveCapacity() {
       return 64;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      heard.add(StandardCharsets.ISO_8859_1.decode(bytes).toString());
+      events.add(StandardCharsets.ISO_8859_1.decode(bytes).toString());
     }
 
     @Override
-    public void ended() {
-      heard.add("ended");
+    public void endOfInput() {
+      events.add("ended");
     }
 
     @Override
-    public void broken() {
-      heard.add("broken");
+    public void connectionLost() {
+      events.add("broken");
     }
 
     @Override
     public void flushed() {
-      heard.add("flushed");
+      events.add("flushed");
     }
 
     String next() throws InterruptedException {
-      return heard.poll(10, TimeUnit.SECONDS);
+      return events.poll(10, TimeUnit.SECONDS);
     }
   }
 
   /** Returns when the link is read for this owner, and was looked at once. */
-  private void started(Link link, Link.Owner owner) throws IOException {
-    net.run(() -> {
+  private void startAndAwaitFirstRead(Link link, Link.Owner owner) throws IOException {
+    net.runAndWait(() -> {
       link.start(owner);
       return null;
     });
     for (int i = 0; i < 2; i++) {
-      net.run(() -> null);
+      net.runAndWait(() -> null);
     }
   }
 
@@ -220,12 +220,12 @@
 
   /** A server's last line, and its reset: a write that found the reset first once had the line dropped. */
   @Test
-  void aFailedWriteDoesNotSwallowWhatHasCome() throws Exception {
-    Noting owner = new Noting();
+  void aFailedWriteDoesNotDropReceivedBytes() throws Exception {
+    RecordingOwner owner = new RecordingOwner();
     try (SocketChannel peer = SocketChannel.open(listener.address())) {
-      Link link = next();
-      started(link, owner);
-      net.run(() -> {
+      Link link = nextAccepted();
+      startAndAwaitFirstRead(link, owner);
+      net.runAndWait(() -> {
         peer.write(ByteBuffer.wrap("BYE".getBytes(StandardCharsets.ISO_8859_1)));
         reset(peer);
         // Nothing is read before this: it is the I/O thread that writes.
@@ -233,22 +233,22 @@
         return null;
       });
       assertEquals("BYE", owner.next());
-      List<String> rest = new ArrayList<>(List.of(owner.next()));
-      if (rest.get(0).equals("ended")) {
-        rest.add(owner.next());
+      List<String> laterEvents = new ArrayList<>(List.of(owner.next()));
+      if (laterEvents.get(0).equals("ended")) {
+        laterEvents.add(owner.next());
       }
-      assertEquals("broken", rest.get(rest.size() - 1));
+      assertEquals("broken", laterEvents.get(laterEvents.size() - 1));
     }
   }
 
   /** What was left unwritten is known when the connection breaks, though the link is closed by then. */
   @Test
-  void aBrokenLinkTellsWhetherAllWasWritten() throws Exception {
-    Noting owner = new Noting();
+  void aLostConnectionKnowsWhetherAllWasWritten() throws Exception {
+    RecordingOwner owner = new RecordingOwner();
     try (SocketChannel peer = SocketChannel.open(listener.address())) {
-      Link link = next();
-      started(link, owner);
-      net.run(() -> {
+      Link link = nextAccepted();
+      startAndAwaitFirstRead(link, owner);
+      net.runAndWait(() -> {
         ByteBuffer bytes = ByteBuffer.allocate(1024);
         while (link.isFlushed()) {
           link.send(bytes.clear());
@@ -257,7 +257,7 @@
       });
       reset(peer);
       assertEquals("broken", owner.next());
-      net.run(() -> {
+      net.runAndWait(() -> {
         assertFalse(link.isFlushed(), "a part was never written");
         return null;
       });
@@ -266,35 +266,35 @@
 
   /** A look at one link while another is being read left the other with bytes that were not its own. */
   @Test
-  void aLookAtOneLinkLeavesTheBytesOfAnotherAlone() throws Exception {
-    Noting looked = new Noting();
-    try (SocketChannel first = SocketChannel.open(listener.address())) {
-      Link one = next();
-      try (SocketChannel second = SocketChannel.open(listener.address())) {
-        Link two = next();
-        Noting reading = new Noting() {
+  void aNestedReadLeavesTheBytesOfTheOuterReadIntact() throws Exception {
+    RecordingOwner secondOwner = new RecordingOwner();
+    try (SocketChannel firstPeer = SocketChannel.open(listener.address())) {
+      Link firstLink = nextAccepted();
+      try (SocketChannel secondPeer = SocketChannel.open(listener.address())) {
+        Link secondLink = nextAccepted();
+        RecordingOwner firstOwner = new RecordingOwner() {
           @Override
           public void received(ByteBuffer bytes) {
-            two.readNow();
+            secondLink.readNow();
             super.received(bytes);
           }
         };
-        net.run(() -> {
-          first.write(ByteBuffer.wrap("first".getBytes(StandardCharsets.ISO_8859_1)));
-          second.write(ByteBuffer.wrap("second".getBytes(StandardCharsets.ISO_8859_1)));
-          two.start(looked);
-          one.start(reading);
-          one.readNow();
+        net.runAndWait(() -> {
+          firstPeer.write(ByteBuffer.wrap("first".getBytes(StandardCharsets.ISO_8859_1)));
+          secondPeer.write(ByteBuffer.wrap("second".getBytes(StandardCharsets.ISO_8859_1)));
+          secondLink.start(secondOwner);
+          firstLink.start(firstOwner);
+          firstLink.readNow();
           return null;
         });
-        assertEquals("second", looked.next());
-        assertEquals("first", reading.next());
+        assertEquals("second", secondOwner.next());
+        assertEquals("first", firstOwner.next());
       }
     }
   }
 
   /** Time stands still: no deadline comes. */
-  private static final class Still implements Timers {
+  private static final class StoppedTimers implements Timers {
     @Override
     public long now() {
       return 0;
@@ -308,14 +308,14 @@
 
   /** Small writes that the system held back went down with a reset. */
   @Test
-  void everySocketSendsAtOnce() throws Exception {
+  void everySocketHasTcpNoDelay() throws Exception {
     try (ServerSocketChannel server = Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         SocketChannel peer = SocketChannel.open(listener.address())) {
       BlockingQueue<Link> dialled = new LinkedBlockingQueue<>();
-      net.use(new Still());
-      net.later(() -> net.dial((InetSocketAddress) assertDoesNotThrow(server::getLocalAddress), 5_000_000,
+      net.setTimers(new StoppedTimers());
+      net.execute(() -> net.dial((InetSocketAddress) assertDoesNotThrow(server::getLocalAddress), 5_000_000,
           dialled::add, () -> { }));
-      for (Link link : List.of(next(), dialled.poll(10, TimeUnit.SECONDS))) {
+      for (Link link : List.of(nextAccepted(), dialled.poll(10, TimeUnit.SECONDS))) {
         Field connection = Link.class.getDeclaredField("connection");
         connection.setAccessible(true);
         assertEquals(true, ((StreamConnection) connection.get(link)).getOption(Options.TCP_NODELAY));
--- a/proxy/src/test/java/lemondeal/proxy/AdminTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/AdminTest.java
@@ -48,7 +48,7 @@
   void callersWithoutACallShutNobodyOut() throws Exception {
     try (Site site = new Site(ProxyTest::sendOnce)) {
       List<Peer> slow = new ArrayList<>();
-      for (int i = 0; i < 3 * site.limits().adminCallers(); i++) {
+      for (int i = 0; i < 3 * site.limits().maxAdminConnections(); i++) {
         slow.add(site.caller().send("sho"));
         long asked = System.nanoTime();
         assertEquals(0, site.figure("in_flight"));
@@ -57,7 +57,7 @@
       slow.get(0).awaitEnd();
       long from = System.nanoTime();
       slow.get(slow.size() - 1).awaitEnd();
-      assertTrue(System.nanoTime() - from < (site.limits().adminCall() + 1_000_000) * 1000, "the newest is timed");
+      assertTrue(System.nanoTime() - from < (site.limits().adminTimeout() + 1_000_000) * 1000, "the newest is timed");
     }
   }
 
@@ -66,11 +66,11 @@
   void callersWhoNeverEndTheirLineKeepNobodyInTheQueue() throws Exception {
     try (Site site = new Site(ProxyTest::sendOnce)) {
       long from = System.nanoTime();
-      for (int i = 0; i < 3 * site.limits().adminCallers(); i++) {
+      for (int i = 0; i < 3 * site.limits().maxAdminConnections(); i++) {
         site.caller().send("sho");
       }
       assertTrue(site.caller().send("ready\r\n").line().matches("(200 yes|400 no)"));
-      assertTrue(System.nanoTime() - from < site.limits().adminCall() * 1000, "answered once their time was over");
+      assertTrue(System.nanoTime() - from < site.limits().adminTimeout() * 1000, "answered once their time was over");
     }
   }
 
--- a/proxy/src/test/java/lemondeal/proxy/BadClientsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/BadClientsTest.java
@@ -35,12 +35,12 @@
     try (Site site = new Site(ProxyTest::sendOnce, "", 256)) {
       long from = System.nanoTime();
       List<Peer> silent = new ArrayList<>();
-      for (int i = 0; i <= site.limits().pending() + 2 * site.limits().clients(); i++) {
+      for (int i = 0; i <= site.limits().maxPending() + 2 * site.limits().maxClients(); i++) {
         silent.add(site.client());
       }
       assertEquals("BUSY", silent.get(0).line(), "the oldest is sent away");
       assertNull(silent.get(0).line());
-      assertTrue(System.nanoTime() - from < site.limits().firstLine() * 1000, "and at once");
+      assertTrue(System.nanoTime() - from < site.limits().firstLineTimeout() * 1000, "and at once");
       up(site, site.client(OPEN));
       for (Peer peer : silent) {
         peer.awaitEnd();
@@ -55,13 +55,13 @@
     CountDownLatch come = new CountDownLatch(1);
     try (Site site = new Site(event -> event instanceof LoadChanged ? await(come) : ProxyTest.sendOnce(event), "", 256)) {
       Peer server = up(site, site.client(OPEN));
-      for (int i = 1; i < site.limits().clients(); i++) {
+      for (int i = 1; i < site.limits().maxClients(); i++) {
         up(site, site.client(OPEN));
       }
       server.send("LOAD 1\r\n");
       site.await(LoadChanged.class);
       List<Peer> burst = new ArrayList<>();
-      for (int i = 0; i < site.limits().accepts(); i++) {
+      for (int i = 0; i < site.limits().acceptsPerTurn(); i++) {
         burst.add(site.client(OPEN));
       }
       come.countDown();
--- a/proxy/src/test/java/lemondeal/proxy/ClientGoneCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ClientGoneCrossingsTest.java
@@ -192,7 +192,7 @@
       server.line();
       server.close();
       Crossing.awaitClosed(server);
-      atDeadline(site, site.limits().adoptPause() + site.limits().tick(), () -> how.leaveNow(client));
+      atDeadline(site, site.limits().adoptRetryDelay() + site.limits().timerTick(), () -> how.leaveNow(client));
       assertEquals(0, atDoor(site, 0), "tries begun for a client that has gone");
     }
   }
--- a/proxy/src/test/java/lemondeal/proxy/ClosingCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ClosingCrossingsTest.java
@@ -52,7 +52,7 @@
   void aFirstLineThatIsThereWhenItsTimeRunsOutIsServed() throws Exception {
     try (Site site = new Site(ProxyTest::sendOnce)) {
       Peer client = Crossing.resting(site);
-      atDeadline(site, site.limits().firstLine() + MORE, () ->
+      atDeadline(site, site.limits().firstLineTimeout() + MORE, () ->
           client.send(ProxyTest.ID + OPEN + "\r\n").awaitUnread(ProxyTest.ID.length() + OPEN.length() + 2));
       up(site, client);
     }
@@ -63,7 +63,7 @@
   void aFirstLineBehindTheEndOfARestingConnectionIsNotSentOn() throws Exception {
     try (Site site = new Site(ProxyTest::sendOnce)) {
       Peer client = Crossing.resting(site);
-      atDeadline(site, site.limits().firstLine() + MORE, () -> { });
+      atDeadline(site, site.limits().firstLineTimeout() + MORE, () -> { });
       client.send(ProxyTest.ID + OPEN + "\r\n");
       assertEquals("BUSY", client.line());
       assertEndedInOrder(client);
@@ -81,7 +81,7 @@
       Peer client = site.client().send("PING\r\n");
       assertEquals("PONG", client.line());
       site.settle();
-      atDeadline(site, site.limits().firstLine() + MORE, () -> client.send("OPEN 00").awaitUnread(7));
+      atDeadline(site, site.limits().firstLineTimeout() + MORE, () -> client.send("OPEN 00").awaitUnread(7));
       client.send("00");
       site.settle();
       assertEndedInOrder(client);
@@ -96,7 +96,7 @@
       Peer client = site.client().send("garbage\r\n");
       assertEquals("ERR", client.line());
       site.settle();
-      atDeadline(site, site.limits().linger() + MORE, () -> client.send("more\r\n").awaitUnread(6));
+      atDeadline(site, site.limits().lingerTimeout() + MORE, () -> client.send("more\r\n").awaitUnread(6));
       assertEndedInOrder(client);
     }
   }
@@ -113,7 +113,7 @@
       return event instanceof Wake ? waiting.stream().map(id -> (Action) new Refuse(id, 0)).toList() : List.of();
     }, setup -> setup.sockets = 256)) {
       List<Peer> others = new ArrayList<>();
-      for (int i = 0; i < site.limits().lingering(); i++) {
+      for (int i = 0; i < site.limits().maxLingering(); i++) {
         others.add(site.client(OPEN));
         site.await(Arrived.class);
       }
@@ -175,7 +175,7 @@
       assertEquals("whole", client.line());
       assertNull(client.line());
       move(site, other);
-      site.jump(site.limits().linger() + MORE);
+      site.jump(site.limits().lingerTimeout() + MORE);
       assertTrue(hasEnded(site), "the connection is over");
     }
   }
--- a/proxy/src/test/java/lemondeal/proxy/DescriptorsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DescriptorsTest.java
@@ -57,7 +57,7 @@
   @Test
   void beyondTheBoundTheLinkIdleForTheLongestCloses() throws Exception {
     try (Site site = site(18)) {
-      int most = site.limits().probeLinks();
+      int most = site.limits().maxProbeLinks();
       List<Peer> links = new ArrayList<>();
       for (int i = 0; i < most; i++) {
         links.add(probed(site, i).send(REPORT));
@@ -79,7 +79,7 @@
   @Test
   void aProbeWithoutAPlaceIsToldAsNotSent() throws Exception {
     try (Site site = site(18)) {
-      int most = site.limits().probeLinks();
+      int most = site.limits().maxProbeLinks();
       List<Peer> links = new ArrayList<>();
       for (int i = 0; i < most; i++) {
         links.add(probed(site, i));
@@ -98,7 +98,7 @@
   @Test
   void linksThatFailGiveTheirPlacesBack() throws Exception {
     try (Site site = site(18)) {
-      for (int i = 0; i < 2 * site.limits().probeLinks(); i++) {
+      for (int i = 0; i < 2 * site.limits().maxProbeLinks(); i++) {
         Peer link = probed(site, i % 18);
         switch (i % 3) {
           case 0 -> link.close();
@@ -110,7 +110,7 @@
       site.stopServer(17);
       probe(site, 17);
       assertResult(site, 17, Outcome.NO_CONNECTION);
-      for (int i = 0; i < site.limits().probeLinks(); i++) {
+      for (int i = 0; i < site.limits().maxProbeLinks(); i++) {
         probed(site, i);
       }
     }
--- a/proxy/src/test/java/lemondeal/proxy/FloodCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/FloodCrossingsTest.java
@@ -51,9 +51,9 @@
       setup.log = new PrintStream(log, true);
       setup.sockets = 2500;
     })) {
-      int slots = site.limits().clients();
+      int slots = site.limits().maxClients();
       List<Peer> crowd = new ArrayList<>();
-      for (int i = 0; i < site.limits().pending(slots); i++) {
+      for (int i = 0; i < site.limits().maxPending(slots); i++) {
         crowd.add(site.client().send("PING\r\n"));
         assertEquals("PONG", crowd.get(i).line());
       }
@@ -87,13 +87,13 @@
     try (Site site = new Site(ProxyTest::sendOnce, "", 128)) {
       List<Peer> working = new ArrayList<>();
       List<Peer> servers = new ArrayList<>();
-      for (int i = 0; i < site.limits().clients() - 2; i++) {
+      for (int i = 0; i < site.limits().maxClients() - 2; i++) {
         working.add(site.client(LASTING));
         servers.add(up(site, working.get(i)));
       }
       List<Peer> burst = new ArrayList<>();
       try (Held held = site.hold()) {
-        for (int i = 0; i < site.limits().accepts() + 8; i++) {
+        for (int i = 0; i < site.limits().acceptsPerTurn() + 8; i++) {
           burst.add(site.client(LASTING));
         }
         site.awaitQueued(burst.size());
@@ -105,7 +105,7 @@
         site.atServer().line();
       }
       awaitFigure(site, "refused.chat", burst.size() - 2);
-      assertEquals(site.limits().clients(), site.figure("in_flight"));
+      assertEquals(site.limits().maxClients(), site.figure("in_flight"));
       for (int i = 0; i < working.size(); i++) {
         servers.get(i).send("still here\r\n");
         assertEquals("still here", working.get(i).line());
@@ -234,7 +234,7 @@
       }));
       sender.start();
       assertEquals("ERR", flood.line());
-      site.jump(site.limits().linger());
+      site.jump(site.limits().lingerTimeout());
       sender.join(10_000);
       assertTrue(!sender.isAlive(), "its connection has ended");
       flood.awaitEnd();
@@ -320,22 +320,22 @@
         // On a machine so busy that their time is over before the look at them, the look tells nothing: once more.
         answered = new ArrayList<>();
         from = System.nanoTime();
-        for (int i = 0; i < site.limits().lingering(); i++) {
+        for (int i = 0; i < site.limits().maxLingering(); i++) {
           answered.add(site.client().send("garbage\r\n"));
           assertEquals("ERR", answered.get(i).line());
         }
-        for (int i = 0; i < site.limits().adminCallers() - 1; i++) {
+        for (int i = 0; i < site.limits().maxAdminConnections() - 1; i++) {
           assertTrue(site.caller().send("ready\r\n").line().matches("(200 yes|400 no)"));
         }
         try (Held held = site.hold()) {
-          if (System.nanoTime() - from < site.limits().linger() * 900) {
+          if (System.nanoTime() - from < site.limits().lingerTimeout() * 900) {
             for (Peer client : answered) {
               assertTrue(isHeld(client.socket), "closed before its time was up");
             }
           }
           held.release();
         }
-      } while (System.nanoTime() - from >= site.limits().linger() * 900);
+      } while (System.nanoTime() - from >= site.limits().lingerTimeout() * 900);
     }
   }
 
@@ -379,7 +379,7 @@
       Peer caller = site.caller().send("ready\r\n" + "x".repeat(1000));
       assertTrue(caller.line().matches("(200 yes|400 no)"));
       assertNull(caller.line());
-      site.jump(site.limits().linger());
+      site.jump(site.limits().lingerTimeout());
       assertEquals(0, site.figure("in_flight"));
     }
   }
@@ -389,7 +389,7 @@
   void whoIsSentAwayForOthersIsToldBusy() throws Exception {
     try (Site site = new Site(ProxyTest::sendOnce, "", 256)) {
       Peer oldest = site.client();
-      for (int i = 0; i < site.limits().pending(site.limits().clients()); i++) {
+      for (int i = 0; i < site.limits().maxPending(site.limits().maxClients()); i++) {
         site.client();
       }
       assertEquals("BUSY", oldest.line());
--- a/proxy/src/test/java/lemondeal/proxy/FullDescriptorsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/FullDescriptorsTest.java
@@ -172,12 +172,12 @@
             assertThrottled(program, 99);
           }
           int cap = SOCKETS + 6;
-          assertTrue(flood.most > 2 * limits.clients() + limits.probeLinks(), flood.most + " descriptors");
+          assertTrue(flood.most > 2 * limits.maxClients() + limits.maxProbeLinks(), flood.most + " descriptors");
           assertTrue(flood.most <= cap, flood.most + " descriptors");
           assertEquals(List.of(), program.complaints());
           assertTrue(program.isAlive());
         }
-        assertTrue(probeLinks.get() > limits.probeLinks(), probeLinks + " links for probes were made");
+        assertTrue(probeLinks.get() > limits.maxProbeLinks(), probeLinks + " links for probes were made");
       }
     }
   }
@@ -191,7 +191,7 @@
       }
     }
     List<Peer> standing = new ArrayList<>();
-    for (int i = 0; standing.size() < limits.clients(); i++) {
+    for (int i = 0; standing.size() < limits.maxClients(); i++) {
       Peer client = connect(program.port());
       kept.add(client);
       String answer = client.send(String.format(OPEN, i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L)).line();
--- a/proxy/src/test/java/lemondeal/proxy/HandOverCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/HandOverCrossingsTest.java
@@ -45,7 +45,7 @@
 
   private static void becomeReady(Site site) throws Exception {
     site.module.standing = new ServerSummary(true, 1, 0);
-    site.jump(site.limits().listWithin() + TICK);
+    site.jump(site.limits().firstListTimeout() + TICK);
     assertEquals("200 yes", site.caller().send("ready\r\n").line());
   }
 
@@ -111,7 +111,7 @@
       List<Peer> clients = new ArrayList<>();
       try (Held one = before.hold(); Held other = after.hold()) {
         // More than one accepts in a turn.
-        for (int i = 0; i < before.limits().accepts() + 10; i++) {
+        for (int i = 0; i < before.limits().acceptsPerTurn() + 10; i++) {
           clients.add(before.client("c=chat,d=9000"));
         }
         before.awaitQueued(clients.size());
@@ -159,7 +159,7 @@
       assertEquals(0, after.figure("in_flight"));
       // A list that comes to it during its stop makes it accept nothing either.
       after.module.standing = new ServerSummary(true, 1, 0);
-      after.jump(after.limits().listWithin() + TICK);
+      after.jump(after.limits().firstListTimeout() + TICK);
       assertEquals("400 no", after.caller().send("ready\r\n").line());
       Peer late;
       try (Held held = before.hold()) {
@@ -199,10 +199,10 @@
       Peer pending = before.client().send("PING\r\n");
       assertEquals("PONG", pending.line());
       Thread stop = Orders.stop(before);
-      before.jump(before.limits().drainMost() - before.limits().linger() + TICK);
+      before.jump(before.limits().drainTimeout() - before.limits().lingerTimeout() + TICK);
       assertEquals("ERR", client.line());
       assertNull(client.line());
-      before.jump(before.limits().linger());
+      before.jump(before.limits().lingerTimeout());
       stop.join();
       assertTrue(socket.isOpen());
     }
--- a/proxy/src/test/java/lemondeal/proxy/LimitedProcess.java
+++ b/proxy/src/test/java/lemondeal/proxy/LimitedProcess.java
@@ -43,7 +43,7 @@
     // Where the deployed program has one jar, this one has so many, and a folder.
     int limit = sockets + path.size() - 2;
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    List<String> command = new ArrayList<>(ProgramCommands.OWN_SIGNALS);
+    List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
     command.addAll(List.of("sh", "-c", "ulimit -n " + limit + "; exec \"$@\"", "sh", java,
         "-XX:+UseSerialGC", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true", "-cp",
         String.join(File.pathSeparator, path), "lemondeal.Main", "serve"));
--- a/proxy/src/test/java/lemondeal/proxy/ListCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ListCrossingsTest.java
@@ -119,7 +119,7 @@
       call(watch);
       taken(site, watch, said);
       site.jump(36 * SECOND / 10);
-      site.jump(site.limits().moment() + site.limits().tick());
+      site.jump(site.limits().pauseAllowance() + site.limits().timerTick());
       assertTrue(hasFailed(site));
       assertEquals(WATCH + "1 HTTP/1.1", call(site.atDiscovery()));
       watch.awaitEnd();
@@ -140,8 +140,8 @@
         taken(site, watch, "x");
         site.jump(SECOND / 2);
       }
-      site.jump(site.limits().moment());
-      site.jump(site.limits().moment());
+      site.jump(site.limits().pauseAllowance());
+      site.jump(site.limits().pauseAllowance());
       assertTrue(hasFailed(site));
       assertEquals(WATCH + "1 HTTP/1.1", call(site.atDiscovery()));
     }
@@ -155,9 +155,9 @@
       Peer watch = open(site, 1);
       taken(site, watch, "1\r\n\n\r\n");
       next(site, ListKind.CHANGES);
-      site.jump(26 * SECOND / 10 + 2 * site.limits().tick());
+      site.jump(26 * SECOND / 10 + 2 * site.limits().timerTick());
       taken(site, watch, "7");
-      site.jump(site.limits().moment() + site.limits().tick());
+      site.jump(site.limits().pauseAllowance() + site.limits().timerTick());
       assertTrue(hasFailed(site));
     }
   }
@@ -172,11 +172,11 @@
       String drain = chunk(list(2, false, site.instance("terminating")));
       try (Site.Held held = site.hold()) {
         watch.send(drain).awaitUnread(drain.length());
-        queue(() -> site.jump(26 * SECOND / 10 + 2 * site.limits().tick()));
+        queue(() -> site.jump(26 * SECOND / 10 + 2 * site.limits().timerTick()));
         held.release();
       }
       assertEquals(ServerState.DRAINING, state(next(site, ListKind.CHANGES)));
-      site.jump(site.limits().moment() + site.limits().tick());
+      site.jump(site.limits().pauseAllowance() + site.limits().timerTick());
       assertTrue(site.events.isEmpty(), "kept");
       taken(site, watch, chunk(list(3, false, site.instance("terminated"))));
       assertEquals(3, next(site, ListKind.CHANGES).version());
@@ -230,7 +230,7 @@
       String old = chunk(list(9, true, site.instance("in_service")));
       try (Site.Held held = site.hold()) {
         late.send(old).awaitUnread(old.length());
-        queue(() -> site.jump(2 * site.limits().moment()));
+        queue(() -> site.jump(2 * site.limits().pauseAllowance()));
         held.release();
       }
       next(site, ListKind.FAILED);
@@ -383,7 +383,7 @@
       String start = what.equals("line") ? "{\"a\":\"" : what.equals("object") ? "{\n" : "";
       watch.send("HTTP/1.1 200 OK\r\n" + (what.equals("headers") ? "" : "\r\n") + start);
       try {
-        for (int i = 0; i < 2 * site.limits().listLineBytes() / 1024; i++) {
+        for (int i = 0; i < 2 * site.limits().maxListBytes() / 1024; i++) {
           watch.send(what.equals("line") ? piece : what.equals("object") ? "\"" + piece + "\":1,\n"
               : "H" + i + ": " + piece + "\r\n");
         }
@@ -495,7 +495,7 @@
       };
     })) {
       next(site, ListKind.SAVED);
-      site.jump(SECOND / 2 + 2 * site.limits().tick());
+      site.jump(SECOND / 2 + 2 * site.limits().timerTick());
       assertEquals(1, KernelSockets.queued(port[0]), "called by now, by the proxy's clock");
       open(site, 1).send(chunk(list(2, false, site.instance("terminating"))));
       assertEquals(ServerState.DRAINING, state(next(site, ListKind.CHANGES)));
--- a/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
@@ -317,7 +317,7 @@
       Peer server = up(site, lively);
       quiet.send("anyone there?\r\n");
       long from = System.nanoTime();
-      while (System.nanoTime() - from < 3 * site.limits().unease() * 1000) {
+      while (System.nanoTime() - from < 3 * site.limits().slowAnswerDelay() * 1000) {
         lively.send("hello\r\n");
         // Part of a line is a sign of life too.
         server.send("hel");
@@ -468,9 +468,9 @@
         assertEquals("MOVE", client.line());
       }
       long spread = System.nanoTime() - from - first;
-      assertTrue(spread > site.limits().drainSpread() * 1000 / 2, "all within " + spread / 1_000_000 + " ms");
+      assertTrue(spread > site.limits().drainMoveTime() * 1000 / 2, "all within " + spread / 1_000_000 + " ms");
       stop.join();
-      assertTrue(System.nanoTime() - from < (site.limits().drainMost() + 200_000) * 1000, "the stop took too long");
+      assertTrue(System.nanoTime() - from < (site.limits().drainTimeout() + 200_000) * 1000, "the stop took too long");
     }
   }
 
--- a/proxy/src/test/java/lemondeal/proxy/ShutdownCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ShutdownCrossingsTest.java
@@ -33,7 +33,7 @@
 import lemondeal.Balancer.WakeAfter;
 import lemondeal.config.Limits;
 import lemondeal.log.PlainLog;
-import lemondeal.net.Faults;
+import lemondeal.net.TaskGuard;
 import lemondeal.net.Link;
 import lemondeal.net.Listener;
 import lemondeal.net.Net;
@@ -62,7 +62,7 @@
   }
 
   private static long toLastAnswers(Site site) {
-    return site.limits().drainMost() - site.limits().linger() + TICK;
+    return site.limits().drainTimeout() - site.limits().lingerTimeout() + TICK;
   }
 
   // ---- First lines ---------------------------------------------------------------------------
@@ -107,17 +107,17 @@
   void theEndWaitsForFirstLinesAsLongAsItMay() throws Exception {
     try (Site site = site(3_000_000)) {
       Thread stop = Orders.stop(site);
-      site.jump(site.limits().drainAccept() - 5 * TICK);
+      site.jump(site.limits().drainAcceptTime() - 5 * TICK);
       Peer slow = site.client().send("OPEN 00000000000000aa k c=ch");
       site.settle();
       site.jump(6 * TICK);
       site.jump(TICK);
-      site.jump(site.limits().drainSpread() + TICK);
-      site.jump(site.limits().linger() + 5 * TICK);
+      site.jump(site.limits().drainMoveTime() + TICK);
+      site.jump(site.limits().lingerTimeout() + 5 * TICK);
       slow.send("at,d=2000\r\n");
       assertEquals("BUSY 1000", slow.line());
       assertTrue(stop.isAlive(), "the process would be gone");
-      site.jump(site.limits().drainMost());
+      site.jump(site.limits().drainTimeout());
       stop.join();
     }
   }
@@ -134,7 +134,7 @@
       site.settle();
       Held held = site.hold();
       resting.send("OPEN 00000000000000aa k c=chat,d=2000\r\n").awaitUnread(30);
-      try (Held ended = Orders.jump(site, held, site.limits().drainMost() + TICK)) {
+      try (Held ended = Orders.jump(site, held, site.limits().drainTimeout() + TICK)) {
         stop.join();
         // From here on the process is gone.
         assertEquals("BUSY 1000", resting.line());
@@ -152,12 +152,12 @@
   void everyoneInTheQueueIsAnsweredWhenAllPlacesAreTaken() throws Exception {
     try (Site site = Site.of(ProxyTest::sendOnce, setup -> setup.sockets = 256)) {
       List<Peer> inside = new ArrayList<>();
-      for (int i = 0; i < site.limits().clients(); i++) {
+      for (int i = 0; i < site.limits().maxClients(); i++) {
         inside.add(site.client("c=chat,d=2000"));
         up(site, inside.get(i));
       }
       List<Peer> silent = new ArrayList<>();
-      for (int i = 0; i < site.limits().pending(); i++) {
+      for (int i = 0; i < site.limits().maxPending(); i++) {
         silent.add(site.client().send("PING\r\n"));
         assertEquals("PONG", silent.get(i).line());
       }
@@ -165,12 +165,12 @@
       site.settle();
       Held held = site.hold();
       List<Peer> waiting = new ArrayList<>();
-      for (int i = 0; i < 2 * site.limits().accepted(); i++) {
+      for (int i = 0; i < 2 * site.limits().maxAccepted(); i++) {
         waiting.add(site.client("c=chat,d=2000"));
       }
       site.awaitQueued(waiting.size());
       waiting.get(waiting.size() - 1).awaitUnread(30);
-      Orders.jump(site, held, site.limits().drainAccept() + TICK).release();
+      Orders.jump(site, held, site.limits().drainAcceptTime() + TICK).release();
       for (Peer client : waiting) {
         assertEquals("BUSY 1000", client.line());
         assertNull(client.line());
@@ -186,7 +186,7 @@
   @Test
   void theQueueIsEmptiedOnce() throws Exception {
     Limits limits = Limits.of(1024, 192, 500_000, 5_000_000, 2_000_000);
-    Net net = new Net(limits, new Faults(new PlainLog(System.err)));
+    Net net = new Net(limits, new TaskGuard(new PlainLog(System.err)));
     try {
       AtomicInteger come = new AtomicInteger();
       Listener[] listener = new Listener[1];
@@ -195,11 +195,11 @@
         assertTrue(come.incrementAndGet() < 10_000, "there is always one more");
         assertDoesNotThrow(() -> connect(listener[0].address()).close());
       };
-      net.run(() -> {
+      net.runAndWait(() -> {
         listener[0] = net.listen(Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)),
-            limits.accepted(), comeAgain);
+            limits.maxAccepted(), comeAgain);
         connect(listener[0].address()).close();
-        listener[0].acceptRestAndClose(() -> { });
+        listener[0].acceptBacklogAndClose(() -> { });
         return null;
       });
       assertTrue(come.get() < 10_000, "accepted " + come.get());
@@ -244,7 +244,7 @@
       setup.longestDeadline = SHORT;
     })) {
       List<Peer> clients = new ArrayList<>();
-      for (int i = 0; i < 4 * site.limits().lingering(); i++) {
+      for (int i = 0; i < 4 * site.limits().maxLingering(); i++) {
         clients.add(site.client("c=chat,d=2000"));
         up(site, clients.get(i)).send(inTheMiddleOfALine ? "whole\r\nhal" : "whole\r\n");
         assertEquals("whole", clients.get(i).line());
@@ -252,7 +252,7 @@
       Thread stop = Orders.stop(site);
       site.settle();
       if (!inTheMiddleOfALine) {
-        site.jump(site.limits().drainAccept() + TICK);
+        site.jump(site.limits().drainAcceptTime() + TICK);
       }
       Held held = site.hold();
       for (Peer client : clients) {
@@ -265,7 +265,7 @@
         assertNull(client.line());
         assertDoesNotThrow(() -> client.send("more\r\n"), "a reset would have come");
       }
-      site.jump(site.limits().drainMost());
+      site.jump(site.limits().drainTimeout());
       stop.join();
     }
   }
@@ -302,7 +302,7 @@
         }
         assertEquals("MOVE", last);
       }
-      site.jump(site.limits().linger() + TICK);
+      site.jump(site.limits().lingerTimeout() + TICK);
       stop.join();
       flood.join();
     }
@@ -386,7 +386,7 @@
       site.await(Wake.class);
       site.settle();
       assertEquals(1, site.figure("attempts"), "none but the first");
-      site.jump(site.limits().drainMost());
+      site.jump(site.limits().drainTimeout());
       stop.join();
     }
   }
@@ -413,7 +413,7 @@
       assertNull(site.atServer().line());
       assertEquals(Outcome.CANCELLED, site.await(Ended.class).outcome());
       assertEquals(1, site.figure("attempts"), "none but the first");
-      site.jump(site.limits().drainMost());
+      site.jump(site.limits().drainTimeout());
       stop.join();
     }
   }
@@ -497,14 +497,14 @@
       Peer server = site.atServer();
       server.line();
       Thread first = Orders.stop(site);
-      site.jump(site.limits().drainAccept() + TICK);
-      site.jump(site.limits().drainHold() + TICK);
+      site.jump(site.limits().drainAcceptTime() + TICK);
+      site.jump(site.limits().drainHoldTime() + TICK);
       Thread second = Orders.stop(site);
       site.settle();
       server.send("BUSY\r\n");
       assertEquals("BUSY 250", client.line());
       assertNull(client.line());
-      site.jump(site.limits().linger() + TICK);
+      site.jump(site.limits().lingerTimeout() + TICK);
       try (Held held = site.hold()) {
         first.join(PATIENCE_MS);
         assertFalse(first.isAlive(), "it waits for the second one's times");
--- a/proxy/src/test/java/lemondeal/proxy/StartedProgram.java
+++ b/proxy/src/test/java/lemondeal/proxy/StartedProgram.java
@@ -45,9 +45,9 @@
         .replace("\"instances\": []", "\"instances\": " + known));
     // The library's own words at its start would stand still there.
     Path quiet = Files.writeString(folder.resolve("logging.properties"), ".level=OFF\n");
-    List<String> command = new ArrayList<>(ProgramCommands.OWN_SIGNALS);
+    List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
     command.addAll(List.of("perl", "-MFcntl", "-e", FILL, ProgramCommands.java(),
-        "-Djava.util.logging.config.file=" + quiet, "-cp", ProgramCommands.classes(), "lemondeal.Main", "serve"));
+        "-Djava.util.logging.config.file=" + quiet, "-cp", ProgramCommands.classPath(), "lemondeal.Main", "serve"));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_LISTEN", "127.0.0.1:0",
         "GW_DISCOVERY", "127.0.0.1:1"));
--- a/proxy/src/test/java/lemondeal/proxy/TermTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/TermTest.java
@@ -70,8 +70,8 @@
   void aStopIsOverBeforeItIsKilled(long deadline) {
     Limits limits = Limits.of(1024, 192, SECOND, SECOND, deadline);
     long kill = Math.min(LONGEST_COUNTED, deadline) + KILL_AFTER_DEADLINE;
-    assertTrue(limits.drainMost() <= kill - 100_000, "a stop takes " + limits.drainMost());
-    assertTrue(limits.drainAccept() >= COMING);
+    assertTrue(limits.drainTimeout() <= kill - 100_000, "a stop takes " + limits.drainTimeout());
+    assertTrue(limits.drainAcceptTime() >= COMING);
   }
 
   @ParameterizedTest
@@ -120,7 +120,7 @@
         clients.add(site.client("c=chat,d=2000"));
       }
       // The program stands still until the time to close the socket is over: that is what is tested.
-      Thread.sleep(site.limits().drainAccept() / 1000 + 50);
+      Thread.sleep(site.limits().drainAcceptTime() / 1000 + 50);
       come.countDown();
       for (Peer client : clients) {
         assertTrue(client.line().startsWith("BUSY "));
--- a/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Random;
 import lemondeal.log.PlainLog;
-import lemondeal.net.Faults;
+import lemondeal.net.TaskGuard;
 import lemondeal.net.Timers.Timer;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -27,7 +27,7 @@
   private int woken;
   private final ByteArrayOutputStream told = new ByteArrayOutputStream();
   private final PrintStream log = new PrintStream(told, true);
-  private final TimerWheel wheel = new TimerWheel(() -> now, TICK, 16, new Faults(new PlainLog(log)), () -> woken++);
+  private final TimerWheel wheel = new TimerWheel(() -> now, TICK, 16, new TaskGuard(new PlainLog(log)), () -> woken++);
   private final List<String> ran = new ArrayList<>();
 
   private void passTo(long time) {
