--- a/lab/src/main/java/lemondeal/lab/evacuation/Checker.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/Checker.java
@@ -26,7 +26,7 @@
   public void wrote(long at, int member, int zone, long epoch, boolean votes) { }
 
   /** A decision became known to a member. */
-  public void decided(long at, int member, Evacuation.Decided decided) { }
+  public void decided(long at, int member, Evacuation.Decision decided) { }
 
   public void sent(long at, int member, int zone, int key, int server) { }
 
--- a/lab/src/main/java/lemondeal/lab/evacuation/LeavesInTime.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/LeavesInTime.java
@@ -37,12 +37,12 @@
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decided decided) {
+  public void decided(long at, int member, Evacuation.Decision decided) {
     Failure failure = failures.get(decided.zone());
     if (failure == null) {
       return;
     }
-    if (!decided.leaves()) {
+    if (!decided.evacuates()) {
       failure.returned = true;
     } else if (failure.left.add(member) && failure.majorityAt < 0 && failure.left.size() * 2 > members) {
       failure.majorityAt = at;
--- a/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
@@ -18,10 +18,10 @@
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decided decided) {
+  public void decided(long at, int member, Evacuation.Decision decided) {
     boolean reason = script.faults().stream().anyMatch(fault -> hits(fault, decided.zone())
         && fault.to() - fault.from() >= BLIP && fault.from() + BLIP <= at && fault.to() + RECENT >= at);
-    if (decided.leaves() && decided.here() && !reason) {
+    if (decided.evacuates() && decided.countedHere() && !reason) {
       breach(at + " ms: member " + member + " leaves zone " + decided.zone() + " for nothing that lasts");
     }
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/MajorityBehindDecisions.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/MajorityBehindDecisions.java
@@ -29,8 +29,8 @@
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decided decided) {
-    if (!decided.here()) {
+  public void decided(long at, int member, Evacuation.Decision decided) {
+    if (!decided.countedHere()) {
       return;
     }
     // The one that counts may vote in the same moment, before it has told anybody.
--- a/lab/src/main/java/lemondeal/lab/evacuation/Member.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/Member.java
@@ -8,9 +8,9 @@
 import java.util.Random;
 import lemondeal.evacuation.Evacuation;
 import lemondeal.evacuation.EvacuationState;
-import lemondeal.evacuation.Named;
-import lemondeal.evacuation.ZoneGate;
-import lemondeal.evacuation.ZoneStanding;
+import lemondeal.evacuation.ZoneMembership;
+import lemondeal.evacuation.ZoneRateLimiter;
+import lemondeal.evacuation.ZoneAccess;
 
 /** One simulated proxy: clients that come in, attempts that end, a clock of its own, and what it keeps on disk. */
 final class Member {
@@ -25,7 +25,7 @@
 
   private final Model model;
   final int place;
-  private final Named named;
+  private final ZoneMembership named;
   private final Random random;
   private final long clockOffset;
   private final double clockRate;
@@ -33,21 +33,21 @@
   private final long[] passUntil;
   private byte[] kept = EvacuationState.NONE.encode();
   private Evacuation evacuation;
-  private ZoneGate gate;
+  private ZoneRateLimiter gate;
   private long incarnation;
   private final int[] came;
   private long countedAt;
   private long rowDue;
   private long probeDue;
 
-  Member(Model model, Named named, Random random) {
+  Member(Model model, ZoneMembership named, Random random) {
     this.model = model;
     this.named = named;
     this.random = random;
-    place = named.self();
+    place = named.selfIndex();
     clockOffset = random.nextInt(1_000_000_000);
     // Clocks run apart by less than half of what the settings allow, each way.
-    clockRate = 1 + (random.nextDouble() - 0.5) * model.settings().drift();
+    clockRate = 1 + (random.nextDouble() - 0.5) * model.settings().maxClockDrift();
     passUntil = new long[model.servers()];
     came = new int[model.zones()];
   }
@@ -70,10 +70,10 @@
     Optional<EvacuationState> whole = damaged ? Optional.empty() : EvacuationState.decode(kept);
     incarnation = Math.max(incarnation + 1, at);
     evacuation = model.make(named, incarnation, whole, clock(at));
-    gate = new ZoneGate(named, clock(at));
+    gate = new ZoneRateLimiter(named, clock(at));
     Arrays.fill(passUntil, Long.MIN_VALUE);
     for (int server = 0; server < model.servers(); server++) {
-      evacuation.watch().ready("s" + server, model.zone(server));
+      evacuation.healthTracker().serverReady("s" + server, model.zone(server));
     }
     rowDue = clock(at) + random.nextInt(200);
     probeDue = clock(at) + random.nextInt((int) PROBE_EVERY);
@@ -81,12 +81,12 @@
 
   void hear(String from, byte[] row) {
     if (runs()) {
-      evacuation.hear(from, row);
+      evacuation.receiveReport(from, row);
     }
   }
 
-  ZoneStanding standing(int zone, long at) {
-    return evacuation.standing(zone, clock(at));
+  ZoneAccess standing(int zone, long at) {
+    return evacuation.access(zone, clock(at));
   }
 
   /** One turn: what ended is told, then the module judges, a client comes in, a row goes out. */
@@ -95,8 +95,8 @@
     while (!out.isEmpty() && out.peek().ends() <= at) {
       over(out.poll(), at, now);
     }
-    evacuation.watch().listed(now);
-    List<Evacuation.Decided> decided = evacuation.tick(now);
+    evacuation.healthTracker().listConfirmed(now);
+    List<Evacuation.Decision> decided = evacuation.tick(now);
     decided.forEach(one -> model.decided(at, place, one));
     if (!decided.isEmpty()) {
       kept = evacuation.state().encode();
@@ -107,17 +107,17 @@
     if (now >= probeDue) {
       probeDue = now + PROBE_EVERY;
       for (int zone = 0; zone < model.zones(); zone++) {
-        probeDue = evacuation.suspects(zone, now) ? now + PROBE_SUSPECT : probeDue;
+        probeDue = evacuation.suspectsFailure(zone, now) ? now + PROBE_SUSPECT : probeDue;
         attempt(zone * model.servers() / model.zones() + random.nextInt(model.servers() / model.zones()), -1, at);
       }
     }
-    if (now >= rowDue || evacuation.tellNow()) {
-      rowDue = now + model.settings().tell();
+    if (now >= rowDue || evacuation.reportDue()) {
+      rowDue = now + model.settings().reportInterval();
       for (int zone = 0; zone < model.zones(); zone++) {
-        ZoneStanding standing = evacuation.standing(zone, now);
-        model.wrote(at, place, zone, standing.epoch(), evacuation.votes(zone));
+        ZoneAccess standing = evacuation.access(zone, now);
+        model.wrote(at, place, zone, standing.epoch(), evacuation.votesForNextEpoch(zone));
       }
-      model.send(at, place, evacuation.row(now));
+      model.send(at, place, evacuation.nextReport(now));
     }
   }
 
@@ -125,13 +125,13 @@
     String server = "s" + attempt.server();
     if (attempt.answered()) {
       if (attempt.late()) {
-        evacuation.watch().late(server, now);
+        evacuation.healthTracker().recordLate(server, now);
       } else {
-        evacuation.watch().word(server, now);
+        evacuation.healthTracker().recordResponse(server, now);
       }
       return;
     }
-    evacuation.watch().silent(server, now - clock(attempt.began()), now);
+    evacuation.healthTracker().recordTimeout(server, now - clock(attempt.began()), now);
     passUntil[attempt.server()] = now + PASS_OVER;
     if (attempt.key() >= 0) {
       place(attempt.key(), at, now);
@@ -143,7 +143,7 @@
     came[model.zone(model.ranking(key)[0])]++;
     if (now - countedAt >= 1_000) {
       for (int zone = 0; zone < came.length; zone++) {
-        evacuation.demand(zone, came[zone] * 1_000.0 / (now - countedAt));
+        evacuation.setDemand(zone, came[zone] * 1_000.0 / (now - countedAt));
       }
       Arrays.fill(came, 0);
       countedAt = now;
@@ -154,7 +154,7 @@
   /** The key's highest server that is not passed over and whose zone may be sent to takes the client. */
   private void place(int key, long at, long now) {
     for (int server : model.ranking(key)) {
-      if (passUntil[server] <= now && gate.admits(evacuation.standing(model.zone(server), now), now)) {
+      if (passUntil[server] <= now && gate.tryAcquire(evacuation.access(model.zone(server), now), now)) {
         model.sent(at, place, model.zone(server), key, server);
         attempt(server, key, at);
         return;
--- a/lab/src/main/java/lemondeal/lab/evacuation/Model.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/Model.java
@@ -12,9 +12,9 @@
 import lemondeal.evacuation.Evacuation;
 import lemondeal.evacuation.EvacuationSettings;
 import lemondeal.evacuation.EvacuationState;
-import lemondeal.evacuation.Named;
-import lemondeal.evacuation.Opening;
-import lemondeal.evacuation.ZoneStanding;
+import lemondeal.evacuation.ZoneMembership;
+import lemondeal.evacuation.SlowStartRamp;
+import lemondeal.evacuation.ZoneAccess;
 
 /** A fleet, its zones and what goes wrong between them, in steps of ten milliseconds. The same seed, the same run. */
 public final class Model {
@@ -28,7 +28,7 @@
 
   /** Makes a member's evacuation: the real one, or one with a mistake that a checker has to find. */
   public interface Maker {
-    Evacuation make(Named named, EvacuationSettings settings, Opening opening, long incarnation,
+    Evacuation make(ZoneMembership named, EvacuationSettings settings, SlowStartRamp opening, long incarnation,
         Optional<EvacuationState> kept, long now);
   }
 
@@ -36,7 +36,7 @@
    * @param vantages the zone of each member
    * @param longest milliseconds after the last fault within which all must be open again
    */
-  public record Shape(int[] vantages, int zones, int serversPerZone, EvacuationSettings settings, Opening opening,
+  public record Shape(int[] vantages, int zones, int serversPerZone, EvacuationSettings settings, SlowStartRamp opening,
       long longest) {
     public int members() {
       return vantages.length;
@@ -71,10 +71,10 @@
     random = new Random(seed);
     told = new String[shape.members() * shape.zones()];
     checkers.forEach(checker -> checker.tellTo((rule, what) -> breaches.add(rule + ": " + what)));
-    List<Named.Proxy> names = IntStream.range(0, shape.members())
-        .mapToObj(i -> new Named.Proxy(name(i), shape.vantages()[i])).toList();
+    List<ZoneMembership.Member> names = IntStream.range(0, shape.members())
+        .mapToObj(i -> new ZoneMembership.Member(name(i), shape.vantages()[i])).toList();
     for (int i = 0; i < shape.members(); i++) {
-      members.add(new Member(this, Named.of(names, name(i)), new Random(seed * 1_000 + i)));
+      members.add(new Member(this, ZoneMembership.of(names, name(i)), new Random(seed * 1_000 + i)));
     }
     for (int key = 0; key < KEYS; key++) {
       int of = key;
@@ -108,7 +108,7 @@
 
   private boolean allOpen(long at) {
     return members.stream().allMatch(member -> member.runs() && IntStream.range(0, shape.zones())
-        .allMatch(zone -> member.standing(zone, at).state() == ZoneStanding.State.OPEN));
+        .allMatch(zone -> member.standing(zone, at).state() == ZoneAccess.State.OPEN));
   }
 
   private void step(long at) {
@@ -170,8 +170,8 @@
       double[] shares = new double[members.size()];
       for (Member member : members) {
         if (member.runs() && !stands(member.place, at)) {
-          ZoneStanding standing = member.standing(zone, at);
-          shares[member.place] = standing.perSecond();
+          ZoneAccess standing = member.standing(zone, at);
+          shares[member.place] = standing.maxPerSecond();
           tell(at, member.place, zone, standing);
         }
       }
@@ -180,7 +180,7 @@
     }
   }
 
-  private void tell(long at, int member, int zone, ZoneStanding standing) {
+  private void tell(long at, int member, int zone, ZoneAccess standing) {
     String now = standing.state() + " in epoch " + standing.epoch();
     if (!now.equals(told[member * shape.zones() + zone])) {
       told[member * shape.zones() + zone] = now;
@@ -210,7 +210,7 @@
     return rankings[key];
   }
 
-  Evacuation make(Named named, long incarnation, Optional<EvacuationState> kept, long now) {
+  Evacuation make(ZoneMembership named, long incarnation, Optional<EvacuationState> kept, long now) {
     return maker.make(named, shape.settings(), shape.opening(), incarnation, kept, now);
   }
 
@@ -255,8 +255,8 @@
     checkers.forEach(checker -> checker.wrote(at, member, zone, epoch, votes));
   }
 
-  void decided(long at, int member, Evacuation.Decided decided) {
-    trace(at, member, (decided.here() ? "decides epoch " : "hears of epoch ") + decided.epoch() + " of zone "
+  void decided(long at, int member, Evacuation.Decision decided) {
+    trace(at, member, (decided.countedHere() ? "decides epoch " : "hears of epoch ") + decided.epoch() + " of zone "
         + decided.zone());
     checkers.forEach(checker -> checker.decided(at, member, decided));
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
@@ -18,9 +18,9 @@
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decided decided) {
+  public void decided(long at, int member, Evacuation.Decision decided) {
     String key = member + "/" + decided.zone();
-    if (decided.leaves()) {
+    if (decided.evacuates()) {
       leftSince.putIfAbsent(key, at);
     } else {
       leftSince.remove(key);
--- a/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import lemondeal.evacuation.Evacuation;
-import lemondeal.evacuation.Opening;
+import lemondeal.evacuation.SlowStartRamp;
 
 /**
  * The sum of what all members may send into a zone never exceeds the fleet's budget, which grows from the moment of the
@@ -26,31 +26,31 @@
   }
 
   private final Map<Integer, Decisions> zones = new HashMap<>();
-  private final Opening opening;
+  private final SlowStartRamp opening;
   private final int members;
   private final long life;
   private double closest;
 
   /** @param life milliseconds that a share lasts, clocks' drift included */
-  public SharesWithinBudget(Opening opening, int members, long life) {
+  public SharesWithinBudget(SlowStartRamp opening, int members, long life) {
     this.opening = opening;
     this.members = members;
     this.life = life;
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decided decided) {
+  public void decided(long at, int member, Evacuation.Decision decided) {
     Decisions zone = zones.computeIfAbsent(decided.zone(), fresh -> new Decisions());
     if (decided.epoch() > zone.epoch) {
       zone.epoch = decided.epoch();
       zone.knowLeft.clear();
       zone.majorityKnowsAt = Long.MAX_VALUE / 2;
-      if (!decided.leaves()) {
+      if (!decided.evacuates()) {
         zone.returned = true;
         zone.returnedAt = at;
       }
     }
-    if (decided.leaves() && decided.epoch() == zone.epoch) {
+    if (decided.evacuates() && decided.epoch() == zone.epoch) {
       zone.knowLeft.add(member);
       if (zone.knowLeft.size() * 2 > members) {
         zone.majorityKnowsAt = Math.min(zone.majorityKnowsAt, at);
@@ -60,9 +60,9 @@
 
   private double budget(Decisions zone, long at) {
     if (zone.epoch % 2 == 1 && at > zone.majorityKnowsAt + life) {
-      return opening.first();
+      return opening.initialRate();
     }
-    return zone.returned ? opening.perSecond(at - zone.returnedAt) : Double.POSITIVE_INFINITY;
+    return zone.returned ? opening.rateAt(at - zone.returnedAt) : Double.POSITIVE_INFINITY;
   }
 
   @Override
--- a/lab/src/test/java/lemondeal/evacuation/FleetModelTest.java
+++ b/lab/src/test/java/lemondeal/evacuation/FleetModelTest.java
@@ -22,7 +22,7 @@
 
 /** Seeded faults against every rule, and fleets that lack one. In this package: mistakes have no public door. */
 class FleetModelTest {
-  private static final Opening OPENING = new Opening(5, 20, 4_000);
+  private static final SlowStartRamp OPENING = new SlowStartRamp(5, 20, 4_000);
   /** Dwells shorter than by default, so that a run sees several decisions; what ends a share is as by default. */
   private static final EvacuationSettings SETTINGS = new EvacuationSettings(EvidenceSettings.DEFAULT, 200, 1_500, 2_000,
       2_500, 4_000, 2, 8_000, 1_000, 0.01);
@@ -39,19 +39,19 @@
   }
 
   private static List<Checker> checkers(long seed) {
-    long vote = SETTINGS.outlasting(SETTINGS.voteLife());
-    long share = SETTINGS.outlasting(SETTINGS.shareLife());
+    long vote = SETTINGS.withClockDrift(SETTINGS.voteTtl());
+    long share = SETTINGS.withClockDrift(SETTINGS.leaseTtl());
     return List.of(new EpochsGrow(), new MajorityBehindDecisions(SHAPE.members(), vote), new NoSendToLeftZone(),
         new SharesWithinBudget(OPENING, SHAPE.members(), share),
         new LeavesInTime(SHAPE.members()), new KeysReturn(Script.FROM, 3_000),
         new LittleMovesNobody(script(seed)));
   }
 
-  private static Model model(long seed, List<Checker> checkers, Supplier<Agreement> agreement) {
+  private static Model model(long seed, List<Checker> checkers, Supplier<QuorumRules> agreement) {
     return model(seed, SHAPE, checkers, agreement);
   }
 
-  private static Model model(long seed, Model.Shape shape, List<Checker> checkers, Supplier<Agreement> agreement) {
+  private static Model model(long seed, Model.Shape shape, List<Checker> checkers, Supplier<QuorumRules> agreement) {
     return new Model(seed, shape, script(seed), (named, settings, opening, incarnation, kept, now) ->
             new Evacuation(named, settings, opening, incarnation, kept, now, agreement.get()), checkers);
   }
@@ -66,7 +66,7 @@
     long began = System.nanoTime();
     for (long seed = 1; seed <= SEEDS; seed++) {
       List<Checker> checkers = checkers(seed);
-      Model model = model(seed, checkers, Agreement::new);
+      Model model = model(seed, checkers, QuorumRules::new);
       assertEquals(List.of(), model.run(), "seed " + seed + "\n" + model.trace() + "\nseed " + seed);
       closest = Math.max(closest, ((SharesWithinBudget) checkers.get(3)).closest());
       slowest = Math.max(slowest, ((LeavesInTime) checkers.get(4)).slowest());
@@ -78,11 +78,11 @@
   }
 
   /** Rules that some seed sees broken without this part. */
-  private static Set<String> brokenBy(Supplier<Agreement> mistake) {
+  private static Set<String> brokenBy(Supplier<QuorumRules> mistake) {
     return broken(SHAPE, 2, mistake);
   }
 
-  private static Set<String> broken(Model.Shape shape, long from, Supplier<Agreement> mistake) {
+  private static Set<String> broken(Model.Shape shape, long from, Supplier<QuorumRules> mistake) {
     Set<String> rules = new TreeSet<>();
     for (long seed = from; seed <= from + 60; seed += 2) {
       model(seed, shape, checkers(seed), mistake).run().forEach(breach -> rules.add(breach.replaceFirst(":.*", "")));
@@ -92,9 +92,9 @@
 
   @Test
   void withoutTheMajorityRuleACheckerTrips() {
-    Set<String> rules = brokenBy(() -> new Agreement() {
+    Set<String> rules = brokenBy(() -> new QuorumRules() {
       @Override
-      boolean majority(int voters, int members) {
+      boolean isMajority(int voters, int members) {
         return voters >= 1;
       }
     });
@@ -103,9 +103,9 @@
 
   @Test
   void withoutTheExpiryOfSharesACheckerTrips() {
-    Set<String> rules = brokenBy(() -> new Agreement() {
+    Set<String> rules = brokenBy(() -> new QuorumRules() {
       @Override
-      boolean shareStands(int backers, int members) {
+      boolean leaseHolds(int backers, int members) {
         return true;
       }
     });
@@ -114,9 +114,9 @@
 
   @Test
   void withoutTheCheckOfEpochsACheckerTrips() {
-    Set<String> rules = brokenBy(() -> new Agreement() {
+    Set<String> rules = brokenBy(() -> new QuorumRules() {
       @Override
-      boolean newer(long told, long known) {
+      boolean isNewerEpoch(long told, long known) {
         return told != known;
       }
     });
@@ -125,9 +125,9 @@
 
   @Test
   void withLoansThatAreNotHeldBackACheckerTrips() {
-    Set<String> rules = broken(SHAPE, 1, () -> new Agreement() {
+    Set<String> rules = broken(SHAPE, 1, () -> new QuorumRules() {
       @Override
-      double heldBack(double lent) {
+      double reservedForLoans(double lent) {
         return 0;
       }
     });
@@ -137,7 +137,7 @@
   private static Set<String> brokenWith(EvidenceSettings evidence) {
     EvacuationSettings settings = new EvacuationSettings(evidence, 200, 1_500, 2_000, 2_500, 4_000, 2, 8_000, 1_000,
         0.01);
-    return broken(new Model.Shape(SHAPE.vantages(), 3, 4, settings, OPENING, 400_000), 1, Agreement::new);
+    return broken(new Model.Shape(SHAPE.vantages(), 3, 4, settings, OPENING, 400_000), 1, QuorumRules::new);
   }
 
   @Test
--- a/lab/src/test/java/lemondeal/lab/evacuation/CheckersTest.java
+++ b/lab/src/test/java/lemondeal/lab/evacuation/CheckersTest.java
@@ -19,7 +19,7 @@
   @Test
   void aSendToALeftZoneIsCaughtAfterASecond() {
     NoSendToLeftZone checker = told(new NoSendToLeftZone());
-    checker.decided(100, 1, new Evacuation.Decided(2, 3, false));
+    checker.decided(100, 1, new Evacuation.Decision(2, 3, false));
     checker.sent(1_100, 1, 2, 0, 0);
     checker.sent(5_000, 0, 2, 0, 0);
     checker.sent(5_000, 1, 1, 0, 0);
@@ -27,7 +27,7 @@
     checker.started(1_100, 1, true);
     checker.sent(1_101, 1, 2, 0, 0);
     assertEquals(List.of("NoSendToLeftZone"), breaches);
-    checker.decided(2_000, 1, new Evacuation.Decided(2, 4, false));
+    checker.decided(2_000, 1, new Evacuation.Decision(2, 4, false));
     checker.sent(6_000, 1, 2, 0, 0);
     assertEquals(1, breaches.size(), "returned");
   }
--- a/proxy/src/main/java/lemondeal/OperatorFeatures.java
+++ b/proxy/src/main/java/lemondeal/OperatorFeatures.java
@@ -21,7 +21,7 @@
 import lemondeal.discovery.ListSource;
 import lemondeal.fleet.FleetMember;
 import lemondeal.fleet.FleetSettings;
-import lemondeal.fleet.link.GroupLink;
+import lemondeal.fleet.link.JGroupsTransport;
 import lemondeal.log.EventLog;
 import lemondeal.log.JsonLog;
 import lemondeal.log.PlainLog;
@@ -43,7 +43,7 @@
   /** Null unless the proxies of the fleet tell each other rows. */
   private FleetMember fleetMember;
   /** Null unless the fleet leaves zones together. */
-  private ZonesTogether evacuation;
+  private ZoneEvacuationService evacuation;
   private long incarnation;
   /** Null unless servers are listed by Consul, and until the proxy has made it. */
   private ConsulServices consul;
@@ -85,13 +85,13 @@
       throw new ConfigException(section.fault("fleet: the platform's settings forbid that proxies tell each other anything"
           + " (permissions.mayTell is not true); allowed: no section fleet").toString());
     }
-    if (!settings.roster().names(name)) {
+    if (!settings.roster().contains(name)) {
       throw new ConfigException(section.fault("fleet.members: this proxy, '" + name + "', is not among them; allowed: its"
           + " name there, or fleet.name").toString());
     }
     // Greater than before a restart, as long as this machine's own clock is not set back: docs/FLEET-DESIGN.md.
     incarnation = System.currentTimeMillis();
-    return new FleetMember(settings, name, incarnation, new GroupLink(settings, name, incarnation, log), log);
+    return new FleetMember(settings, name, incarnation, new JGroupsTransport(settings, name, incarnation, log), log);
   }
 
   /** Begins what needs the running proxy; throws where an address can't be listened on. */
@@ -105,7 +105,7 @@
       proxy.addFigures(this::addTo);
     }
     if (evacuation != null) {
-      evacuation.begin(proxy);
+      evacuation.start(proxy);
     }
   }
 
@@ -165,7 +165,7 @@
     if (operator.fleet() == null || operator.fleet().evacuation() == null) {
       return placement;
     }
-    evacuation = new ZonesTogether(operator.fleet(), config, fleetMember, incarnation, System.currentTimeMillis(), placement, log);
+    evacuation = new ZoneEvacuationService(operator.fleet(), config, fleetMember, incarnation, System.currentTimeMillis(), placement, log);
     return evacuation.module();
   }
 
--- a/proxy/src/main/java/lemondeal/evacuation/Evacuation.java
+++ b/proxy/src/main/java/lemondeal/evacuation/Evacuation.java
@@ -19,36 +19,36 @@
  */
 public final class Evacuation {
   /** Zones held at most; what rows tell of others is left. */
-  private static final int MOST_ZONES = 64;
+  private static final int MAX_ZONES = 64;
 
-  private final Named named;
+  private final ZoneMembership membership;
   private final EvacuationSettings settings;
-  private final Agreement agreement;
-  private final Shares shares;
-  private final ZoneWatch watch;
-  private final Hearing hearing;
-  private final Map<Integer, Course> courses = new TreeMap<>();
-  private final Set<Integer> ready = new TreeSet<>();
-  private final EvacuationState saved;
-  private final int toAsk;
+  private final QuorumRules quorumRules;
+  private final RecoveryBudget recoveryBudget;
+  private final ZoneHealthTracker healthTracker;
+  private final PeerReports peerReports;
+  private final Map<Integer, ZoneState> zoneStates = new TreeMap<>();
+  private final Set<Integer> readyZones = new TreeSet<>();
+  private final EvacuationState savedState;
+  private final int requiredAnswers;
   private final long incarnation;
   private final long startedAt;
-  private long beat;
-  private long tickedAt;
+  private long reportSequence;
+  private long lastTickAt;
   /** Whether enough others have answered since the start. */
-  private boolean asked;
+  private boolean startupQuorumReached;
   /** Whether it knows all that it ever knew: what was kept was whole, or the others have told it. */
-  private boolean remembers;
-  private boolean tellNow;
-  private byte[] plan;
+  private boolean hasFullHistory;
+  private boolean reportDue;
+  private byte[] planDigest;
 
   /**
    * A decision as this proxy came to know it.
    *
    * @param here whether it counted the votes itself
    */
-  public record Decided(int zone, long epoch, boolean here) {
-    public boolean leaves() {
+  public record Decision(int zone, long epoch, boolean countedHere) {
+    public boolean evacuates() {
       return epoch % 2 == 1;
     }
   }
@@ -59,49 +59,49 @@
    * @param kept what was kept on disk, {@link EvacuationState#NONE} on the first start ever; empty where it is
    *     damaged or lost: the proxy may then have been one of a majority that it does not remember
    */
-  public Evacuation(Named named, EvacuationSettings settings, Opening usual, long incarnation,
-      Optional<EvacuationState> kept, long now) {
-    this(named, settings, usual, incarnation, kept, now, new Agreement());
+  public Evacuation(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp defaultRamp, long incarnation,
+      Optional<EvacuationState> restored, long now) {
+    this(membership, settings, defaultRamp, incarnation, restored, now, new QuorumRules());
   }
 
-  Evacuation(Named named, EvacuationSettings settings, Opening usual, long incarnation, Optional<EvacuationState> kept,
-      long now, Agreement agreement) {
-    this.named = named;
+  Evacuation(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp defaultRamp, long incarnation, Optional<EvacuationState> restored,
+      long now, QuorumRules quorumRules) {
+    this.membership = membership;
     this.settings = settings;
-    this.agreement = agreement;
-    saved = kept.orElse(EvacuationState.NONE);
-    remembers = kept.isPresent();
-    toAsk = toAsk(named.size(), remembers);
+    this.quorumRules = quorumRules;
+    savedState = restored.orElse(EvacuationState.NONE);
+    hasFullHistory = restored.isPresent();
+    requiredAnswers = requiredAnswers(membership.size(), hasFullHistory);
     this.incarnation = incarnation;
-    plan = saved.plan();
+    planDigest = savedState.planDigest();
     startedAt = now;
-    tickedAt = now;
-    watch = new ZoneWatch(settings.evidence());
-    hearing = new Hearing(named);
-    shares = new Shares(named, settings, agreement, hearing, usual);
-    saved.zones().keySet().stream().limit(MOST_ZONES).forEach(this::course);
+    lastTickAt = now;
+    healthTracker = new ZoneHealthTracker(settings.evidence());
+    peerReports = new PeerReports(membership);
+    recoveryBudget = new RecoveryBudget(membership, settings, quorumRules, peerReports, defaultRamp);
+    savedState.zones().keySet().stream().limit(MAX_ZONES).forEach(this::zoneState);
   }
 
   /**
    * Others that a starting proxy must hear: with it they are a majority if it remembers what it knew. If not, it may
    * have been one of the majority that decided, and must meet that majority's others.
    */
-  private static int toAsk(int members, boolean remembers) {
+  private static int requiredAnswers(int members, boolean hasFullHistory) {
     int majority = members / 2 + 1;
-    return Math.min(members - 1, remembers ? majority - 1 : members - majority + 1);
+    return Math.min(members - 1, hasFullHistory ? majority - 1 : members - majority + 1);
   }
 
   /** Where this proxy's observations go. */
-  public ZoneWatch watch() {
-    return watch;
+  public ZoneHealthTracker healthTracker() {
+    return healthTracker;
   }
 
   /**
    * From now on the zone opens like this. Every proxy of the fleet must be told the same, from settings alone; one that
    * knows of less room may hold its own down with {@link Opening#within}, as less is always safe.
    */
-  public void opening(int zone, Opening opening) {
-    shares.opening(zone, opening);
+  public void setRamp(int zone, SlowStartRamp ramp) {
+    recoveryBudget.ramp(zone, ramp);
   }
 
   /**
@@ -110,18 +110,18 @@
    *
    * @param perSecond new connections a second
    */
-  public void demand(int zone, double perSecond) {
-    shares.demand(zone, perSecond);
+  public void setDemand(int zone, double perSecond) {
+    recoveryBudget.setDemand(zone, perSecond);
   }
 
   /** Takes the newest content of a proxy's row; one that is not usable is counted and changes nothing. */
-  public void hear(String owner, byte[] content) {
-    hearing.hear(owner, content);
+  public void receiveReport(String owner, byte[] content) {
+    peerReports.receive(owner, content);
   }
 
   /** Rows that were not usable so far. */
-  public long ignoredRows() {
-    return hearing.ignored();
+  public long ignoredReports() {
+    return peerReports.ignoredReports();
   }
 
   /**
@@ -129,223 +129,223 @@
    *
    * @return decisions that became known, in order
    */
-  public List<Decided> tick(long now) {
-    long passed = now - tickedAt;
-    tickedAt = now;
-    if (passed * 2 > settings.evidence().blip()) {
-      watch.stoodStill();
-      courses.values().forEach(course -> course.stoodStill(now));
+  public List<Decision> tick(long now) {
+    long elapsed = now - lastTickAt;
+    lastTickAt = now;
+    if (elapsed * 2 > settings.evidence().minOutage()) {
+      healthTracker.clearFailures();
+      zoneStates.values().forEach(state -> state.resetAfterPause(now));
     }
-    look(now);
-    asked |= hearing.answered(settings.voteLife(), now) >= toAsk;
-    remembers |= asked;
-    List<Decided> decided = new ArrayList<>();
-    for (Course course : courses.values()) {
-      follow(course, now, decided);
+    updateObservations(now);
+    startupQuorumReached |= peerReports.answeredPeers(settings.voteTtl(), now) >= requiredAnswers;
+    hasFullHistory |= startupQuorumReached;
+    List<Decision> decisions = new ArrayList<>();
+    for (ZoneState state : zoneStates.values()) {
+      adoptNewerEpoch(state, now, decisions);
     }
-    Map<Integer, Verdict> verdicts = verdicts(now);
-    for (Course course : courses.values()) {
-      vote(course, verdicts.getOrDefault(course.zone, Verdict.UNKNOWN), now);
-      count(course, now, decided);
+    Map<Integer, ZoneDiagnosis> diagnoses = localDiagnoses(now);
+    for (ZoneState state : zoneStates.values()) {
+      updateVote(state, diagnoses.getOrDefault(state.zone, ZoneDiagnosis.UNKNOWN), now);
+      countVotes(state, now, decisions);
       // What passed before this proxy learnt of the return proves nothing.
-      prove(course, Math.min(Math.min(passed, 2 * settings.tell()), now - course.learntAt), now);
+      updateRecovery(state, Math.min(Math.min(elapsed, 2 * settings.reportInterval()), now - state.epochLearnedAt), now);
     }
-    return decided;
+    return decisions;
   }
 
-  private void look(long now) {
-    ready.clear();
-    watch.zones(now).forEach((zone, evidence) -> {
-      ready.add(zone);
-      if (courses.containsKey(zone) || courses.size() < MOST_ZONES) {
-        course(zone).see(evidence.seen(settings.evidence()), now);
+  private void updateObservations(long now) {
+    readyZones.clear();
+    healthTracker.evidenceByZone(now).forEach((zone, evidence) -> {
+      readyZones.add(zone);
+      if (zoneStates.containsKey(zone) || zoneStates.size() < MAX_ZONES) {
+        zoneState(zone).observe(evidence.reachability(settings.evidence()), now);
       }
     });
-    courses.values().stream().filter(course -> !ready.contains(course.zone))
-        .forEach(course -> course.see(Seen.UNKNOWN, now));
-    for (int place = 0; place < named.size(); place++) {
-      if (hearing.row(place) != null) {
-        hearing.row(place).zones().keySet().stream().filter(zone -> courses.size() < MOST_ZONES)
-            .forEach(this::course);
+    zoneStates.values().stream().filter(state -> !readyZones.contains(state.zone))
+        .forEach(state -> state.observe(Reachability.UNKNOWN, now));
+    for (int memberIndex = 0; memberIndex < membership.size(); memberIndex++) {
+      if (peerReports.report(memberIndex) != null) {
+        peerReports.report(memberIndex).zones().keySet().stream().filter(zone -> zoneStates.size() < MAX_ZONES)
+            .forEach(this::zoneState);
       }
     }
   }
 
-  private Course course(int zone) {
-    return courses.computeIfAbsent(zone, fresh -> new Course(zone, saved.zones().get(zone), startedAt));
+  private ZoneState zoneState(int zone) {
+    return zoneStates.computeIfAbsent(zone, key -> new ZoneState(zone, savedState.zones().get(zone), startedAt));
   }
 
   /** What this proxy takes the zones' failures for, by itself. */
-  public Map<Integer, Verdict> verdicts(long now) {
-    return Verdicts.local(named.zone(), watch.zones(now), watch.listAge(now), settings.evidence());
+  public Map<Integer, ZoneDiagnosis> localDiagnoses(long now) {
+    return ZoneClassifier.classifyLocally(membership.zone(), healthTracker.evidenceByZone(now), healthTracker.listAge(now), settings.evidence());
   }
 
   /** Whether enough servers of the zone fail for asking them more often to be worth it: it may be the zone. */
-  public boolean suspects(int zone, long now) {
-    ZoneEvidence evidence = watch.zones(now).get(zone);
-    return evidence != null && evidence.failing() >= ZoneEvidence.enough(evidence.ready());
+  public boolean suspectsFailure(int zone, long now) {
+    ZoneEvidence evidence = healthTracker.evidenceByZone(now).get(zone);
+    return evidence != null && evidence.failing() >= ZoneEvidence.requiredFailing(evidence.readyServers());
   }
 
   /** The verdict on a zone with what the others see. */
-  public Verdict pooled(int zone, long now) {
-    List<Verdicts.Voice> voices = new ArrayList<>();
-    Set<Integer> live = live(now);
-    live.stream().filter(place -> place != named.self()).forEach(place ->
-        voices.add(new Verdicts.Voice(named.zone(place), hearing.row(place).word(zone).seen())));
-    return Verdicts.pooled(verdicts(now).getOrDefault(zone, Verdict.UNKNOWN), named.zone(), voices, named.size(),
-        Agreement.vantages(live, named, zone));
+  public ZoneDiagnosis diagnosisWithPeers(int zone, long now) {
+    List<ZoneClassifier.PeerObservation> observations = new ArrayList<>();
+    Set<Integer> liveMembers = liveMembers(now);
+    liveMembers.stream().filter(memberIndex -> memberIndex != membership.selfIndex()).forEach(memberIndex ->
+        observations.add(new ZoneClassifier.PeerObservation(membership.zone(memberIndex), peerReports.report(memberIndex).status(zone).reachability())));
+    return ZoneClassifier.classifyWithPeers(localDiagnoses(now).getOrDefault(zone, ZoneDiagnosis.UNKNOWN), membership.zone(), observations, membership.size(),
+        QuorumRules.requiredVantages(liveMembers, membership, zone));
   }
 
   /** Places of the proxies heard of for certain, this one included. */
-  private Set<Integer> live(long now) {
-    Set<Integer> live = new TreeSet<>();
-    for (int place = 0; place < named.size(); place++) {
-      if (place == named.self() || hearing.fresh(place, settings.voteLife(), now)) {
-        live.add(place);
+  private Set<Integer> liveMembers(long now) {
+    Set<Integer> members = new TreeSet<>();
+    for (int memberIndex = 0; memberIndex < membership.size(); memberIndex++) {
+      if (memberIndex == membership.selfIndex() || peerReports.isFresh(memberIndex, settings.voteTtl(), now)) {
+        members.add(memberIndex);
       }
     }
-    return live;
+    return members;
   }
 
   // ---- Decisions -----------------------------------------------------------------------------
 
   /** The highest epoch that anybody knows is the fleet's, however old the row is. */
-  private void follow(Course course, long now, List<Decided> decided) {
-    for (int place = 0; place < named.size(); place++) {
-      Row row = hearing.row(place);
-      if (row != null && agreement.newer(row.word(course.zone).epoch(), course.epoch)) {
-        go(course, row.word(course.zone).epoch(), row.word(course.zone).relapses(), false, now, decided);
+  private void adoptNewerEpoch(ZoneState state, long now, List<Decision> decisions) {
+    for (int memberIndex = 0; memberIndex < membership.size(); memberIndex++) {
+      EvacuationReport report = peerReports.report(memberIndex);
+      if (report != null && quorumRules.isNewerEpoch(report.status(state.zone).epoch(), state.epoch)) {
+        advance(state, report.status(state.zone).epoch(), report.status(state.zone).relapses(), false, now, decisions);
       }
     }
   }
 
-  private void go(Course course, long epoch, int relapses, boolean here, long now, List<Decided> decided) {
-    course.go(epoch, relapses, now, settings.calm());
-    decided.add(new Decided(course.zone, epoch, here));
-    tellNow = true;
+  private void advance(ZoneState state, long epoch, int relapses, boolean countedHere, long now, List<Decision> decisions) {
+    state.advanceTo(epoch, relapses, now, settings.relapseWindow());
+    decisions.add(new Decision(state.zone, epoch, countedHere));
+    reportDue = true;
   }
 
-  private void vote(Course course, Verdict verdict, long now) {
-    boolean yes = asked && (course.left() ? sound(course, now) : fails(course, verdict, now));
-    tellNow |= yes != course.votes;
-    course.vote(yes, now);
+  private void updateVote(ZoneState state, ZoneDiagnosis diagnosis, long now) {
+    boolean vote = startupQuorumReached && (state.isEvacuated() ? canReturn(state, now) : shouldEvacuate(state, diagnosis, now));
+    reportDue |= vote != state.votesForNextEpoch;
+    state.setVote(vote, now);
   }
 
-  private boolean fails(Course course, Verdict verdict, long now) {
-    return verdict.asksToLeave() && now - course.learntAt >= settings.leaveDwell()
-        && courses.values().stream().anyMatch(other -> other != course && takesOver(other, now));
+  private boolean shouldEvacuate(ZoneState state, ZoneDiagnosis diagnosis, long now) {
+    return diagnosis.supportsEvacuation() && now - state.epochLearnedAt >= settings.evacuateDwell()
+        && zoneStates.values().stream().anyMatch(other -> other != state && canTakeOver(other, now));
   }
 
   /** Whether the zone can be counted on while another is left: nobody may leave the last one. */
-  private boolean takesOver(Course other, long now) {
-    return !other.left() && other.seen.answers() && now - other.votedAt > 2 * settings.outlasting(settings.voteLife());
+  private boolean canTakeOver(ZoneState other, long now) {
+    return !other.isEvacuated() && other.reachability.isResponding() && now - other.lastVotedAt > 2 * settings.withClockDrift(settings.voteTtl());
   }
 
-  private boolean sound(Course course, long now) {
-    long dwell = settings.returnDwell(course.relapses);
-    boolean answers = now - course.answeredAt <= settings.evidence().recent();
-    return ready.contains(course.zone)
-        && course.calmFor(now) >= (answers ? dwell : dwell * settings.blindTimes());
+  private boolean canReturn(ZoneState state, long now) {
+    long dwell = settings.returnDwell(state.relapses);
+    boolean responding = now - state.lastRespondedAt <= settings.evidence().observationTtl();
+    return readyZones.contains(state.zone)
+        && state.healthyFor(now) >= (responding ? dwell : dwell * settings.unobservedDwells());
   }
 
-  private void count(Course course, long now, List<Decided> decided) {
-    Set<Integer> live = live(now);
+  private void countVotes(ZoneState state, long now, List<Decision> decisions) {
+    Set<Integer> liveMembers = liveMembers(now);
     Set<Integer> voters = new TreeSet<>();
-    for (int place : live) {
-      boolean votes = place == named.self() ? course.votes : votes(hearing.row(place).word(course.zone), course);
-      if (votes) {
-        voters.add(place);
+    for (int memberIndex : liveMembers) {
+      boolean voted = memberIndex == membership.selfIndex() ? state.votesForNextEpoch : votesForNextEpoch(peerReports.report(memberIndex).status(state.zone), state);
+      if (voted) {
+        voters.add(memberIndex);
       }
     }
-    if (!voters.isEmpty() && agreement.decides(voters, live, named, course.zone)) {
-      go(course, course.epoch + 1, 0, true, now, decided);
+    if (!voters.isEmpty() && quorumRules.hasQuorum(voters, liveMembers, membership, state.zone)) {
+      advance(state, state.epoch + 1, 0, true, now, decisions);
     }
   }
 
-  private static boolean votes(Row.Word word, Course course) {
-    return word.votes() && word.epoch() == course.epoch;
+  private static boolean votesForNextEpoch(EvacuationReport.ZoneStatus status, ZoneState state) {
+    return status.votesForNextEpoch() && status.epoch() == state.epoch;
   }
 
   // ---- Return --------------------------------------------------------------------------------
 
-  private void prove(Course course, long passed, long now) {
+  private void updateRecovery(ZoneState state, long elapsed, long now) {
     // What an earlier start of this proxy lent out must have run out first.
-    if (!course.left() && !course.opened && now - startedAt >= settings.outlasting(settings.shareLife())) {
-      shares.prove(course, shares.backed(course, remembers, now), passed, now);
+    if (!state.isEvacuated() && !state.fullyOpen && now - startedAt >= settings.withClockDrift(settings.leaseTtl())) {
+      recoveryBudget.addHealthyTime(state, recoveryBudget.hasLease(state, hasFullHistory, now), elapsed, now);
     }
     // A zone that was never left has nothing to prove, once a majority says so.
-    course.opened |= course.epoch == 0 && shares.backed(course, remembers, now);
+    state.fullyOpen |= state.epoch == 0 && recoveryBudget.hasLease(state, hasFullHistory, now);
   }
 
   // ---- What comes out ------------------------------------------------------------------------
 
   /** How this proxy stands to a zone at this moment: asked anew before each send, as a share may have run out since. */
-  public ZoneStanding standing(int zone, long now) {
-    Course course = course(zone);
-    if (!asked && now - startedAt < settings.askFor()) {
-      return ZoneStanding.none(zone, ZoneStanding.State.ASKING, course.epoch);
+  public ZoneAccess access(int zone, long now) {
+    ZoneState state = zoneState(zone);
+    if (!startupQuorumReached && now - startedAt < settings.startupQueryTimeout()) {
+      return ZoneAccess.blocked(zone, ZoneAccess.State.ASKING, state.epoch);
     }
-    if (course.left() && !allLeft()) {
-      return ZoneStanding.none(zone, ZoneStanding.State.CLOSED, course.epoch);
+    if (state.isEvacuated() && !allEvacuated()) {
+      return ZoneAccess.blocked(zone, ZoneAccess.State.CLOSED, state.epoch);
     }
-    Opening opening = shares.opening(zone);
-    if (course.left() || !shares.backed(course, remembers, now)) {
-      return new ZoneStanding(zone, ZoneStanding.State.CAREFUL, opening.open(0), shares.careful(zone), course.epoch);
+    SlowStartRamp ramp = recoveryBudget.ramp(zone);
+    if (state.isEvacuated() || !recoveryBudget.hasLease(state, hasFullHistory, now)) {
+      return new ZoneAccess(zone, ZoneAccess.State.CAREFUL, ramp.openShare(0), recoveryBudget.baselineRate(zone), state.epoch);
     }
-    if (course.opened) {
-      return new ZoneStanding(zone, ZoneStanding.State.OPEN, 1, Double.POSITIVE_INFINITY, course.epoch);
+    if (state.fullyOpen) {
+      return new ZoneAccess(zone, ZoneAccess.State.OPEN, 1, Double.POSITIVE_INFINITY, state.epoch);
     }
-    if (course.seen == Seen.UNREACHED) {
-      return ZoneStanding.none(zone, ZoneStanding.State.RELAPSING, course.epoch);
+    if (state.reachability == Reachability.UNREACHED) {
+      return ZoneAccess.blocked(zone, ZoneAccess.State.RELAPSING, state.epoch);
     }
-    return new ZoneStanding(zone, ZoneStanding.State.OPENING, opening.open(course.proven),
-        shares.perSecond(course, now), course.epoch);
+    return new ZoneAccess(zone, ZoneAccess.State.OPENING, ramp.openShare(state.healthyMillis),
+        recoveryBudget.allowedRate(state, now), state.epoch);
   }
 
   /** With every zone left, none of them is: then it is no zone's failure. */
-  private boolean allLeft() {
-    return ready.stream().allMatch(zone -> course(zone).left());
+  private boolean allEvacuated() {
+    return readyZones.stream().allMatch(zone -> zoneState(zone).isEvacuated());
   }
 
   /** Standings of all known zones, by zone. */
-  public List<ZoneStanding> standings(long now) {
-    return List.copyOf(courses.keySet()).stream().map(zone -> standing(zone, now)).toList();
+  public List<ZoneAccess> accesses(long now) {
+    return List.copyOf(zoneStates.keySet()).stream().map(zone -> access(zone, now)).toList();
   }
 
   /** Whether something changed that the others should hear before the next row is due. */
-  public boolean tellNow() {
-    return tellNow;
+  public boolean reportDue() {
+    return reportDue;
   }
 
   /** The content of the own next row. */
-  public byte[] row(long now) {
-    tellNow = false;
-    Map<Integer, Row.Word> words = new TreeMap<>();
-    courses.forEach((zone, course) -> words.put(zone, word(course, now)));
-    return hearing.write(incarnation, ++beat, remembers, words, now);
+  public byte[] nextReport(long now) {
+    reportDue = false;
+    Map<Integer, EvacuationReport.ZoneStatus> statuses = new TreeMap<>();
+    zoneStates.forEach((zone, state) -> statuses.put(zone, status(state, now)));
+    return peerReports.encodeOwn(incarnation, ++reportSequence, hasFullHistory, statuses, now);
   }
 
-  private Row.Word word(Course course, long now) {
-    boolean opens = standing(course.zone, now).state() == ZoneStanding.State.OPENING;
-    return new Row.Word(course.epoch, course.votes, course.seen, course.opened && !course.left(), course.relapses,
-        shares.wants(course, opens), shares.lend(course, opens, now));
+  private EvacuationReport.ZoneStatus status(ZoneState state, long now) {
+    boolean recovering = access(state.zone, now).state() == ZoneAccess.State.OPENING;
+    return new EvacuationReport.ZoneStatus(state.epoch, state.votesForNextEpoch, state.reachability, state.fullyOpen && !state.isEvacuated(), state.relapses,
+        recoveryBudget.wantedMilliRate(state, recovering), recoveryBudget.grantLoans(state, recovering, now));
   }
 
   /** The plan that is in force from now on, by its digest. */
-  public void plan(byte[] digest) {
-    plan = digest.clone();
+  public void setPlanDigest(byte[] digest) {
+    planDigest = digest.clone();
   }
 
   /** Whether this proxy votes for the zone's next epoch. */
-  public boolean votes(int zone) {
-    return course(zone).votes;
+  public boolean votesForNextEpoch(int zone) {
+    return zoneState(zone).votesForNextEpoch;
   }
 
   /** What is to be kept on disk whenever a decision became known. */
   public EvacuationState state() {
-    Map<Integer, EvacuationState.Zone> zones = new TreeMap<>();
-    courses.values().stream().filter(course -> course.epoch > 0).forEach(course ->
-        zones.put(course.zone, new EvacuationState.Zone(course.epoch, course.relapses)));
-    return new EvacuationState(zones, plan);
+    Map<Integer, EvacuationState.ZoneEpoch> zones = new TreeMap<>();
+    zoneStates.values().stream().filter(state -> state.epoch > 0).forEach(state ->
+        zones.put(state.zone, new EvacuationState.ZoneEpoch(state.epoch, state.relapses)));
+    return new EvacuationState(zones, planDigest);
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/Row.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvacuationReport.java
@@ -11,7 +11,7 @@
  * @param remembers whether it knows all that it ever knew: others may then go by its word on what was decided
  * @param echo by the order of names, the stamp of the newest row that the writer holds of each; 0 for none
  */
-record Row(long incarnation, long beat, boolean remembers, Map<Integer, Word> zones, int[] echo) {
+record EvacuationReport(long incarnation, long sequence, boolean hasFullHistory, Map<Integer, ZoneStatus> zones, int[] echoes) {
 
   /**
    * What it tells of one zone.
@@ -21,26 +21,26 @@
    * @param wants thousandths of connections a second beyond its own share
    * @param loans of its share, to whom by place
    */
-  record Word(long epoch, boolean votes, Seen seen, boolean opened, int relapses, int wants, List<Loan> loans) {
+  record ZoneStatus(long epoch, boolean votesForNextEpoch, Reachability reachability, boolean fullyOpen, int relapses, int wantedMilliRate, List<Loan> loans) {
     /** What is taken for said of a zone that a row leaves out. */
-    static final Word NONE = new Word(0, false, Seen.UNKNOWN, false, 0, 0, List.of());
+    static final ZoneStatus NONE = new ZoneStatus(0, false, Reachability.UNKNOWN, false, 0, 0, List.of());
   }
 
   /** Thousandths of connections a second, lent to the proxy at this place. */
-  record Loan(int to, int rate) {}
+  record Loan(int borrower, int milliRate) {}
 
-  Word word(int zone) {
-    return zones.getOrDefault(zone, Word.NONE);
+  ZoneStatus status(int zone) {
+    return zones.getOrDefault(zone, ZoneStatus.NONE);
   }
 
   /** Tells the rows of all incarnations apart in 32 bits; 0 is no row's. */
-  static int stamp(long incarnation, long beat) {
+  static int stamp(long incarnation, long sequence) {
     long mixed = (incarnation ^ incarnation >>> 29) * 0x9E3779B97F4A7C15L;
-    int stamp = (int) (mixed >>> 32) + (int) beat;
+    int stamp = (int) (mixed >>> 32) + (int) sequence;
     return stamp == 0 ? 1 : stamp;
   }
 
-  boolean newerThan(Row other) {
-    return incarnation > other.incarnation || incarnation == other.incarnation && beat > other.beat;
+  boolean isNewerThan(EvacuationReport other) {
+    return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/EvacuationSettings.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvacuationSettings.java
@@ -13,9 +13,9 @@
  * @param askFor a starting proxy sends nowhere for so long, unless a majority has answered before
  * @param drift by how much clocks may run apart, as a share
  */
-public record EvacuationSettings(EvidenceSettings evidence, long tell, long voteLife, long shareLife, long leaveDwell,
-    long returnDwell, int blindTimes, long calm, long askFor, double drift) {
-  static final int MOST_RELAPSES = 5;
+public record EvacuationSettings(EvidenceSettings evidence, long reportInterval, long voteTtl, long leaseTtl, long evacuateDwell,
+    long returnDwell, int unobservedDwells, long relapseWindow, long startupQueryTimeout, double maxClockDrift) {
+  static final int MAX_RELAPSES = 5;
 
   public static final EvacuationSettings DEFAULT = new EvacuationSettings(EvidenceSettings.DEFAULT, 200, 1_500, 2_000,
       3_000, 10_000, 3, 60_000, 1_000, 0.01);
@@ -25,19 +25,19 @@
    *     would not hold
    */
   public EvacuationSettings {
-    if (Math.min(leaveDwell, returnDwell) <= shareLife * (1 + 2 * drift) || tell * 4 > voteLife
-        || tell * 4 > shareLife) {
+    if (Math.min(evacuateDwell, returnDwell) <= leaseTtl * (1 + 2 * maxClockDrift) || reportInterval * 4 > voteTtl
+        || reportInterval * 4 > leaseTtl) {
       throw new IllegalArgumentException("a dwell must outlast a share's life, and a life four rows");
     }
   }
 
   /** How long a zone that relapsed so often must be sound. */
   long returnDwell(int relapses) {
-    return returnDwell << Math.min(relapses, MOST_RELAPSES);
+    return returnDwell << Math.min(relapses, MAX_RELAPSES);
   }
 
   /** A life as the side waits for it that must not be early, in milliseconds: clocks run apart. */
-  public long outlasting(long life) {
-    return (long) Math.ceil(life * (1 + 2 * drift));
+  public long withClockDrift(long duration) {
+    return (long) Math.ceil(duration * (1 + 2 * maxClockDrift));
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/EvacuationState.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvacuationState.java
@@ -19,10 +19,10 @@
  * @param zones by zone; one that was never left may be absent
  * @param plan digest of the plan in force, empty for none
  */
-public record EvacuationState(Map<Integer, Zone> zones, byte[] plan) {
-  private static final byte[] MAGIC = "lemondeal zones 1\n".getBytes(StandardCharsets.US_ASCII);
-  private static final int DIGEST = 32;
-  private static final int MOST_BYTES = 1 << 16;
+public record EvacuationState(Map<Integer, ZoneEpoch> zones, byte[] planDigest) {
+  private static final byte[] HEADER = "lemondeal zones 1\n".getBytes(StandardCharsets.US_ASCII);
+  private static final int DIGEST_BYTES = 32;
+  private static final int MAX_BYTES = 1 << 16;
 
   /** Nothing was ever left, no plan is in force. */
   public static final EvacuationState NONE = new EvacuationState(Map.of(), new byte[0]);
@@ -31,41 +31,41 @@
    * @param epoch the highest decided one
    * @param relapses how often in a row the zone was left soon after a return
    */
-  public record Zone(long epoch, int relapses) {}
+  public record ZoneEpoch(long epoch, int relapses) {}
 
   /** As it is to be kept. */
   public byte[] encode() {
-    SavedEvacuation.Builder wire = SavedEvacuation.newBuilder().setPlan(ByteString.copyFrom(plan));
-    new TreeMap<>(zones).forEach((zone, state) -> wire.addZones(SavedZone.newBuilder().setZone(zone)
-        .setEpoch(state.epoch()).setRelapses(state.relapses())));
+    SavedEvacuation.Builder wire = SavedEvacuation.newBuilder().setPlan(ByteString.copyFrom(planDigest));
+    new TreeMap<>(zones).forEach((zone, saved) -> wire.addZones(SavedZone.newBuilder().setZone(zone)
+        .setEpoch(saved.epoch()).setRelapses(saved.relapses())));
     byte[] body = wire.build().toByteArray();
-    byte[] all = Arrays.copyOf(MAGIC, MAGIC.length + DIGEST + body.length);
-    System.arraycopy(digest(body), 0, all, MAGIC.length, DIGEST);
-    System.arraycopy(body, 0, all, MAGIC.length + DIGEST, body.length);
-    return all;
+    byte[] encoded = Arrays.copyOf(HEADER, HEADER.length + DIGEST_BYTES + body.length);
+    System.arraycopy(sha256(body), 0, encoded, HEADER.length, DIGEST_BYTES);
+    System.arraycopy(body, 0, encoded, HEADER.length + DIGEST_BYTES, body.length);
+    return encoded;
   }
 
   /** What was kept; empty where the bytes are cut, damaged, too many or of another version. */
-  public static Optional<EvacuationState> decode(byte[] all) {
-    int from = MAGIC.length + DIGEST;
-    if (all.length < from || all.length > MOST_BYTES || !Arrays.equals(all, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
+  public static Optional<EvacuationState> decode(byte[] encoded) {
+    int bodyOffset = HEADER.length + DIGEST_BYTES;
+    if (encoded.length < bodyOffset || encoded.length > MAX_BYTES || !Arrays.equals(encoded, 0, HEADER.length, HEADER, 0, HEADER.length)) {
       return Optional.empty();
     }
-    byte[] body = Arrays.copyOfRange(all, from, all.length);
-    if (!MessageDigest.isEqual(digest(body), Arrays.copyOfRange(all, MAGIC.length, from))) {
+    byte[] body = Arrays.copyOfRange(encoded, bodyOffset, encoded.length);
+    if (!MessageDigest.isEqual(sha256(body), Arrays.copyOfRange(encoded, HEADER.length, bodyOffset))) {
       return Optional.empty();
     }
     try {
       SavedEvacuation wire = SavedEvacuation.parseFrom(body);
-      Map<Integer, Zone> zones = new TreeMap<>();
-      wire.getZonesList().forEach(zone -> zones.put(zone.getZone(), new Zone(zone.getEpoch(), zone.getRelapses())));
+      Map<Integer, ZoneEpoch> zones = new TreeMap<>();
+      wire.getZonesList().forEach(zone -> zones.put(zone.getZone(), new ZoneEpoch(zone.getEpoch(), zone.getRelapses())));
       return Optional.of(new EvacuationState(zones, wire.getPlan().toByteArray()));
     } catch (InvalidProtocolBufferException e) {
       return Optional.empty();
     }
   }
 
-  private static byte[] digest(byte[] bytes) {
+  private static byte[] sha256(byte[] bytes) {
     try {
       return MessageDigest.getInstance("SHA-256").digest(bytes);
     } catch (NoSuchAlgorithmException e) {
--- a/proxy/src/main/java/lemondeal/evacuation/EvidenceSettings.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvidenceSettings.java
@@ -8,6 +8,6 @@
  * @param failures fewer failures in a zone prove nothing: on a link that drops three lines in ten, some fail in a row
  * @param listLate a list older than this may call servers ready that are gone
  */
-public record EvidenceSettings(long blip, long recent, int failures, long listLate) {
+public record EvidenceSettings(long minOutage, long observationTtl, int minFailures, long staleListAge) {
   public static final EvidenceSettings DEFAULT = new EvidenceSettings(1_000, 3_000, 4, 3_500);
 }
--- a/proxy/src/main/java/lemondeal/evacuation/MovePace.java
+++ b/proxy/src/main/java/lemondeal/evacuation/MoveRate.java
@@ -1,8 +1,8 @@
 package lemondeal.evacuation;
 
 /** At what pace standing connections leave a zone: for the whole fleet, split over those that take part. */
-public final class MovePace {
-  private MovePace() {}
+public final class MoveRate {
+  private MoveRate() {}
 
   /**
    * Moves a second for this proxy. In touch with a majority the pace is split over those heard of; a proxy that is not
@@ -12,7 +12,7 @@
    * @param fleetPerSecond moves a second of all together
    * @param live proxies heard of for certain, this one included
    */
-  public static double perSecond(double fleetPerSecond, int live, int members) {
-    return fleetPerSecond / (live * 2 > members ? live : members);
+  public static double perSecond(double fleetPerSecond, int liveMembers, int members) {
+    return fleetPerSecond / (liveMembers * 2 > members ? liveMembers : members);
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/Seen.java
+++ b/proxy/src/main/java/lemondeal/evacuation/Reachability.java
@@ -1,7 +1,7 @@
 package lemondeal.evacuation;
 
 /** What one proxy sees of a zone from where it stands; told to the others as it is, since they can't see from there. */
-public enum Seen {
+public enum Reachability {
   /** Nothing lately, or nobody is there to be asked. */
   UNKNOWN,
   /** Its servers answer. */
@@ -14,7 +14,7 @@
   UNREACHED;
 
   /** Whether the zone certainly answered: what speaks against its failure. */
-  public boolean answers() {
+  public boolean isResponding() {
     return this == REACHED || this == PARTLY || this == LATE;
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/Opening.java
+++ b/proxy/src/main/java/lemondeal/evacuation/SlowStartRamp.java
@@ -10,19 +10,19 @@
  * @param full a second at the end
  * @param warmMillis of proof from the first to the full rate, evenly
  */
-public record Opening(double first, double full, long warmMillis) {
+public record SlowStartRamp(double initialRate, double finalRate, long durationMillis) {
   /** Part of what the rule allows: shares go by proxies, and what they carry falls unevenly on the servers. */
-  private static final double SAFETY = 0.5;
-  private static final long SHORTEST_WARM = 1_000;
-  private static final double COLDEST = 0.01;
+  private static final double SAFETY_FACTOR = 0.5;
+  private static final long MIN_DURATION = 1_000;
+  private static final double MIN_COLD_FRACTION = 0.01;
 
   /**
    * @throws IllegalArgumentException for rates that are no numbers, fall, or are not above 0
    */
-  public Opening {
-    if (!(first > 0) || !(full >= first) || Double.isInfinite(full) || warmMillis < SHORTEST_WARM) {
+  public SlowStartRamp {
+    if (!(initialRate > 0) || !(finalRate >= initialRate) || Double.isInfinite(finalRate) || durationMillis < MIN_DURATION) {
       throw new IllegalArgumentException(
-          "an opening from " + first + " to " + full + " a second in " + warmMillis + " ms");
+          "an opening from " + initialRate + " to " + finalRate + " a second in " + durationMillis + " ms");
     }
   }
 
@@ -32,34 +32,34 @@
    *
    * @param usuallyHeld connections that the zone's servers hold when all is well, above 0
    */
-  public static Opening of(Balancer.Rules rules, double usuallyHeld) {
-    long warm = Math.max(SHORTEST_WARM, rules.warmUpTime() / 1_000);
+  public static SlowStartRamp of(Balancer.Rules rules, double usualConnections) {
+    long duration = Math.max(MIN_DURATION, rules.warmUpTime() / 1_000);
     // A multiple that is not told is taken for 1: no more than the servers can do.
     double multiple = rules.overloadMultiple() > 0 ? rules.overloadMultiple() : 1;
-    double full = Math.max(1e-3, SAFETY * multiple * usuallyHeld * 1_000 / warm);
-    double cold = Math.max(COLDEST, Math.min(1, rules.coldCapacityShare()));
-    return new Opening(full * cold, full, warm);
+    double finalRate = Math.max(1e-3, SAFETY_FACTOR * multiple * usualConnections * 1_000 / duration);
+    double coldFraction = Math.max(MIN_COLD_FRACTION, Math.min(1, rules.coldCapacityShare()));
+    return new SlowStartRamp(finalRate * coldFraction, finalRate, duration);
   }
 
   /** The fleet's total a second after so much proof; no bound once the zone is warm. */
-  public double perSecond(double proven) {
-    if (proven >= warmMillis) {
+  public double rateAt(double healthyMillis) {
+    if (healthyMillis >= durationMillis) {
       return Double.POSITIVE_INFINITY;
     }
-    return first + (full - first) * Math.max(0, proven) / warmMillis;
+    return initialRate + (finalRate - initialRate) * Math.max(0, healthyMillis) / durationMillis;
   }
 
   /** How far the zone is open then, from just above 0 to 1. */
-  double open(double proven) {
-    return Math.min(1, perSecond(proven) / full);
+  double openShare(double healthyMillis) {
+    return Math.min(1, rateAt(healthyMillis) / finalRate);
   }
 
   /** The same held down to what the servers are known to have room for; NaN room is not known and holds nothing. */
-  public Opening within(double roomPerSecond) {
-    if (Double.isNaN(roomPerSecond)) {
+  public SlowStartRamp cappedAt(double capacityPerSecond) {
+    if (Double.isNaN(capacityPerSecond)) {
       return this;
     }
-    double most = Math.max(1e-3, roomPerSecond);
-    return new Opening(Math.min(first, most), Math.min(full, most), warmMillis);
+    double cap = Math.max(1e-3, capacityPerSecond);
+    return new SlowStartRamp(Math.min(initialRate, cap), Math.min(finalRate, cap), durationMillis);
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneStanding.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneAccess.java
@@ -7,7 +7,7 @@
  * @param perSecond new connections a second that this proxy may send there; no bound where the zone is open
  * @param epoch the highest decided one that is known
  */
-public record ZoneStanding(int zone, State state, double open, double perSecond, long epoch) {
+public record ZoneAccess(int zone, State state, double openShare, double maxPerSecond, long epoch) {
 
   /** Why so much. */
   public enum State {
@@ -23,7 +23,7 @@
     CLOSED
   }
 
-  static ZoneStanding none(int zone, State state, long epoch) {
-    return new ZoneStanding(zone, state, 0, 0, epoch);
+  static ZoneAccess blocked(int zone, State state, long epoch) {
+    return new ZoneAccess(zone, state, 0, 0, epoch);
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneEvidence.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneEvidence.java
@@ -12,27 +12,27 @@
  * @param span milliseconds from the failure that makes enough servers to the beginning of the newest one
  * @param shut whether every failing server refused connections outright: its host lives, it does not
  */
-public record ZoneEvidence(int ready, int failing, int longFailing, int alive, int late, int failures, long span,
-    boolean shut) {
+public record ZoneEvidence(int readyServers, int failing, int sustainedFailing, int responding, int late, int failures, long failureSpan,
+    boolean allRefused) {
 
   /** Independent servers that must fail before it is more than those servers: two, or three of a large zone. */
-  static int enough(int ready) {
-    return Math.max(2, Math.min(3, (ready + 1) / 2));
+  static int requiredFailing(int readyServers) {
+    return Math.max(2, Math.min(3, (readyServers + 1) / 2));
   }
 
   /** The same in one word. */
-  public Seen seen(EvidenceSettings settings) {
-    int enough = enough(ready);
-    boolean spans = longFailing >= enough && span >= settings.blip() && failures >= settings.failures();
-    if (spans && alive * 4 <= failing) {
-      return Seen.UNREACHED;
+  public Reachability reachability(EvidenceSettings settings) {
+    int requiredFailing = requiredFailing(readyServers);
+    boolean sustained = sustainedFailing >= requiredFailing && failureSpan >= settings.minOutage() && failures >= settings.minFailures();
+    if (sustained && responding * 4 <= failing) {
+      return Reachability.UNREACHED;
     }
-    if (alive == 0) {
-      return Seen.UNKNOWN;
+    if (responding == 0) {
+      return Reachability.UNKNOWN;
     }
-    if (late * 2 >= alive && late >= Math.min(alive, enough)) {
-      return Seen.LATE;
+    if (late * 2 >= responding && late >= Math.min(responding, requiredFailing)) {
+      return Reachability.LATE;
     }
-    return failing > 0 ? Seen.PARTLY : Seen.REACHED;
+    return failing > 0 ? Reachability.PARTLY : Reachability.REACHED;
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/Named.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneMembership.java
@@ -12,52 +12,52 @@
  *
  * @param self this proxy's place in the order
  */
-public record Named(List<Proxy> proxies, int self) {
+public record ZoneMembership(List<Member> members, int selfIndex) {
 
   /**
    * One named proxy.
    *
    * @param zone the zone that it stands in
    */
-  public record Proxy(String name, int zone) {}
+  public record Member(String name, int zone) {}
 
   /**
    * @param self one of the names
    * @throws IllegalArgumentException for a name given twice, or a self that is not named
    */
-  public static Named of(List<Proxy> proxies, String self) {
-    List<Proxy> ordered = proxies.stream().sorted(Comparator.comparing(Proxy::name)).toList();
+  public static ZoneMembership of(List<Member> members, String selfName) {
+    List<Member> ordered = members.stream().sorted(Comparator.comparing(Member::name)).toList();
     Set<String> names = new HashSet<>();
-    int place = -1;
+    int selfIndex = -1;
     for (int i = 0; i < ordered.size(); i++) {
       if (!names.add(ordered.get(i).name())) {
         throw new IllegalArgumentException(ordered.get(i).name() + " is named twice");
       }
-      place = ordered.get(i).name().equals(self) ? i : place;
+      selfIndex = ordered.get(i).name().equals(selfName) ? i : selfIndex;
     }
-    if (place < 0) {
-      throw new IllegalArgumentException(self + " is not among the named proxies");
+    if (selfIndex < 0) {
+      throw new IllegalArgumentException(selfName + " is not among the named proxies");
     }
-    return new Named(ordered, place);
+    return new ZoneMembership(ordered, selfIndex);
   }
 
   public int size() {
-    return proxies.size();
+    return members.size();
   }
 
   /** The zone that this proxy stands in. */
   public int zone() {
-    return zone(self);
+    return zone(selfIndex);
   }
 
-  int zone(int place) {
-    return proxies.get(place).zone();
+  int zone(int memberIndex) {
+    return members.get(memberIndex).zone();
   }
 
   /** Place of a name, -1 where it is not named. */
-  int place(String name) {
-    for (int i = 0; i < proxies.size(); i++) {
-      if (proxies.get(i).name().equals(name)) {
+  int indexOf(String name) {
+    for (int i = 0; i < members.size(); i++) {
+      if (members.get(i).name().equals(name)) {
         return i;
       }
     }
@@ -66,10 +66,10 @@
 
   /** Tells fleets named otherwise apart; a row of such a one could echo another proxy's stamps. */
   int digest() {
-    CRC32 sum = new CRC32();
-    for (Proxy proxy : proxies) {
-      sum.update((proxy.name() + '\n' + proxy.zone() + '\n').getBytes(java.nio.charset.StandardCharsets.UTF_8));
+    CRC32 checksum = new CRC32();
+    for (Member member : members) {
+      checksum.update((member.name() + '\n' + member.zone() + '\n').getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
-    return (int) sum.getValue();
+    return (int) checksum.getValue();
   }
 }
--- a/proxy/src/main/java/lemondeal/fleet/Drop.java
+++ b/proxy/src/main/java/lemondeal/fleet/DropReason.java
@@ -1,7 +1,7 @@
 package lemondeal.fleet;
 
 /** Why what came from the fleet's port was dropped. Whoever sent it is told nothing. */
-public enum Drop {
+public enum DropReason {
   /** Longer than a letter may be. */
   TOO_LARGE,
   /** No letter, or one that can't be true. */
--- a/proxy/src/main/java/lemondeal/fleet/FleetMember.java
+++ b/proxy/src/main/java/lemondeal/fleet/FleetMember.java
@@ -19,62 +19,62 @@
  * {@link #start}, {@link #close} and what {@link FleetLink} does on its own.
  */
 public final class FleetMember implements AutoCloseable {
-  private static final long MICROS = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
   /** An owner's last row is kept so many lives for its number: an old letter must not look like a new one. */
-  private static final int FORGET_LIVES = 30;
+  private static final int FORGET_AFTER_TTLS = 30;
 
   private final FleetSettings settings;
   private final FleetRoster roster;
   private final String self;
-  private final FleetLink link;
+  private final FleetTransport transport;
   private final EventLog log;
-  private final Sent sent;
-  private final Intake intake;
+  private final SentRows sentRows;
+  private final MessageValidator validator;
   private final TreeMap<String, byte[]> sections = new TreeMap<>();
   private final List<Runnable> listeners = new ArrayList<>();
-  private final Map<String, Long> dialledAt = new HashMap<>();
+  private final Map<String, Long> reconnectedAt = new HashMap<>();
   private byte[] content = new byte[0];
   private RowTable table = RowTable.EMPTY;
-  private Set<String> inSight = Set.of();
-  private boolean newerTold;
-  private boolean changed;
-  private long letters;
+  private Set<String> liveMembers = Set.of();
+  private boolean newerVersionLogged;
+  private boolean contentChanged;
+  private long sentMessages;
   private Timers timers;
-  private Pace pace;
-  private Timers.Timer next;
+  private SendPacer pacer;
+  private Timers.Timer nextSend;
   private volatile boolean closed;
 
   /**
    * @param self the name of this proxy, one of those in the settings
    * @param incarnation greater than that of any start before
    */
-  public FleetMember(FleetSettings settings, String self, long incarnation, FleetLink link, EventLog log) {
+  public FleetMember(FleetSettings settings, String self, long incarnation, FleetTransport transport, EventLog log) {
     this.settings = settings;
     this.self = self;
-    this.link = link;
+    this.transport = transport;
     this.log = log;
     roster = settings.roster();
-    sent = new Sent(incarnation);
-    intake = new Intake(roster, self, sent);
+    sentRows = new SentRows(incarnation);
+    validator = new MessageValidator(roster, self, sentRows);
   }
 
   /** Begins; on any thread. @throws IOException where its address can't be listened on */
-  public void start(Executor io, Timers ioTimers) throws IOException {
+  public void start(Executor ioExecutor, Timers ioTimers) throws IOException {
     timers = ioTimers;
-    Inbox inbox = new Inbox(io, this::heard, this::look);
-    link.start(new FleetLink.Ear() {
+    Inbox inbox = new Inbox(ioExecutor, this::receive, this::updateLiveMembers);
+    transport.start(new FleetTransport.Listener() {
       @Override
-      public void heard(String sender, byte[] letter) {
+      public void onMessage(String sender, byte[] letter) {
         inbox.put(sender, letter);
       }
 
       @Override
-      public void group(String members) {
+      public void onViewChange(String members) {
         log.info("fleet-group", "lemondeal: the transport sees " + members, "members", members);
       }
     });
-    io.execute(() -> {
-      pace = new Pace(settings.tellMillis(), now());
+    ioExecutor.execute(() -> {
+      pacer = new SendPacer(settings.sendIntervalMillis(), now());
       tick();
     });
   }
@@ -89,7 +89,7 @@
 
   /** Milliseconds of the clock by which rows age here; it never goes back. */
   public long now() {
-    return timers.now() / MICROS;
+    return timers.now() / MICROS_PER_MILLI;
   }
 
   /**
@@ -99,31 +99,31 @@
    *    was shared before stays
    */
   public void publish(String section, byte[] bytes) {
-    TreeMap<String, byte[]> with = new TreeMap<>(sections);
-    with.put(section, bytes.clone());
-    byte[] all = Sections.content(with);
-    if (all.length > Row.MOST_CONTENT) {
-      throw new IllegalArgumentException("section " + section + ": " + all.length + " bytes in all; allowed: "
-          + Row.MOST_CONTENT);
+    TreeMap<String, byte[]> updated = new TreeMap<>(sections);
+    updated.put(section, bytes.clone());
+    byte[] encoded = Sections.encode(updated);
+    if (encoded.length > MemberRow.MAX_CONTENT_BYTES) {
+      throw new IllegalArgumentException("section " + section + ": " + encoded.length + " bytes in all; allowed: "
+          + MemberRow.MAX_CONTENT_BYTES);
     }
-    sections.put(section, with.get(section));
-    content = all;
-    hasten();
+    sections.put(section, updated.get(section));
+    content = encoded;
+    sendSoon();
   }
 
   /** The rows of all that are in sight, this proxy's own among them, by owner. */
-  public List<HeldRow> rows(long nowMillis) {
-    return table.alive(nowMillis, settings.lifeMillis());
+  public List<TimedRow> liveRows(long nowMillis) {
+    return table.liveRows(nowMillis, settings.ttlMillis());
   }
 
   /** The names of those in sight, this proxy's own among them. */
-  public Set<String> inSight() {
-    return inSight;
+  public Set<String> liveMembers() {
+    return liveMembers;
   }
 
   /** Whether those in sight are more than half of those that the operator names: if not, nothing new is decided. */
-  public boolean isInMajority() {
-    return roster.isMajority(inSight);
+  public boolean hasQuorum() {
+    return roster.isMajority(liveMembers);
   }
 
   /** {@code listener} is told when rows came, and when one came in or went out of sight. */
@@ -134,115 +134,115 @@
   /** Adds what is counted. */
   public void addTo(Map<String, Long> figures) {
     figures.put("fleet_members", (long) roster.size());
-    figures.put("fleet_in_sight", (long) inSight.size());
-    figures.put("fleet_letters_told", letters);
-    for (Drop why : Drop.values()) {
-      figures.put("fleet_dropped_" + why.name().toLowerCase(Locale.ROOT), intake.dropped(why));
+    figures.put("fleet_in_sight", (long) liveMembers.size());
+    figures.put("fleet_letters_told", sentMessages);
+    for (DropReason reason : DropReason.values()) {
+      figures.put("fleet_dropped_" + reason.name().toLowerCase(Locale.ROOT), validator.dropCount(reason));
     }
-    link.addTo(figures);
+    transport.addTo(figures);
   }
 
   // ---- Telling -------------------------------------------------------------------------------
 
-  private void hasten() {
-    changed = true;
-    if (pace != null && !closed) {
-      schedule();
+  private void sendSoon() {
+    contentChanged = true;
+    if (pacer != null && !closed) {
+      scheduleSend();
     }
   }
 
-  private void schedule() {
-    Timers.cancel(next);
-    next = timers.after(Math.max(0, pace.nextAt(changed) - now()) * MICROS, this::tick);
+  private void scheduleSend() {
+    Timers.cancel(nextSend);
+    nextSend = timers.after(Math.max(0, pacer.nextSendAt(contentChanged) - now()) * MICROS_PER_MILLI, this::tick);
   }
 
   private void tick() {
     if (!closed) {
-      tell();
-      look();
-      schedule();
+      sendRow();
+      updateLiveMembers();
+      scheduleSend();
     }
   }
 
-  private void tell() {
+  private void sendRow() {
     long now = now();
-    Row row = new Row(self, sent.incarnation(), sent.tell(now), 0, content);
-    table = table.with(new HeldRow(row, now));
-    for (FleetRoster.Named peer : roster.members()) {
+    MemberRow row = new MemberRow(self, sentRows.incarnation(), sentRows.recordSend(now), 0, content);
+    table = table.with(new TimedRow(row, now));
+    for (FleetRoster.Member peer : roster.members()) {
       if (!peer.name().equals(self)) {
-        link.tell(peer.name(), new Letter(row, intake.heard(peer.name())));
-        letters++;
-        redial(peer.name(), now);
+        transport.sendLatest(peer.name(), new FleetMessage(row, validator.lastReceived(peer.name())));
+        sentMessages++;
+        reconnectIfSilent(peer.name(), now);
       }
     }
-    pace.told(now, content.length);
-    changed = false;
+    pacer.recordSend(now, content.length);
+    contentChanged = false;
   }
 
   /** What this proxy says may be stuck in a connection though the network is whole again. */
-  private void redial(String peer, long now) {
-    HeldRow held = table.of(peer);
-    long since = Math.max(held == null ? 0 : held.madeAt(), dialledAt.getOrDefault(peer, 0L));
-    if (now - since > settings.lifeMillis()) {
-      link.redial(peer);
-      dialledAt.put(peer, now);
+  private void reconnectIfSilent(String peer, long now) {
+    TimedRow lastRow = table.rowOf(peer);
+    long since = Math.max(lastRow == null ? 0 : lastRow.createdAt(), reconnectedAt.getOrDefault(peer, 0L));
+    if (now - since > settings.ttlMillis()) {
+      transport.reconnect(peer);
+      reconnectedAt.put(peer, now);
     }
   }
 
   // ---- Hearing -------------------------------------------------------------------------------
 
-  private void heard(String sender, byte[] bytes) {
-    boolean first = intake.heard(sender) == null;
-    HeldRow row = intake.take(sender, bytes, now());
-    HeldRow before = table.of(sender);
+  private void receive(String sender, byte[] bytes) {
+    boolean firstMessage = validator.lastReceived(sender) == null;
+    TimedRow row = validator.validate(sender, bytes, now());
+    TimedRow previous = table.rowOf(sender);
     if (row != null) {
       table = table.with(row);
-      if (before != null && before.row().incarnation() < row.row().incarnation()) {
+      if (previous != null && previous.row().incarnation() < row.row().incarnation()) {
         log.info("fleet-restarted", "lemondeal: fleet: " + sender + " has started anew", "member", sender,
             "incarnation", row.row().incarnation());
       }
     }
-    if (first && intake.heard(sender) != null) {
+    if (firstMessage && validator.lastReceived(sender) != null) {
       // It holds no row of this one's until a letter echoes its own.
-      hasten();
+      sendSoon();
     }
-    if (!newerTold && intake.dropped(Drop.NEWER_VERSION) > 0) {
-      newerTold = true;
+    if (!newerVersionLogged && validator.dropCount(DropReason.NEWER_VERSION) > 0) {
+      newerVersionLogged = true;
       log.warn("fleet-newer-version", "lemondeal: fleet: " + sender + " tells rows of a newer version;"
           + " they are ignored", "member", sender);
     }
   }
 
   /** Looks who is in sight now, and lets the listeners look. */
-  private void look() {
+  private void updateLiveMembers() {
     long now = now();
-    table = table.without(now, FORGET_LIVES * settings.lifeMillis());
-    Set<String> seen = new TreeSet<>();
-    for (HeldRow row : rows(now)) {
-      seen.add(row.row().owner());
+    table = table.withoutOlderThan(now, FORGET_AFTER_TTLS * settings.ttlMillis());
+    Set<String> live = new TreeSet<>();
+    for (TimedRow row : liveRows(now)) {
+      live.add(row.row().owner());
     }
-    if (!seen.equals(inSight)) {
-      inSight = seen;
-      tellSight();
+    if (!live.equals(liveMembers)) {
+      liveMembers = live;
+      logLiveMembers();
     }
     listeners.forEach(Runnable::run);
   }
 
-  private void tellSight() {
-    Set<String> gone = new TreeSet<>();
-    roster.members().forEach(member -> gone.add(member.name()));
-    gone.removeAll(inSight);
-    boolean majority = isInMajority();
-    String names = String.join(" ", inSight);
-    log.info("fleet-sight", "lemondeal: fleet: " + inSight.size() + " of " + roster.size() + " in sight, "
-        + (majority ? "a majority" : "no majority") + ": " + names + (gone.isEmpty() ? "" : "; not in sight: "
-        + String.join(" ", gone)), "in_sight", names, "not_in_sight", String.join(" ", gone), "majority", majority);
+  private void logLiveMembers() {
+    Set<String> absent = new TreeSet<>();
+    roster.members().forEach(member -> absent.add(member.name()));
+    absent.removeAll(liveMembers);
+    boolean majority = hasQuorum();
+    String names = String.join(" ", liveMembers);
+    log.info("fleet-sight", "lemondeal: fleet: " + liveMembers.size() + " of " + roster.size() + " in sight, "
+        + (majority ? "a majority" : "no majority") + ": " + names + (absent.isEmpty() ? "" : "; not in sight: "
+        + String.join(" ", absent)), "in_sight", names, "not_in_sight", String.join(" ", absent), "majority", majority);
   }
 
   /** Ends the link and its threads; on any thread. */
   @Override
   public void close() {
     closed = true;
-    link.close();
+    transport.close();
   }
 }
--- a/proxy/src/main/java/lemondeal/fleet/FleetRoster.java
+++ b/proxy/src/main/java/lemondeal/fleet/FleetRoster.java
@@ -10,7 +10,7 @@
 /** Who the fleet is, as the operator's file names it. A majority is of those named, never of those in sight. */
 public final class FleetRoster {
   /** More proxies than this one fleet has not. */
-  public static final int MOST = 200;
+  public static final int MAX_MEMBERS = 200;
 
   /**
    * A proxy of the fleet.
@@ -18,32 +18,32 @@
    * @param zone where it looks from
    * @param address where this proxy reaches it
    */
-  public record Named(String name, String zone, InetSocketAddress address) {}
+  public record Member(String name, String zone, InetSocketAddress address) {}
 
-  private final Map<String, Named> members = new LinkedHashMap<>();
+  private final Map<String, Member> members = new LinkedHashMap<>();
 
   /** @throws IllegalArgumentException where one is named twice, or too many are named */
-  public FleetRoster(Collection<Named> named) {
-    for (Named member : named) {
+  public FleetRoster(Collection<Member> configured) {
+    for (Member member : configured) {
       if (members.put(member.name(), member) != null) {
         throw new IllegalArgumentException("'" + member.name() + "' is named twice");
       }
     }
-    if (members.size() > MOST) {
-      throw new IllegalArgumentException(members.size() + " proxies; allowed: " + MOST);
+    if (members.size() > MAX_MEMBERS) {
+      throw new IllegalArgumentException(members.size() + " proxies; allowed: " + MAX_MEMBERS);
     }
   }
 
-  public Collection<Named> members() {
+  public Collection<Member> members() {
     return members.values();
   }
 
   /** Null where none is named so. */
-  public Named member(String name) {
+  public Member member(String name) {
     return members.get(name);
   }
 
-  public boolean names(String name) {
+  public boolean contains(String name) {
     return members.containsKey(name);
   }
 
@@ -58,7 +58,7 @@
 
   /** Whether these are a majority; those that are not named do not count. */
   public boolean isMajority(Set<String> names) {
-    return names.stream().filter(this::names).count() >= majority();
+    return names.stream().filter(this::contains).count() >= majority();
   }
 
   /** The zones that proxies look from. */
--- a/proxy/src/main/java/lemondeal/fleet/FleetSettings.java
+++ b/proxy/src/main/java/lemondeal/fleet/FleetSettings.java
@@ -10,12 +10,12 @@
  * @param lifeMillis a row older than this counts as absent
  * @param tellMillis a row is told at least so often
  */
-public record FleetSettings(String name, FleetRoster roster, InetSocketAddress listen, long lifeMillis,
-    long tellMillis) {
-  public static final long LIFE_MILLIS = 2_000;
-  public static final long TELL_MILLIS = 200;
+public record FleetSettings(String name, FleetRoster roster, InetSocketAddress listen, long ttlMillis,
+    long sendIntervalMillis) {
+  public static final long DEFAULT_TTL_MILLIS = 2_000;
+  public static final long DEFAULT_SEND_INTERVAL_MILLIS = 200;
   /** A few letters may be lost or late before a proxy counts as absent. */
-  public static final int TELLS_IN_LIFE = 5;
+  public static final int MIN_SENDS_PER_TTL = 5;
   /** The largest row takes half a second of a peer's bytes: {@link Pace}. */
-  public static final long LEAST_LIFE_MILLIS = 1_500;
+  public static final long MIN_TTL_MILLIS = 1_500;
 }
--- a/proxy/src/main/java/lemondeal/fleet/Inbox.java
+++ b/proxy/src/main/java/lemondeal/fleet/Inbox.java
@@ -11,34 +11,34 @@
  * no queue that has grown. Nothing is decided on the link's threads.
  */
 final class Inbox {
-  private final Executor io;
-  private final BiConsumer<String, byte[]> letter;
-  private final Runnable done;
-  private final Map<String, byte[]> newest = new ConcurrentHashMap<>();
-  private final AtomicBoolean waiting = new AtomicBoolean();
+  private final Executor ioExecutor;
+  private final BiConsumer<String, byte[]> onMessage;
+  private final Runnable onDrained;
+  private final Map<String, byte[]> newestBySender = new ConcurrentHashMap<>();
+  private final AtomicBoolean drainScheduled = new AtomicBoolean();
 
   /** {@code done} runs after each handful of letters. */
-  Inbox(Executor io, BiConsumer<String, byte[]> letter, Runnable done) {
-    this.io = io;
-    this.letter = letter;
-    this.done = done;
+  Inbox(Executor ioExecutor, BiConsumer<String, byte[]> onMessage, Runnable onDrained) {
+    this.ioExecutor = ioExecutor;
+    this.onMessage = onMessage;
+    this.onDrained = onDrained;
   }
 
   void put(String sender, byte[] bytes) {
-    newest.put(sender, bytes);
-    if (waiting.compareAndSet(false, true)) {
-      io.execute(this::empty);
+    newestBySender.put(sender, bytes);
+    if (drainScheduled.compareAndSet(false, true)) {
+      ioExecutor.execute(this::drain);
     }
   }
 
-  private void empty() {
-    waiting.set(false);
-    for (String sender : newest.keySet()) {
-      byte[] bytes = newest.remove(sender);
+  private void drain() {
+    drainScheduled.set(false);
+    for (String sender : newestBySender.keySet()) {
+      byte[] bytes = newestBySender.remove(sender);
       if (bytes != null) {
-        letter.accept(sender, bytes);
+        onMessage.accept(sender, bytes);
       }
     }
-    done.run();
+    onDrained.run();
   }
 }
--- a/proxy/src/main/java/lemondeal/fleet/Row.java
+++ b/proxy/src/main/java/lemondeal/fleet/MemberRow.java
@@ -10,19 +10,19 @@
  * @param sequence grows within an incarnation
  * @param ageMillis milliseconds from its making to its leaving the owner
  */
-public record Row(String owner, long incarnation, long sequence, long ageMillis, byte[] content) {
+public record MemberRow(String owner, long incarnation, long sequence, long ageMillis, byte[] content) {
   /** Content beyond this is not shared: with 200 owners a table takes 6.4 MB at most. */
-  public static final int MOST_CONTENT = 32 * 1024;
+  public static final int MAX_CONTENT_BYTES = 32 * 1024;
 
   /** The order in time of one owner's rows. */
-  int compareInTime(Row other) {
+  int compareVersion(MemberRow other) {
     int byIncarnation = Long.compare(incarnation, other.incarnation);
     return byIncarnation != 0 ? byIncarnation : Long.compare(sequence, other.sequence);
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof Row row && owner.equals(row.owner) && compareInTime(row) == 0
+    return other instanceof MemberRow row && owner.equals(row.owner) && compareVersion(row) == 0
         && ageMillis == row.ageMillis && Arrays.equals(content, row.content);
   }
 
--- a/proxy/src/main/java/lemondeal/fleet/RowTable.java
+++ b/proxy/src/main/java/lemondeal/fleet/RowTable.java
@@ -12,19 +12,19 @@
 public final class RowTable {
   public static final RowTable EMPTY = new RowTable(new TreeMap<>());
 
-  private final TreeMap<String, HeldRow> rows;
+  private final TreeMap<String, TimedRow> rows;
 
-  private RowTable(TreeMap<String, HeldRow> rows) {
+  private RowTable(TreeMap<String, TimedRow> rows) {
     this.rows = rows;
   }
 
   /** This table with one more row, where it is newer than what is held of its owner. */
-  public RowTable with(HeldRow row) {
-    HeldRow held = rows.get(row.row().owner());
-    if (held != null && held.or(row).equals(held)) {
+  public RowTable with(TimedRow row) {
+    TimedRow existing = rows.get(row.row().owner());
+    if (existing != null && existing.newerOf(row).equals(existing)) {
       return this;
     }
-    TreeMap<String, HeldRow> merged = new TreeMap<>(rows);
+    TreeMap<String, TimedRow> merged = new TreeMap<>(rows);
     merged.put(row.row().owner(), row);
     return new RowTable(merged);
   }
@@ -32,39 +32,39 @@
   /** All that either has, the newer row of each owner. */
   public RowTable merge(RowTable other) {
     RowTable merged = this;
-    for (HeldRow row : other.rows.values()) {
+    for (TimedRow row : other.rows.values()) {
       merged = merged.with(row);
     }
     return merged;
   }
 
   /** The owner's row, or null; possibly older than its life. */
-  public HeldRow of(String owner) {
+  public TimedRow rowOf(String owner) {
     return rows.get(owner);
   }
 
   /** The rows that are no older than {@code lifeMillis}, by owner: all others count as absent. */
-  public List<HeldRow> alive(long nowMillis, long lifeMillis) {
-    List<HeldRow> alive = new ArrayList<>();
-    for (HeldRow row : rows.values()) {
+  public List<TimedRow> liveRows(long nowMillis, long lifeMillis) {
+    List<TimedRow> live = new ArrayList<>();
+    for (TimedRow row : rows.values()) {
       if (row.ageMillis(nowMillis) <= lifeMillis) {
-        alive.add(row);
+        live.add(row);
       }
     }
-    return alive;
+    return live;
   }
 
   /**
    * Without the rows that are older than this. An owner whose clock was set back before it started has a smaller
    * incarnation than before; it is heard again once its old row is forgotten.
    */
-  public RowTable without(long nowMillis, long olderThanMillis) {
-    TreeMap<String, HeldRow> kept = new TreeMap<>(rows);
-    kept.values().removeIf(row -> row.ageMillis(nowMillis) > olderThanMillis);
-    return kept.size() == rows.size() ? this : new RowTable(kept);
+  public RowTable withoutOlderThan(long nowMillis, long maxAgeMillis) {
+    TreeMap<String, TimedRow> remaining = new TreeMap<>(rows);
+    remaining.values().removeIf(row -> row.ageMillis(nowMillis) > maxAgeMillis);
+    return remaining.size() == rows.size() ? this : new RowTable(remaining);
   }
 
-  Collection<HeldRow> all() {
+  Collection<TimedRow> all() {
     return rows.values();
   }
 
--- a/proxy/src/main/java/lemondeal/fleet/Sections.java
+++ b/proxy/src/main/java/lemondeal/fleet/Sections.java
@@ -14,7 +14,7 @@
   private Sections() {}
 
   /** The content with these sections; the same bytes whatever order they came in. */
-  public static byte[] content(Map<String, byte[]> sections) {
+  public static byte[] encode(Map<String, byte[]> sections) {
     FleetSections.Builder builder = FleetSections.newBuilder();
     sections.forEach((name, bytes) -> builder.putSections(name, ByteString.copyFrom(bytes)));
     FleetSections message = builder.build();
@@ -29,7 +29,7 @@
     return content;
   }
 
-  static boolean areIn(byte[] content) {
+  static boolean isValid(byte[] content) {
     try {
       FleetSections.parseFrom(content);
       return true;
@@ -39,7 +39,7 @@
   }
 
   /** @throws IllegalArgumentException where the content is none */
-  public static Map<String, byte[]> of(byte[] content) {
+  public static Map<String, byte[]> decode(byte[] content) {
     try {
       Map<String, byte[]> sections = new TreeMap<>();
       FleetSections.parseFrom(content).getSectionsMap()
--- a/proxy/src/main/java/lemondeal/fleet/Sent.java
+++ b/proxy/src/main/java/lemondeal/fleet/SentRows.java
@@ -5,21 +5,21 @@
  * these was written after it was told. So a row that lay in a buffer, a relay or a stalled process is as old here as it
  * is, and no clock is compared. What is older than the ring reaches back proves nothing.
  */
-final class Sent {
-  private static final int RING = 512;
+final class SentRows {
+  private static final int CAPACITY = 512;
 
   private final long incarnation;
-  private final long[] at = new long[RING];
-  private long last;
+  private final long[] sentAt = new long[CAPACITY];
+  private long lastSequence;
 
-  Sent(long incarnation) {
+  SentRows(long incarnation) {
     this.incarnation = incarnation;
   }
 
   /** Takes note of the next row; its sequence. */
-  long tell(long nowMillis) {
-    at[(int) (++last % RING)] = nowMillis;
-    return last;
+  long recordSend(long nowMillis) {
+    sentAt[(int) (++lastSequence % CAPACITY)] = nowMillis;
+    return lastSequence;
   }
 
   long incarnation() {
@@ -27,17 +27,17 @@
   }
 
   /** Whether this was never told, though it bears this process's incarnation. */
-  boolean isUntrue(Letter.Echo echo) {
-    return echo != null && echo.incarnation() == incarnation && (echo.sequence() <= 0 || echo.sequence() > last);
+  boolean wasNeverSent(FleetMessage.Echo echo) {
+    return echo != null && echo.incarnation() == incarnation && (echo.sequence() <= 0 || echo.sequence() > lastSequence);
   }
 
   /** Whether it tells when a letter was written at the earliest. */
-  boolean proves(Letter.Echo echo) {
-    return echo != null && echo.incarnation() == incarnation && echo.sequence() > last - RING;
+  boolean boundsAge(FleetMessage.Echo echo) {
+    return echo != null && echo.incarnation() == incarnation && echo.sequence() > lastSequence - CAPACITY;
   }
 
   /** Milliseconds of this process's clock at which the echoed row was told. */
-  long at(Letter.Echo echo) {
-    return at[(int) (echo.sequence() % RING)];
+  long sentAt(FleetMessage.Echo echo) {
+    return sentAt[(int) (echo.sequence() % CAPACITY)];
   }
 }
--- a/proxy/src/main/java/lemondeal/fleet/HeldRow.java
+++ b/proxy/src/main/java/lemondeal/fleet/TimedRow.java
@@ -7,11 +7,11 @@
  *
  * @param madeAt milliseconds of the holder's monotonic clock; the row is as old as that or younger
  */
-public record HeldRow(Row row, long madeAt) {
+public record TimedRow(MemberRow row, long createdAt) {
 
   /** Milliseconds since it was made, at most. */
   public long ageMillis(long nowMillis) {
-    return nowMillis - madeAt;
+    return nowMillis - createdAt;
   }
 
   /**
@@ -19,10 +19,10 @@
    * newer one; of one row held twice the older moment, which errs on the safe side; of two different rows with one
    * number, as only a liar tells them, the same one wherever they meet.
    */
-  HeldRow or(HeldRow other) {
-    int order = row.compareInTime(other.row);
+  TimedRow newerOf(TimedRow other) {
+    int order = row.compareVersion(other.row);
     if (order == 0) {
-      order = Long.compare(other.madeAt, madeAt);
+      order = Long.compare(other.createdAt, createdAt);
     }
     if (order == 0) {
       order = Arrays.compare(row.content(), other.row.content());
--- a/proxy/src/main/java/lemondeal/fleet/link/Door.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/FleetNioServer.java
@@ -24,12 +24,12 @@
  * dialled is only written to: a connection that went dead one way is replaced from the side that notices. And strangers
  * are bounded: so many connections at once, and a short while to say who they are, where the library has no bound.
  */
-final class Door extends NioServer {
-  private static final long HELLO_NANOS = 2_000_000_000L;
-  private static final int STRANGERS = 16;
+final class FleetNioServer extends NioServer {
+  private static final long HANDSHAKE_TIMEOUT_NANOS = 2_000_000_000L;
+  private static final int EXTRA_CONNECTIONS = 16;
 
   /** IPv4 alone: the JDK's own default is a socket of both. */
-  private static final class Sockets extends DefaultSocketFactory {
+  private static final class Ipv4SocketFactory extends DefaultSocketFactory {
     @Override
     public SocketChannel createSocketChannel(String service) throws IOException {
       return SocketChannel.open(StandardProtocolFamily.INET);
@@ -41,17 +41,17 @@
     }
   }
 
-  private final int most;
+  private final int maxConnections;
   /** On the selector's thread alone: connections accepted, and when. */
   private final Map<NioConnection, Long> accepted = new LinkedHashMap<>();
-  private final Map<Address, Connection> newest = new HashMap<>();
-  private final AtomicLong turnedAway = new AtomicLong();
+  private final Map<Address, Connection> newestByPeer = new HashMap<>();
+  private final AtomicLong rejectedConnections = new AtomicLong();
 
   /** Binds the address. {@code members}: how many proxies the fleet has. */
-  Door(InetSocketAddress listen, int members) throws Exception {
-    super(new DefaultThreadFactory("fleet", true), new Sockets(), listen.getAddress(), listen.getPort(),
+  FleetNioServer(InetSocketAddress listen, int memberCount) throws Exception {
+    super(new DefaultThreadFactory("fleet", true), new Ipv4SocketFactory(), listen.getAddress(), listen.getPort(),
         listen.getPort(), null, 0, 0);
-    most = 2 * members + STRANGERS;
+    maxConnections = 2 * memberCount + EXTRA_CONNECTIONS;
   }
 
   int port() {
@@ -59,8 +59,8 @@
   }
 
   /** Connections that were closed since there were too many, or said nothing. */
-  long turnedAway() {
-    return turnedAway.get();
+  long rejectedConnections() {
+    return rejectedConnections.get();
   }
 
   @Override
@@ -69,9 +69,9 @@
     if (socket == null) {
       return;
     }
-    sweep();
-    if (accepted.size() >= most) {
-      turnedAway.incrementAndGet();
+    removeStaleConnections();
+    if (accepted.size() >= maxConnections) {
+      rejectedConnections.incrementAndGet();
       Util.close(socket);
       return;
     }
@@ -81,17 +81,17 @@
   }
 
   /** Forgets what is closed, and closes what has not said who it is. */
-  private void sweep() {
+  private void removeStaleConnections() {
     long now = System.nanoTime();
-    for (Iterator<Map.Entry<NioConnection, Long>> it = accepted.entrySet().iterator(); it.hasNext(); ) {
-      Map.Entry<NioConnection, Long> one = it.next();
-      if (one.getKey().peerAddress() == null && now - one.getValue() > HELLO_NANOS) {
-        turnedAway.incrementAndGet();
-        Util.close(one.getKey());
+    for (Iterator<Map.Entry<NioConnection, Long>> iterator = accepted.entrySet().iterator(); iterator.hasNext(); ) {
+      Map.Entry<NioConnection, Long> entry = iterator.next();
+      if (entry.getKey().peerAddress() == null && now - entry.getValue() > HANDSHAKE_TIMEOUT_NANOS) {
+        rejectedConnections.incrementAndGet();
+        Util.close(entry.getKey());
       }
-      if (one.getKey().isClosed()) {
-        newest.remove(one.getKey().peerAddress(), one.getKey());
-        it.remove();
+      if (entry.getKey().isClosed()) {
+        newestByPeer.remove(entry.getKey().peerAddress(), entry.getKey());
+        iterator.remove();
       }
     }
   }
@@ -99,9 +99,9 @@
   /** An accepted connection has said who it is: the newest of each counts, whichever side dialled first. */
   @Override
   public void addConnection(Address peer, Connection connection) throws Exception {
-    Connection before = newest.put(peer, connection);
-    if (before != null) {
-      Util.close(before);
+    Connection previous = newestByPeer.put(peer, connection);
+    if (previous != null) {
+      Util.close(previous);
     }
     connection.start();
   }
--- a/proxy/src/main/java/lemondeal/fleet/link/FleetTcp.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/FleetTcp.java
@@ -13,53 +13,53 @@
  * the operator's file says, whatever it tells of itself.
  */
 final class FleetTcp extends BasicTCP {
-  private final Door door;
-  private final Identities identities;
-  private final AtomicLong strangers = new AtomicLong();
-  private final AtomicLong bytes = new AtomicLong();
+  private final FleetNioServer nioServer;
+  private final MemberAddresses memberAddresses;
+  private final AtomicLong unknownSenders = new AtomicLong();
+  private final AtomicLong sentBytes = new AtomicLong();
 
-  FleetTcp(Door door, Identities identities) {
-    this.door = door;
-    this.identities = identities;
+  FleetTcp(FleetNioServer nioServer, MemberAddresses memberAddresses) {
+    this.nioServer = nioServer;
+    this.memberAddresses = memberAddresses;
   }
 
   /** Messages of senders that the operator's file does not name. */
-  long strangers() {
-    return strangers.get();
+  long unknownSenders() {
+    return unknownSenders.get();
   }
 
   /** Bytes given to the sockets, the library's own among them. */
   long bytesSent() {
-    return bytes.get();
+    return sentBytes.get();
   }
 
   @Override
   public void start() throws Exception {
-    door.receiver(this).timeService(time_service).socketConnectionTimeout(sock_conn_timeout).tcpNodelay(true)
+    nioServer.receiver(this).timeService(time_service).socketConnectionTimeout(sock_conn_timeout).tcpNodelay(true)
         .deferClientBinding(true).log(log).setMaxLength(max_length).addConnectionListener(this);
     super.start();
   }
 
   @Override
   public void stop() {
-    door.stop();
+    nioServer.stop();
     super.stop();
   }
 
   @Override
   protected void handleConnect() throws Exception {
-    door.start();
+    nioServer.start();
   }
 
   @Override
   protected void handleDisconnect() {
-    door.stop();
+    nioServer.stop();
   }
 
   @Override
   public void send(Address dest, byte[] data, int offset, int length) throws Exception {
-    bytes.addAndGet(length);
-    door.send(dest, data, offset, length);
+    sentBytes.addAndGet(length);
+    nioServer.send(dest, data, offset, length);
   }
 
   /** A proxy that left the library's group is dialled on: rows do not depend on what the group agrees on. */
@@ -70,24 +70,24 @@
 
   @Override
   public String printConnections() {
-    return door.printConnections();
+    return nioServer.printConnections();
   }
 
   @Override
   protected PhysicalAddress getPhysicalAddress() {
-    return (PhysicalAddress) door.localAddress();
+    return (PhysicalAddress) nioServer.localAddress();
   }
 
   @Override
-  protected boolean addPhysicalAddressToCache(Address logical, PhysicalAddress told, boolean overwrite) {
-    PhysicalAddress dialled = logical != null && logical.equals(local_addr) ? told : identities.dialled(logical);
-    return dialled != null && super.addPhysicalAddressToCache(logical, dialled, overwrite);
+  protected boolean addPhysicalAddressToCache(Address logical, PhysicalAddress claimed, boolean overwrite) {
+    PhysicalAddress configured = logical != null && logical.equals(local_addr) ? claimed : memberAddresses.physicalAddress(logical);
+    return configured != null && super.addPhysicalAddressToCache(logical, configured, overwrite);
   }
 
   @Override
   public PhysicalAddress getPhysicalAddressFromCache(Address logical) {
     return logical != null && logical.equals(local_addr) ? super.getPhysicalAddressFromCache(logical)
-        : identities.dialled(logical);
+        : memberAddresses.physicalAddress(logical);
   }
 
   /** Through a relay a message is addressed to the relay. */
@@ -111,9 +111,9 @@
   }
 
   private boolean isKnown(Address sender) {
-    boolean known = identities.name(sender) != null;
+    boolean known = memberAddresses.memberName(sender) != null;
     if (!known) {
-      strangers.incrementAndGet();
+      unknownSenders.incrementAndGet();
     }
     return known;
   }
--- a/proxy/src/main/java/lemondeal/fleet/link/LibraryLog.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/JGroupsLog.java
@@ -7,15 +7,15 @@
 import org.jgroups.logging.Log;
 
 /** The library's warnings in this program's log: counted all, told one in a while, since strangers can cause them. */
-final class LibraryLog implements Log, CustomLogFactory {
-  private static final long TELL_EVERY_NANOS = 10_000_000_000L;
-  private static final int SHOWN = 300;
+final class JGroupsLog implements Log, CustomLogFactory {
+  private static final long LOG_INTERVAL_NANOS = 10_000_000_000L;
+  private static final int MAX_TEXT_LENGTH = 300;
 
   private final EventLog log;
   private final AtomicLong count = new AtomicLong();
-  private final AtomicLong toldAt = new AtomicLong(System.nanoTime() - TELL_EVERY_NANOS);
+  private final AtomicLong loggedAt = new AtomicLong(System.nanoTime() - LOG_INTERVAL_NANOS);
 
-  LibraryLog(EventLog log) {
+  JGroupsLog(EventLog log) {
     this.log = log;
   }
 
@@ -23,15 +23,15 @@
     return count.get();
   }
 
-  private void tell(String text) {
-    long all = count.incrementAndGet();
+  private void logRateLimited(String text) {
+    long total = count.incrementAndGet();
     long now = System.nanoTime();
-    long last = toldAt.get();
-    if (now - last >= TELL_EVERY_NANOS && toldAt.compareAndSet(last, now)) {
-      String shown = text.replaceAll("\\p{Cntrl}", " ");
+    long lastLoggedAt = loggedAt.get();
+    if (now - lastLoggedAt >= LOG_INTERVAL_NANOS && loggedAt.compareAndSet(lastLoggedAt, now)) {
+      String printable = text.replaceAll("\\p{Cntrl}", " ");
       log.warn("fleet-transport", "lemondeal: fleet: transport: "
-          + (shown.length() <= SHOWN ? shown : shown.substring(0, SHOWN) + "...") + " (" + all + " such in all)",
-          "count", all);
+          + (printable.length() <= MAX_TEXT_LENGTH ? printable : printable.substring(0, MAX_TEXT_LENGTH) + "...") + " (" + total + " such in all)",
+          "count", total);
     }
   }
 
@@ -59,47 +59,47 @@
 
   @Override
   public void fatal(String text) {
-    tell(text);
+    logRateLimited(text);
   }
 
   @Override
   public void fatal(String format, Object... args) {
-    tell(formatted(format, args));
+    logRateLimited(formatted(format, args));
   }
 
   @Override
   public void fatal(String text, Throwable failure) {
-    tell(withFailure(text, failure));
+    logRateLimited(withFailure(text, failure));
   }
 
   @Override
   public void error(String text) {
-    tell(text);
+    logRateLimited(text);
   }
 
   @Override
   public void error(String format, Object... args) {
-    tell(formatted(format, args));
+    logRateLimited(formatted(format, args));
   }
 
   @Override
   public void error(String text, Throwable failure) {
-    tell(withFailure(text, failure));
+    logRateLimited(withFailure(text, failure));
   }
 
   @Override
   public void warn(String text) {
-    tell(text);
+    logRateLimited(text);
   }
 
   @Override
   public void warn(String format, Object... args) {
-    tell(formatted(format, args));
+    logRateLimited(formatted(format, args));
   }
 
   @Override
   public void warn(String text, Throwable failure) {
-    tell(withFailure(text, failure));
+    logRateLimited(withFailure(text, failure));
   }
 
   @Override
--- a/proxy/src/main/java/lemondeal/fleet/link/GroupLink.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/JGroupsTransport.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Collectors;
-import lemondeal.fleet.FleetLink;
+import lemondeal.fleet.FleetTransport;
 import lemondeal.fleet.FleetRoster;
 import lemondeal.fleet.FleetSettings;
-import lemondeal.fleet.Letter;
+import lemondeal.fleet.FleetMessage;
 import lemondeal.log.EventLog;
 import org.jgroups.BytesMessage;
 import org.jgroups.JChannel;
@@ -38,107 +38,107 @@
  * group holds it: docs/FLEET-DESIGN.md. Two threads of this class's own, one that joins and one that sends; the I/O
  * thread leaves the newest letter for each peer and goes on.
  */
-public final class GroupLink implements FleetLink {
+public final class JGroupsTransport implements FleetTransport {
   private static final String CLUSTER = "lemondeal-fleet";
   /** Longest message of the library's own: a group's view with 200 members. */
-  private static final int LIBRARY_BYTES = 32 * 1024;
+  private static final int MAX_JGROUPS_BYTES = 32 * 1024;
   private static final int SEND_BUFFERS = 4;
-  private static final int THREADS = 4;
+  private static final int MAX_THREADS = 4;
   private static final int JOIN_MILLIS = 500;
   private static final long REJOIN_MILLIS = 1_000;
 
-  private record Waiting(Letter letter, long sinceNanos) {}
+  private record PendingMessage(FleetMessage message, long queuedNanos) {}
 
   private final FleetSettings settings;
   private final String self;
   private final long incarnation;
-  private final LibraryLog libraryLog;
-  private final Identities identities;
-  private final Map<String, Waiting> newest = new ConcurrentHashMap<>();
-  private final BlockingQueue<Runnable> work = new LinkedBlockingQueue<>();
-  private final AtomicLong failed = new AtomicLong();
+  private final JGroupsLog jgroupsLog;
+  private final MemberAddresses memberAddresses;
+  private final Map<String, PendingMessage> pendingByPeer = new ConcurrentHashMap<>();
+  private final BlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
+  private final AtomicLong failedSends = new AtomicLong();
   private final List<Thread> threads = new ArrayList<>();
-  private Door door;
-  private FleetTcp transport;
+  private FleetNioServer nioServer;
+  private FleetTcp tcp;
   private JChannel channel;
   private volatile boolean closed;
 
   /** @throws IllegalArgumentException where two names of the fleet can't be told apart */
-  public GroupLink(FleetSettings settings, String self, long incarnation, EventLog log) {
+  public JGroupsTransport(FleetSettings settings, String self, long incarnation, EventLog log) {
     this.settings = settings;
     this.self = self;
     this.incarnation = incarnation;
-    libraryLog = new LibraryLog(log);
-    identities = new Identities(settings.roster());
+    jgroupsLog = new JGroupsLog(log);
+    memberAddresses = new MemberAddresses(settings.roster());
   }
 
   @Override
-  public void start(Ear ear) throws IOException {
-    LogFactory.setCustomLogFactory(libraryLog);
+  public void start(Listener listener) throws IOException {
+    LogFactory.setCustomLogFactory(jgroupsLog);
     InetSocketAddress listen = settings.listen() != null ? settings.listen() : settings.roster().member(self).address();
     try {
-      door = new Door(listen, settings.roster().size());
-      door.maxSendBuffers(SEND_BUFFERS).usePeerConnections(true);
-      transport = new FleetTcp(door, identities);
-      channel = channel(listen, ear);
+      nioServer = new FleetNioServer(listen, settings.roster().size());
+      nioServer.maxSendBuffers(SEND_BUFFERS).usePeerConnections(true);
+      tcp = new FleetTcp(nioServer, memberAddresses);
+      channel = createChannel(listen, listener);
     } catch (Exception e) {
       close();
       throw new IOException("fleet.listen: " + listen.getAddress().getHostAddress() + ":" + listen.getPort() + ": "
           + e.getMessage(), e);
     }
-    thread("fleet-join", this::join);
-    thread("fleet-send", this::send);
+    startThread("fleet-join", this::join);
+    startThread("fleet-send", this::send);
   }
 
-  private void thread(String name, Runnable body) {
-    Thread thread = new Thread(body, name);
+  private void startThread(String name, Runnable task) {
+    Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     threads.add(thread);
     thread.start();
   }
 
-  private JChannel channel(InetSocketAddress listen, Ear ear) throws Exception {
-    transport.setBindAddress(listen.getAddress()).setBindPort(door.port()).setPortRange(0).setBundlerType("no-bundler");
-    transport.setMaxLength(Letter.MOST_BYTES + LIBRARY_BYTES);
-    transport.getThreadPool().setMinThreads(0).setMaxThreads(THREADS).setKeepAliveTime(10_000)
+  private JChannel createChannel(InetSocketAddress listen, Listener listener) throws Exception {
+    tcp.setBindAddress(listen.getAddress()).setBindPort(nioServer.port()).setPortRange(0).setBundlerType("no-bundler");
+    tcp.setMaxLength(FleetMessage.MAX_BYTES + MAX_JGROUPS_BYTES);
+    tcp.getThreadPool().setMinThreads(0).setMaxThreads(MAX_THREADS).setKeepAliveTime(10_000)
         .setIncreaseMaxSizeDynamically(false);
-    long life = settings.lifeMillis();
-    JChannel made = new JChannel(transport, new TCPPING().setInitialHosts2(peers()).setPortRange(0),
-        new MERGE3().setMinInterval(life).setMaxInterval(3 * life),
-        new FD_ALL3().setInterval(life / 2).setTimeout(2 * life),
-        new VERIFY_SUSPECT2().setTimeout(life / 2), new NAKACK2().useMcastXmit(false), new UNICAST3(), new STABLE(),
+    long ttl = settings.ttlMillis();
+    JChannel created = new JChannel(tcp, new TCPPING().setInitialHosts2(peerAddresses()).setPortRange(0),
+        new MERGE3().setMinInterval(ttl).setMaxInterval(3 * ttl),
+        new FD_ALL3().setInterval(ttl / 2).setTimeout(2 * ttl),
+        new VERIFY_SUSPECT2().setTimeout(ttl / 2), new NAKACK2().useMcastXmit(false), new UNICAST3(), new STABLE(),
         new GMS().printLocalAddress(false).setJoinTimeout(JOIN_MILLIS).setLeaveTimeout(JOIN_MILLIS)
             .setMaxJoinAttempts(1));
-    made.setName(self);
-    made.setDiscardOwnMessages(true);
-    made.addAddressGenerator(() -> Identities.address(self, incarnation));
-    made.setReceiver(new Receiver() {
+    created.setName(self);
+    created.setDiscardOwnMessages(true);
+    created.addAddressGenerator(() -> MemberAddresses.logicalAddress(self, incarnation));
+    created.setReceiver(new Receiver() {
       @Override
       public void receive(Message message) {
         // The transport lets no sender through that is not named.
         if (message.hasArray()) {
-          ear.heard(identities.name(message.getSrc()), bytes(message));
+          listener.onMessage(memberAddresses.memberName(message.getSrc()), payload(message));
         }
       }
 
       @Override
       public void viewAccepted(View view) {
-        ear.group(view.getMembers().stream().map(identities::name).map(String::valueOf).sorted()
+        listener.onViewChange(view.getMembers().stream().map(memberAddresses::memberName).map(String::valueOf).sorted()
             .collect(Collectors.joining(" ")));
       }
     });
-    return made;
+    return created;
   }
 
-  private static byte[] bytes(Message message) {
+  private static byte[] payload(Message message) {
     byte[] bytes = new byte[message.getLength()];
     System.arraycopy(message.getArray(), message.getOffset(), bytes, 0, bytes.length);
     return bytes;
   }
 
-  private List<PhysicalAddress> peers() {
-    return settings.roster().members().stream().map(FleetRoster.Named::name).filter(name -> !name.equals(self))
-        .map(identities::dialled).toList();
+  private List<PhysicalAddress> peerAddresses() {
+    return settings.roster().members().stream().map(FleetRoster.Member::name).filter(name -> !name.equals(self))
+        .map(memberAddresses::physicalAddress).toList();
   }
 
   // ---- On threads of its own -----------------------------------------------------------------
@@ -150,13 +150,13 @@
         channel.connect(CLUSTER);
         return;
       } catch (Exception e) {
-        libraryLog.warn("can't join", e);
-        pause();
+        jgroupsLog.warn("can't join", e);
+        waitBeforeRejoin();
       }
     }
   }
 
-  private void pause() {
+  private void waitBeforeRejoin() {
     try {
       Thread.sleep(REJOIN_MILLIS);
     } catch (InterruptedException e) {
@@ -168,7 +168,7 @@
   private void send() {
     try {
       while (!closed) {
-        work.take().run();
+        tasks.take().run();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -176,36 +176,36 @@
   }
 
   @Override
-  public void tell(String peer, Letter letter) {
-    if (newest.put(peer, new Waiting(letter, System.nanoTime())) == null) {
-      work.add(() -> send(peer));
+  public void sendLatest(String peer, FleetMessage message) {
+    if (pendingByPeer.put(peer, new PendingMessage(message, System.nanoTime())) == null) {
+      tasks.add(() -> send(peer));
     }
   }
 
   private void send(String peer) {
-    Waiting waiting = newest.remove(peer);
-    byte[] bytes = waiting.letter().bytes((System.nanoTime() - waiting.sinceNanos()) / 1_000_000);
+    PendingMessage pending = pendingByPeer.remove(peer);
+    byte[] bytes = pending.message().encode((System.nanoTime() - pending.queuedNanos()) / 1_000_000);
     try {
-      channel.send(new BytesMessage(identities.dialled(peer), bytes)
+      channel.send(new BytesMessage(memberAddresses.physicalAddress(peer), bytes)
           .setFlag(Message.Flag.NO_RELIABILITY, Message.Flag.NO_FC, Message.Flag.DONT_BUNDLE));
     } catch (Exception e) {
       // The peer is away, or this proxy is about to join: the next letter comes soon.
-      failed.incrementAndGet();
+      failedSends.incrementAndGet();
     }
   }
 
   @Override
-  public void redial(String peer) {
-    work.add(() -> door.closeConnection(identities.dialled(peer)));
+  public void reconnect(String peer) {
+    tasks.add(() -> nioServer.closeConnection(memberAddresses.physicalAddress(peer)));
   }
 
   @Override
   public void addTo(Map<String, Long> figures) {
-    figures.put("fleet_bytes_sent", transport.bytesSent());
-    figures.put("fleet_letters_failed", failed.get());
-    figures.put("fleet_strangers", transport.strangers());
-    figures.put("fleet_turned_away", door.turnedAway());
-    figures.put("fleet_transport_warnings", libraryLog.count());
+    figures.put("fleet_bytes_sent", tcp.bytesSent());
+    figures.put("fleet_letters_failed", failedSends.get());
+    figures.put("fleet_strangers", tcp.unknownSenders());
+    figures.put("fleet_turned_away", nioServer.rejectedConnections());
+    figures.put("fleet_transport_warnings", jgroupsLog.count());
   }
 
   @Override
@@ -213,8 +213,8 @@
     closed = true;
     if (channel != null) {
       channel.close();
-    } else if (door != null) {
-      door.stop();
+    } else if (nioServer != null) {
+      nioServer.stop();
     }
     threads.forEach(Thread::interrupt);
   }
--- a/proxy/src/main/java/lemondeal/fleet/link/Identities.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/MemberAddresses.java
@@ -17,42 +17,42 @@
  * that whoever receives a message knows the sender by the operator's file alone. Where a proxy is dialled is the file's
  * to say, too, never what the proxy tells of itself: through a relay or another network it may be somewhere else.
  */
-final class Identities {
-  private final Map<Long, String> names = new HashMap<>();
-  private final Map<String, PhysicalAddress> dialled = new HashMap<>();
+final class MemberAddresses {
+  private final Map<Long, String> namesByHash = new HashMap<>();
+  private final Map<String, PhysicalAddress> physicalAddresses = new HashMap<>();
 
-  Identities(FleetRoster roster) {
-    for (FleetRoster.Named member : roster.members()) {
-      String other = names.put(bits(member.name()), member.name());
+  MemberAddresses(FleetRoster roster) {
+    for (FleetRoster.Member member : roster.members()) {
+      String other = namesByHash.put(nameHash(member.name()), member.name());
       if (other != null) {
         throw new IllegalArgumentException("'" + member.name() + "' and '" + other + "' can't be told apart");
       }
-      dialled.put(member.name(), new IpAddress(member.address()));
+      physicalAddresses.put(member.name(), new IpAddress(member.address()));
     }
   }
 
   /** Under which address the proxy of this name starts. */
-  static UUID address(String name, long incarnation) {
-    return new UUID(bits(name), incarnation);
+  static UUID logicalAddress(String name, long incarnation) {
+    return new UUID(nameHash(name), incarnation);
   }
 
   /** Who has this logical address; null for one that the operator's file does not name. */
-  String name(Address address) {
-    return address instanceof UUID uuid ? names.get(uuid.getMostSignificantBits()) : null;
+  String memberName(Address address) {
+    return address instanceof UUID uuid ? namesByHash.get(uuid.getMostSignificantBits()) : null;
   }
 
   /** Where the proxy of this name is dialled. */
-  PhysicalAddress dialled(String name) {
-    return dialled.get(name);
+  PhysicalAddress physicalAddress(String name) {
+    return physicalAddresses.get(name);
   }
 
   /** Where whoever has this logical address is dialled; null for a stranger. */
-  PhysicalAddress dialled(Address address) {
-    String name = name(address);
-    return name == null ? null : dialled.get(name);
+  PhysicalAddress physicalAddress(Address address) {
+    String name = memberName(address);
+    return name == null ? null : physicalAddresses.get(name);
   }
 
-  private static long bits(String name) {
+  private static long nameHash(String name) {
     try {
       byte[] digest = MessageDigest.getInstance("SHA-256").digest(name.getBytes(StandardCharsets.UTF_8));
       return ByteBuffer.wrap(digest).getLong();
--- a/proxy/src/main/java/lemondeal/operator/FleetSection.java
+++ b/proxy/src/main/java/lemondeal/operator/FleetSection.java
@@ -33,13 +33,13 @@
   /** Null where there are faults. */
   Operator.Fleet fleet() {
     int before = faults.size();
-    long life = millis("life", FleetSettings.LIFE_MILLIS);
-    long tell = millis("tell", FleetSettings.TELL_MILLIS);
-    if (life < FleetSettings.LEAST_LIFE_MILLIS || life < FleetSettings.TELLS_IN_LIFE * tell) {
-      fault("/life", "fleet.life: found " + life + " ms; allowed: at least " + FleetSettings.LEAST_LIFE_MILLIS
-          + " ms, and " + FleetSettings.TELLS_IN_LIFE + " times fleet.tell, " + tell + " ms");
+    long life = millis("life", FleetSettings.DEFAULT_TTL_MILLIS);
+    long tell = millis("tell", FleetSettings.DEFAULT_SEND_INTERVAL_MILLIS);
+    if (life < FleetSettings.MIN_TTL_MILLIS || life < FleetSettings.MIN_SENDS_PER_TTL * tell) {
+      fault("/life", "fleet.life: found " + life + " ms; allowed: at least " + FleetSettings.MIN_TTL_MILLIS
+          + " ms, and " + FleetSettings.MIN_SENDS_PER_TTL + " times fleet.tell, " + tell + " ms");
     }
-    List<FleetRoster.Named> members = members();
+    List<FleetRoster.Member> members = members();
     InetSocketAddress listen = node.has("listen") ? address("/listen", "fleet.listen", node.get("listen").asText()) : null;
     String name = node.path("name").asText(null);
     if (name != null && members.stream().noneMatch(member -> member.name().equals(name))) {
@@ -57,8 +57,8 @@
         : new Operator.Evacuation(section.get("connections").asInt(), section.path("moves").asInt(MOVES), kept);
   }
 
-  private List<FleetRoster.Named> members() {
-    List<FleetRoster.Named> members = new ArrayList<>();
+  private List<FleetRoster.Member> members() {
+    List<FleetRoster.Member> members = new ArrayList<>();
     Set<String> names = new HashSet<>();
     Set<InetSocketAddress> addresses = new HashSet<>();
     for (JsonNode member : node.get("members")) {
@@ -72,7 +72,7 @@
       if (address != null && !addresses.add(address)) {
         fault(at + "/address", path + ".address: " + Addresses.format(address) + " stands twice; allowed: each address once");
       }
-      members.add(new FleetRoster.Named(name, member.get("zone").asText(), address));
+      members.add(new FleetRoster.Member(name, member.get("zone").asText(), address));
     }
     return members;
   }
--- a/proxy/src/test/java/lemondeal/fleet/RowTableTest.java
+++ b/proxy/src/test/java/lemondeal/fleet/RowTableTest.java
@@ -18,58 +18,58 @@
 
   @Provide
   Arbitrary<RowTable> tables() {
-    Arbitrary<HeldRow> rows = Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.longs().between(1, 3),
+    Arbitrary<TimedRow> rows = Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.longs().between(1, 3),
         Arbitraries.longs().between(1, 3), Arbitraries.longs().between(0, 2), Arbitraries.integers().between(0, 2),
-        Arbitraries.longs().between(-2, 2)).as((owner, incarnation, sequence, age, content, madeAt) -> new HeldRow(
-            new Row(owner, incarnation, sequence, age, new byte[] {(byte) (int) content}), madeAt));
+        Arbitraries.longs().between(-2, 2)).as((owner, incarnation, sequence, age, content, madeAt) -> new TimedRow(
+            new MemberRow(owner, incarnation, sequence, age, new byte[] {(byte) (int) content}), madeAt));
     return rows.list().ofMaxSize(6).map(RowTableTest::table);
   }
 
-  private static RowTable table(List<HeldRow> rows) {
+  private static RowTable table(List<TimedRow> rows) {
     RowTable table = RowTable.EMPTY;
-    for (HeldRow row : rows) {
+    for (TimedRow row : rows) {
       table = table.with(row);
     }
     return table;
   }
 
   @Property(seed = "24")
-  void mergingIsCommutative(@ForAll("tables") RowTable a, @ForAll("tables") RowTable b) {
-    assertEquals(a.merge(b), b.merge(a));
+  void mergingIsCommutative(@ForAll("tables") RowTable first, @ForAll("tables") RowTable second) {
+    assertEquals(first.merge(second), second.merge(first));
   }
 
   @Property(seed = "24")
-  void mergingIsAssociative(@ForAll("tables") RowTable a, @ForAll("tables") RowTable b, @ForAll("tables") RowTable c) {
-    assertEquals(a.merge(b).merge(c), a.merge(b.merge(c)));
+  void mergingIsAssociative(@ForAll("tables") RowTable first, @ForAll("tables") RowTable second, @ForAll("tables") RowTable third) {
+    assertEquals(first.merge(second).merge(third), first.merge(second.merge(third)));
   }
 
   @Property(seed = "24")
-  void mergingTwiceIsMergingOnce(@ForAll("tables") RowTable a, @ForAll("tables") RowTable b) {
-    assertEquals(a, a.merge(a));
-    assertEquals(a.merge(b), a.merge(b).merge(b));
+  void mergingIsIdempotent(@ForAll("tables") RowTable first, @ForAll("tables") RowTable second) {
+    assertEquals(first, first.merge(first));
+    assertEquals(first.merge(second), first.merge(second).merge(second));
   }
 
   @Test
-  void aNewIncarnationGoesBeforeAnyNumberOfTheOldOne() {
-    HeldRow before = row(1, 900, 0);
-    HeldRow after = row(2, 1, 0);
-    assertSame(after, table(List.of(after, before)).of("a"));
-    assertSame(after, table(List.of(before, after)).of("a"));
+  void newIncarnationSupersedesAnySequenceOfTheOldOne() {
+    TimedRow before = row(1, 900, 0);
+    TimedRow after = row(2, 1, 0);
+    assertSame(after, table(List.of(after, before)).rowOf("a"));
+    assertSame(after, table(List.of(before, after)).rowOf("a"));
   }
 
   @Test
-  void aRowOlderThanItsLifeIsAbsentAndIsForgottenLater() {
+  void expiredRowIsAbsentAndLaterForgotten() {
     RowTable table = table(List.of(row(2, 1, 100)));
-    assertEquals(1, table.alive(300, 200).size());
-    assertEquals(0, table.alive(301, 200).size());
-    assertSame(table, table.without(400, 300));
+    assertEquals(1, table.liveRows(300, 200).size());
+    assertEquals(0, table.liveRows(301, 200).size());
+    assertSame(table, table.withoutOlderThan(400, 300));
     // Whoever started with its clock set back is heard once the old row is forgotten.
-    RowTable forgotten = table.without(401, 300);
-    assertNull(forgotten.of("a"));
-    assertEquals(1, forgotten.with(row(1, 1, 400)).of("a").row().incarnation());
+    RowTable forgotten = table.withoutOlderThan(401, 300);
+    assertNull(forgotten.rowOf("a"));
+    assertEquals(1, forgotten.with(row(1, 1, 400)).rowOf("a").row().incarnation());
   }
 
-  private static HeldRow row(long incarnation, long sequence, long madeAt) {
-    return new HeldRow(new Row("a", incarnation, sequence, 0, new byte[0]), madeAt);
+  private static TimedRow row(long incarnation, long sequence, long madeAt) {
+    return new TimedRow(new MemberRow("a", incarnation, sequence, 0, new byte[0]), madeAt);
   }
 }
--- a/proxy/src/test/java/lemondeal/fleet/MemoryFleet.java
+++ b/proxy/src/test/java/lemondeal/fleet/SimulatedFleet.java
@@ -12,32 +12,32 @@
 import lemondeal.net.Timers;
 
 /** A fleet in one thread with a clock of its own, whose network delays and cuts as a test says. */
-final class MemoryFleet {
-  private record Task(long at, long order, Runnable run) {}
+final class SimulatedFleet {
+  private record Task(long dueAt, long order, Runnable action) {}
 
   private final PriorityQueue<Task> tasks = new PriorityQueue<>((a, b) ->
-      a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+      a.dueAt != b.dueAt ? Long.compare(a.dueAt, b.dueAt) : Long.compare(a.order, b.order));
   private final FleetRoster roster;
-  private final Map<String, FleetLink.Ear> ears = new HashMap<>();
-  private final Map<String, Long> aheadMillis = new HashMap<>();
+  private final Map<String, FleetTransport.Listener> listeners = new HashMap<>();
+  private final Map<String, Long> clockOffsetMillis = new HashMap<>();
   /** Pairs "from>to" that nothing passes. */
-  final Set<String> cut = new HashSet<>();
+  final Set<String> disconnected = new HashSet<>();
   final Map<String, Long> delayMillis = new HashMap<>();
-  final List<String> redialled = new ArrayList<>();
+  final List<String> reconnects = new ArrayList<>();
   final List<String> log = new ArrayList<>();
-  int letters;
+  int sentMessages;
   private long nowMillis = 1_000_000;
   private long order;
 
-  MemoryFleet(String... names) {
-    roster = IntakeTest.roster(names);
+  SimulatedFleet(String... names) {
+    roster = MessageValidatorTest.roster(names);
   }
 
   /** A member that starts now, whose clock is that far ahead of the others'. */
-  FleetMember start(String name, long incarnation, long ahead) throws IOException {
-    aheadMillis.put(name, ahead);
+  FleetMember start(String name, long incarnation, long clockOffset) throws IOException {
+    clockOffsetMillis.put(name, clockOffset);
     FleetSettings settings = new FleetSettings(name, roster, null, 2000, 200);
-    FleetMember member = new FleetMember(settings, name, incarnation, link(name), new EventLog() {
+    FleetMember member = new FleetMember(settings, name, incarnation, transport(name), new EventLog() {
       @Override
       public void event(Level level, String event, String line, Object... fields) {
         log.add(name + " " + event + " " + line);
@@ -51,47 +51,47 @@
     member.start(Runnable::run, new Timers() {
       @Override
       public long now() {
-        return (nowMillis + aheadMillis.get(name)) * 1000;
+        return (nowMillis + clockOffsetMillis.get(name)) * 1000;
       }
 
       @Override
       public Timer after(long micros, Runnable task) {
-        Task added = at(nowMillis + (micros + 999) / 1000, task);
+        Task added = scheduleAt(nowMillis + (micros + 999) / 1000, task);
         return () -> tasks.remove(added);
       }
     });
     return member;
   }
 
-  private FleetLink link(String name) {
-    return new FleetLink() {
-      private Ear mine;
+  private FleetTransport transport(String name) {
+    return new FleetTransport() {
+      private Listener mine;
 
       @Override
-      public void start(Ear ear) {
+      public void start(Listener ear) {
         mine = ear;
-        ears.put(name, ear);
+        listeners.put(name, ear);
       }
 
       @Override
-      public void tell(String peer, Letter letter) {
-        letters++;
+      public void sendLatest(String peer, FleetMessage letter) {
+        sentMessages++;
         String way = name + ">" + peer;
-        if (!cut.contains(way)) {
-          byte[] bytes = letter.bytes(0);
-          at(nowMillis + delayMillis.getOrDefault(way, 1L), () -> deliver(way, peer, bytes));
+        if (!disconnected.contains(way)) {
+          byte[] bytes = letter.encode(0);
+          scheduleAt(nowMillis + delayMillis.getOrDefault(way, 1L), () -> deliver(way, peer, bytes));
         }
       }
 
       private void deliver(String way, String peer, byte[] bytes) {
-        if (ears.get(peer) != null && !cut.contains(way)) {
-          ears.get(peer).heard(name, bytes);
+        if (listeners.get(peer) != null && !disconnected.contains(way)) {
+          listeners.get(peer).onMessage(name, bytes);
         }
       }
 
       @Override
-      public void redial(String peer) {
-        redialled.add(name + ">" + peer);
+      public void reconnect(String peer) {
+        reconnects.add(name + ">" + peer);
       }
 
       @Override
@@ -101,24 +101,24 @@
 
       @Override
       public void close() {
-        ears.remove(name, mine);
+        listeners.remove(name, mine);
       }
     };
   }
 
-  private Task at(long millis, Runnable run) {
-    Task task = new Task(millis, order++, run);
+  private Task scheduleAt(long millis, Runnable action) {
+    Task task = new Task(millis, order++, action);
     tasks.add(task);
     return task;
   }
 
   void run(long millis) {
-    long until = nowMillis + millis;
-    while (!tasks.isEmpty() && tasks.peek().at <= until) {
+    long end = nowMillis + millis;
+    while (!tasks.isEmpty() && tasks.peek().dueAt <= end) {
       Task task = tasks.poll();
-      nowMillis = Math.max(nowMillis, task.at);
-      task.run.run();
+      nowMillis = Math.max(nowMillis, task.dueAt);
+      task.action.run();
     }
-    nowMillis = until;
+    nowMillis = end;
   }
 }
--- a/proxy/src/test/java/lemondeal/operator/OperatorTest.java
+++ b/proxy/src/test/java/lemondeal/operator/OperatorTest.java
@@ -257,15 +257,15 @@
   @Test
   void theFleetIsReadAndWhatIsLeftOutHasItsDefault() throws IOException {
     Operator.Fleet fleet = Operator.read(file(FLEET)).fleet();
-    assertEquals(2_000, fleet.settings().lifeMillis());
-    assertEquals(200, fleet.settings().tellMillis());
+    assertEquals(2_000, fleet.settings().ttlMillis());
+    assertEquals(200, fleet.settings().sendIntervalMillis());
     assertEquals("b", fleet.settings().roster().member("p-2").zone());
     assertTrue(fleet.fault("refused").toString().endsWith("operator.yaml:2:1: refused"), fleet.fault("").toString());
     Operator.Fleet other = Operator.read(file(FLEET + "  name: p-2\n  listen: 127.0.0.1:7900\n  life: 9s\n  tell: 1s\n")).fleet();
     assertEquals("p-2", other.settings().name());
     assertEquals(7900, other.settings().listen().getPort());
-    assertEquals(9_000, other.settings().lifeMillis());
-    assertEquals(1_000, other.settings().tellMillis());
+    assertEquals(9_000, other.settings().ttlMillis());
+    assertEquals(1_000, other.settings().sendIntervalMillis());
   }
 
   @Test
