--- a/proxy/src/main/java/lemondeal/ZoneEvacuationService.java
+++ b/proxy/src/main/java/lemondeal/ZoneEvacuationService.java
@@ -7,25 +7,25 @@
 import java.util.Optional;
 import lemondeal.config.Config;
 import lemondeal.config.ConfigException;
+import lemondeal.evacuation.EvacuatingBalancer;
 import lemondeal.evacuation.Evacuation;
 import lemondeal.evacuation.EvacuationSettings;
 import lemondeal.evacuation.EvacuationState;
 import lemondeal.evacuation.EvidenceSettings;
-import lemondeal.evacuation.ZoneMembership;
 import lemondeal.evacuation.SlowStartRamp;
 import lemondeal.evacuation.ZoneAccess;
-import lemondeal.evacuation.EvacuatingBalancer;
+import lemondeal.evacuation.ZoneMembership;
 import lemondeal.fleet.FleetMember;
 import lemondeal.fleet.FleetRoster;
-import lemondeal.fleet.TimedRow;
 import lemondeal.fleet.Sections;
+import lemondeal.fleet.TimedRow;
 import lemondeal.log.EventLog;
 import lemondeal.net.Timers;
 import lemondeal.operator.Operator;
 import lemondeal.proxy.Proxy;
 import lemondeal.saved.StateFile;
 
-/** Joins leaving and returning to zones, which is pure, to the fleet's rows, the log, the disk and the proxy's timers. */
+/** Connects zone evacuation, which does no I/O, to the fleet's rows, the log, the state file and the proxy's timers. */
 final class ZoneEvacuationService implements EvacuatingBalancer.Callbacks, AutoCloseable {
   private static final String SECTION = "evacuation";
   private static final long MICROS_PER_MILLI = 1_000;
@@ -36,12 +36,12 @@
   private final StateFile stateFile;
   private final EvacuatingBalancer balancer;
   private Proxy proxy;
-  /** Decisions that are not on disk yet. */
+  /** Number of decisions that are not on disk yet. */
   private int pendingWrites;
 
-  /** @throws ConfigException where a proxy of the fleet stands in a zone that the platform does not name */
-  ZoneEvacuationService(Operator.Fleet section, Config config, FleetMember member, long incarnation, long now, Balancer module,
-      EventLog log) {
+  /** @throws ConfigException if a proxy of the fleet is in a zone that the platform's configuration does not name */
+  ZoneEvacuationService(Operator.Fleet section, Config config, FleetMember member, long incarnation, long now,
+      Balancer module, EventLog log) {
     this.member = member;
     this.log = log;
     zoneNames = config.names().zones();
@@ -49,9 +49,10 @@
     stateFile = new StateFile(ownSection.kept(), log);
     ZoneMembership membership = membership(section, member);
     EvacuationSettings settings = settings(section.settings().sendIntervalMillis());
-    Evacuation evacuation = new Evacuation(membership, settings, SlowStartRamp.of(config.settings().rules(), ownSection.connections()),
-        incarnation, savedState(), now);
-    balancer = new EvacuatingBalancer(module, membership, evacuation, ownSection.moves(), settings.reportInterval(), this, now);
+    Evacuation evacuation = new Evacuation(membership, settings,
+        SlowStartRamp.of(config.settings().rules(), ownSection.connections()), incarnation, savedState(), now);
+    balancer = new EvacuatingBalancer(module, membership, evacuation, ownSection.moves(), settings.reportInterval(),
+        this, now);
   }
 
   private static EvacuationSettings settings(long reportInterval) {
@@ -59,8 +60,9 @@
     long voteTtl = Math.max(defaults.voteTtl(), 5 * reportInterval);
     long leaseTtl = Math.max(defaults.leaseTtl(), 5 * reportInterval);
     return new EvacuationSettings(EvidenceSettings.DEFAULT, reportInterval, voteTtl, leaseTtl,
-        Math.max(defaults.evacuateDwell(), 2 * leaseTtl), Math.max(defaults.returnDwell(), 2 * leaseTtl), defaults.unobservedDwells(),
-        defaults.relapseWindow(), defaults.startupQueryTimeout(), defaults.maxClockDrift());
+        Math.max(defaults.evacuateDwell(), 2 * leaseTtl), Math.max(defaults.returnDwell(), 2 * leaseTtl),
+        defaults.unobservedDwells(), defaults.relapseWindow(), defaults.startupQueryTimeout(),
+        defaults.maxClockDrift());
   }
 
   private ZoneMembership membership(Operator.Fleet section, FleetMember member) {
@@ -68,15 +70,18 @@
     for (FleetRoster.Member configured : section.settings().roster().members()) {
       int zone = zoneNames.indexOf(configured.zone());
       if (zone < 0) {
-        throw new ConfigException(section.fault("fleet.members: " + configured.name() + ": found zone '" + configured.zone()
-            + "'; allowed: " + String.join(", ", zoneNames)).toString());
+        throw new ConfigException(section.fault("fleet.members: " + configured.name() + ": found zone '"
+            + configured.zone() + "'; allowed: " + String.join(", ", zoneNames)).toString());
       }
       members.add(new ZoneMembership.Member(configured.name(), zone));
     }
     return ZoneMembership.of(members, member.name());
   }
 
-  /** A first start knows that nothing was ever left; one whose file is damaged knows nothing and has to ask. */
+  /**
+   * On a very first start no zone was ever evacuated. With a damaged file nothing is known, and the peers must be
+   * queried.
+   */
   private Optional<EvacuationState> savedState() {
     Optional<byte[]> bytes = stateFile.read();
     if (bytes.isEmpty()) {
@@ -84,7 +89,7 @@
     }
     Optional<EvacuationState> state = EvacuationState.decode(bytes.get());
     if (state.isEmpty()) {
-      log.warn("zones-kept", "lemondeal: what was kept of the zones is not whole and is passed over");
+      log.warn("zones-kept", "lemondeal: the saved state of the zones is damaged and is ignored");
     }
     return state;
   }
@@ -93,10 +98,10 @@
     return balancer;
   }
 
-  /** Begins to look around, on the proxy's own thread. */
+  /** Starts the periodic checks on the proxy's I/O thread. */
   void start(Proxy startedProxy) {
     startedProxy.executor().execute(() -> {
-      // Before this no row was told.
+      // Before this no report was published.
       pendingWrites = 0;
       proxy = startedProxy;
       member.onChange(this::receiveReports);
@@ -120,7 +125,10 @@
     }
   }
 
-  /** A row waits until what it tells is on disk: after a crash this proxy must remember what others heard of it. */
+  /**
+   * Publishes a report only when the decisions in it are on disk: after a crash this proxy must still know what it has
+   * reported.
+   */
   @Override
   public void publishReport(byte[] content) {
     if (proxy != null && pendingWrites == 0) {
@@ -131,12 +139,13 @@
   @Override
   public void onDecision(Evacuation.Decision decision, EvacuationState state) {
     String zone = zoneName(decision.zone());
-    log.warn(decision.evacuates() ? "zone-left" : "zone-returned", "lemondeal: the fleet " + (decision.evacuates() ? "leaves"
-        : "returns to") + " zone " + zone + ", epoch " + decision.epoch(), "zone", zone, "epoch", decision.epoch(),
-        "counted_here", decision.countedHere());
+    log.warn(decision.evacuates() ? "zone-left" : "zone-returned", "lemondeal: the fleet "
+        + (decision.evacuates() ? "evacuates" : "returns to") + " zone " + zone + ", epoch " + decision.epoch(), "zone",
+        zone, "epoch", decision.epoch(), "counted_here", decision.countedHere());
     Proxy startedProxy = proxy;
     pendingWrites++;
-    stateFile.write(state.encode(), startedProxy == null ? () -> { } : () -> startedProxy.executor().execute(() -> pendingWrites--));
+    stateFile.write(state.encode(),
+        startedProxy == null ? () -> { } : () -> startedProxy.executor().execute(() -> pendingWrites--));
   }
 
   private String zoneName(int zone) {
@@ -146,9 +155,9 @@
   @Override
   public void onAccessChange(ZoneAccess access) {
     String state = access.state().name().toLowerCase(Locale.ROOT);
-    log.info("zone-standing", "lemondeal: zone " + zoneName(access.zone()) + " is " + state + " here, "
-        + Math.round(100 * access.openShare()) + " % of the keys, epoch " + access.epoch(), "zone", zoneName(access.zone()),
-        "state", state, "epoch", access.epoch());
+    log.info("zone-standing", "lemondeal: zone " + zoneName(access.zone()) + " is " + state + " at this proxy, "
+        + Math.round(100 * access.openShare()) + " % of the keys, epoch " + access.epoch(), "zone",
+        zoneName(access.zone()), "state", state, "epoch", access.epoch());
   }
 
   @Override
@@ -156,7 +165,7 @@
     return Math.max(1, member.liveMembers().size());
   }
 
-  /** How far each zone is open here, in hundredths. */
+  /** Adds the share to which each zone is open at this proxy, in percent. */
   void addTo(Map<String, Long> figures) {
     balancer.openShares().forEach((zone, share) -> figures.put("zone_open_" + zoneName(zone), Math.round(100 * share)));
   }
--- a/proxy/src/main/java/lemondeal/evacuation/EvacuatingBalancer.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvacuatingBalancer.java
@@ -8,28 +8,29 @@
 import lemondeal.Balancer;
 
 /**
- * A module that places within what the fleet decided of its zones. Stands between the proxy and its module: what the
- * module hears is evidence, and how far zones are open is told to it before each event, so that no share outlives a stall
- * of the process. Pure: rows go in by {@link #hear} and out by {@link Side}. A proxy without such a section runs none of it.
+ * Decorates a decision module so that it places requests within the fleet's zone evacuations. The events for the module
+ * are also used as health observations, and each zone's limit is passed to the module before each event, so that no
+ * lease outlives a pause of the process. Does no I/O: reports go in by {@link #receiveReport} and out by
+ * {@link Callbacks}. Not used by a proxy without this section in its settings.
  */
 public final class EvacuatingBalancer implements Balancer {
-  /** A wake-up of this token is for looking around alone; the module hears nothing of it. */
+  /** Token of the wake-ups that only trigger a check; they are not passed to the module. */
   public static final long CHECK_TOKEN = -1;
-  /** Milliseconds between two looks. */
+  /** Milliseconds between two checks. */
   public static final long CHECK_INTERVAL_MILLIS = 50;
 
-  /** What is told outside. */
+  /** Callbacks to the surrounding program. */
   public interface Callbacks {
-    /** The content of the own next row. */
+    /** Publishes this proxy's next report. */
     void publishReport(byte[] content);
 
-    /** A decision became known; {@code state} is to be kept on disk. */
+    /** A decision has become known; {@code state} must be saved on disk. */
     void onDecision(Evacuation.Decision decision, EvacuationState state);
 
-    /** From now on this proxy stands so to the zone; told when the state changes. */
+    /** This proxy's access to the zone has changed its state. */
     void onAccessChange(ZoneAccess access);
 
-    /** Proxies heard of for certain, this one included. */
+    /** Number of members with a recent row, this proxy included. */
     int liveMembers();
   }
 
@@ -47,10 +48,11 @@
   private long lastReportAt;
 
   /**
-   * @param movesPerSecond standing connections that leave a zone, of all proxies together
-   * @param tell milliseconds between two rows
+   * @param movesPerSecond established connections a second that are moved out of a zone, by all proxies together
+   * @param reportInterval milliseconds between two reports
    */
-  public EvacuatingBalancer(Balancer module, ZoneMembership membership, Evacuation evacuation, double movesPerSecond, long reportInterval, Callbacks callbacks, long now) {
+  public EvacuatingBalancer(Balancer module, ZoneMembership membership, Evacuation evacuation, double movesPerSecond,
+      long reportInterval, Callbacks callbacks, long now) {
     this.module = module;
     this.evacuation = evacuation;
     this.callbacks = callbacks;
@@ -62,7 +64,7 @@
     lastReportAt = now - reportInterval;
   }
 
-  /** Takes the newest content of a proxy's row. */
+  /** Receives the newest report of a proxy. */
   public void receiveReport(String owner, byte[] content) {
     evacuation.receiveReport(owner, content);
   }
@@ -83,7 +85,7 @@
     List<Action> moduleActions = module.on(now, event);
     result.addAll(moduleActions);
     if (event instanceof ServerList && started) {
-      // Before anybody can be sent to a server that is new here: its zone may have been left.
+      // Applied before a request can be sent to a server that is new in the list, as its zone may be evacuated.
       check(now, result);
     } else if (recordLimitedSends(moduleActions)) {
       updateZoneLimits(now, result);
@@ -111,7 +113,7 @@
     }
   }
 
-  /** Tells the module what changed of the zones' doors, and whom to move out of a zone that is left. */
+  /** Passes changed zone limits to the module, and the number of connections to move out of evacuated zones. */
   private void updateZoneLimits(long now, List<Action> result) {
     long millis = now / 1_000;
     for (ZoneAccess access : evacuation.accesses(millis)) {
@@ -120,7 +122,8 @@
       }
       int moves = access.state() == ZoneAccess.State.CLOSED ? moveBudget.takeWholeTokens() : 0;
       ZoneOpen limit = new ZoneOpen(access.zone(), access.openShare(), rateLimiter.available(access, millis), 0);
-      if (moves > 0 || !limit.equals(zoneLimits.get(limit.zone())) && !(isUnlimited(limit) && !zoneLimits.containsKey(limit.zone()))) {
+      if (moves > 0 || !limit.equals(zoneLimits.get(limit.zone()))
+          && !(isUnlimited(limit) && !zoneLimits.containsKey(limit.zone()))) {
         zoneLimits.put(limit.zone(), limit);
         List<Action> moved = module.on(now, new ZoneOpen(limit.zone(), limit.keyShare(), limit.maxSends(), moves));
         moveBudget.refund(moves - (int) moved.stream().filter(Move.class::isInstance).count());
@@ -147,15 +150,16 @@
     return limited;
   }
 
-  /** While a starting proxy asks what was decided, it is not to be sent clients. */
+  /** While a starting proxy queries its peers for decisions, it is not ready for clients. */
   @Override
   public ServerSummary serverSummary(long now) {
-    ServerSummary standing = module.serverSummary(now);
-    boolean starting = evacuation.accesses(now / 1_000).stream().anyMatch(access -> access.state() == ZoneAccess.State.ASKING);
-    return new ServerSummary(standing.listReceived() && !starting, standing.known(), standing.avoided());
+    ServerSummary summary = module.serverSummary(now);
+    boolean starting = evacuation.accesses(now / 1_000).stream()
+        .anyMatch(access -> access.state() == ZoneAccess.State.ASKING);
+    return new ServerSummary(summary.listReceived() && !starting, summary.known(), summary.avoided());
   }
 
-  /** How far each zone is open by what was last told, for the figures. */
+  /** The share that was last passed to the module for each zone, for metrics. */
   public Map<Integer, Double> openShares() {
     Map<Integer, Double> shares = new HashMap<>();
     zoneLimits.forEach((zone, limit) -> shares.put(zone, limit.keyShare()));
--- a/proxy/src/main/java/lemondeal/evacuation/Evacuation.java
+++ b/proxy/src/main/java/lemondeal/evacuation/Evacuation.java
@@ -9,16 +9,17 @@
 import java.util.TreeSet;
 
 /**
- * One proxy's part in leaving zones together and coming back. Rows of others, observations and the time go in; the own
- * row and the zones' standings come out. Pure: no clock, no I/O, one caller at a time. Times are milliseconds of the
- * local monotonic clock.
+ * One proxy's part in evacuating zones and returning to them. Reports of the other proxies, observations and the time
+ * go in; this proxy's own report and its access to each zone come out. Does no I/O, has no clock, and must be called by
+ * one thread at a time. Times are milliseconds of the local monotonic clock.
  *
- * <p>An epoch's content is fixed by its number, so two majorities can't decide differently on one. A proxy votes for
- * the next epoch once it has asked a majority, and follows the highest that any row tells. Whatever a proxy sends
- * beyond its careful share needs fresh words of a majority that knows the same epoch and does not vote against it.
+ * <p>An epoch's number defines its meaning, so two majorities cannot decide differently on the same epoch. A proxy
+ * votes for the next epoch once enough peers have answered after its start, and adopts the highest epoch in any report.
+ * Rates beyond the baseline rate need a lease: recent reports of a majority that knows the same epoch and does not vote
+ * against it.
  */
 public final class Evacuation {
-  /** Zones held at most; what rows tell of others is left. */
+  /** Maximum number of zones tracked; reports about further zones are ignored. */
   private static final int MAX_ZONES = 64;
 
   private final ZoneMembership membership;
@@ -35,17 +36,20 @@
   private final long startedAt;
   private long reportSequence;
   private long lastTickAt;
-  /** Whether enough others have answered since the start. */
+  /** Whether enough peers have answered since the start. */
   private boolean startupQuorumReached;
-  /** Whether it knows all that it ever knew: what was kept was whole, or the others have told it. */
+  /**
+   * Whether this proxy knows every decision that it ever knew: its saved state was intact, or enough peers have
+   * answered since.
+   */
   private boolean hasFullHistory;
   private boolean reportDue;
   private byte[] planDigest;
 
   /**
-   * A decision as this proxy came to know it.
+   * A decision as this proxy learned of it.
    *
-   * @param here whether it counted the votes itself
+   * @param countedHere whether this proxy counted the votes itself; otherwise it adopted the epoch from a report
    */
   public record Decision(int zone, long epoch, boolean countedHere) {
     public boolean evacuates() {
@@ -54,18 +58,18 @@
   }
 
   /**
-   * @param usual how zones open of which nothing else is told
-   * @param incarnation of this start, above those of all earlier ones
-   * @param kept what was kept on disk, {@link EvacuationState#NONE} on the first start ever; empty where it is
-   *     damaged or lost: the proxy may then have been one of a majority that it does not remember
+   * @param defaultRamp slow-start ramp of zones for which none was set
+   * @param incarnation of this start; must be greater than that of all earlier starts
+   * @param restored the state saved on disk, {@link EvacuationState#NONE} on the very first start; empty if it is
+   *     damaged or lost, in which case this proxy may have belonged to a majority that it no longer remembers
    */
   public Evacuation(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp defaultRamp, long incarnation,
       Optional<EvacuationState> restored, long now) {
     this(membership, settings, defaultRamp, incarnation, restored, now, new QuorumRules());
   }
 
-  Evacuation(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp defaultRamp, long incarnation, Optional<EvacuationState> restored,
-      long now, QuorumRules quorumRules) {
+  Evacuation(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp defaultRamp, long incarnation,
+      Optional<EvacuationState> restored, long now, QuorumRules quorumRules) {
     this.membership = membership;
     this.settings = settings;
     this.quorumRules = quorumRules;
@@ -83,30 +87,32 @@
   }
 
   /**
-   * Others that a starting proxy must hear: with it they are a majority if it remembers what it knew. If not, it may
-   * have been one of the majority that decided, and must meet that majority's others.
+   * Number of peers that must answer a starting proxy. With its history intact, it and those peers must form a
+   * majority. Without it, this proxy may have been one of the majority that made a decision, so the peers must
+   * intersect the rest of any such majority.
    */
   private static int requiredAnswers(int members, boolean hasFullHistory) {
     int majority = members / 2 + 1;
     return Math.min(members - 1, hasFullHistory ? majority - 1 : members - majority + 1);
   }
 
-  /** Where this proxy's observations go. */
+  /** The tracker that receives this proxy's observations. */
   public ZoneHealthTracker healthTracker() {
     return healthTracker;
   }
 
   /**
-   * From now on the zone opens like this. Every proxy of the fleet must be told the same, from settings alone; one that
-   * knows of less room may hold its own down with {@link Opening#within}, as less is always safe.
+   * Sets the zone's slow-start ramp. All proxies of the fleet must use the same ramp, derived from settings alone. A
+   * proxy that knows of less capacity may lower its own with {@link SlowStartRamp#cappedAt}, as a lower rate is always
+   * safe.
    */
   public void setRamp(int zone, SlowStartRamp ramp) {
-    recoveryBudget.ramp(zone, ramp);
+    recoveryBudget.setRamp(zone, ramp);
   }
 
   /**
-   * What this proxy would send into the zone if it were open. What its share has beyond that is lent to proxies that
-   * have too little; while nothing is told, nothing is.
+   * Sets the rate that this proxy would send to the zone if it were open. The part of its share beyond that is lent to
+   * proxies that need more; without a known demand, nothing is lent.
    *
    * @param perSecond new connections a second
    */
@@ -114,18 +120,18 @@
     recoveryBudget.setDemand(zone, perSecond);
   }
 
-  /** Takes the newest content of a proxy's row; one that is not usable is counted and changes nothing. */
+  /** Receives the newest report of a proxy; an invalid one is counted and otherwise ignored. */
   public void receiveReport(String owner, byte[] content) {
     peerReports.receive(owner, content);
   }
 
-  /** Rows that were not usable so far. */
+  /** Number of invalid reports so far. */
   public long ignoredReports() {
     return peerReports.ignoredReports();
   }
 
   /**
-   * Judges, votes and counts. To be called a few times in each interval between rows.
+   * Updates observations and votes, and counts votes. Must be called several times in each report interval.
    *
    * @return decisions that became known, in order
    */
@@ -147,8 +153,9 @@
     for (ZoneState state : zoneStates.values()) {
       updateVote(state, diagnoses.getOrDefault(state.zone, ZoneDiagnosis.UNKNOWN), now);
       countVotes(state, now, decisions);
-      // What passed before this proxy learnt of the return proves nothing.
-      updateRecovery(state, Math.min(Math.min(elapsed, 2 * settings.reportInterval()), now - state.epochLearnedAt), now);
+      // The time before this proxy learned of the return does not count as healthy.
+      updateRecovery(state, Math.min(Math.min(elapsed, 2 * settings.reportInterval()), now - state.epochLearnedAt),
+          now);
     }
     return decisions;
   }
@@ -175,28 +182,34 @@
     return zoneStates.computeIfAbsent(zone, key -> new ZoneState(zone, savedState.zones().get(zone), startedAt));
   }
 
-  /** What this proxy takes the zones' failures for, by itself. */
+  /** This proxy's own diagnosis of each zone. */
   public Map<Integer, ZoneDiagnosis> localDiagnoses(long now) {
-    return ZoneClassifier.classifyLocally(membership.zone(), healthTracker.evidenceByZone(now), healthTracker.listAge(now), settings.evidence());
+    return ZoneClassifier.classifyLocally(membership.zone(), healthTracker.evidenceByZone(now),
+        healthTracker.listAge(now), settings.evidence());
   }
 
-  /** Whether enough servers of the zone fail for asking them more often to be worth it: it may be the zone. */
+  /**
+   * Whether so many servers of the zone fail that the zone itself may have failed; more frequent probes are then
+   * worthwhile.
+   */
   public boolean suspectsFailure(int zone, long now) {
     ZoneEvidence evidence = healthTracker.evidenceByZone(now).get(zone);
     return evidence != null && evidence.failing() >= ZoneEvidence.requiredFailing(evidence.readyServers());
   }
 
-  /** The verdict on a zone with what the others see. */
+  /** The diagnosis of a zone, including the peers' observations. */
   public ZoneDiagnosis diagnosisWithPeers(int zone, long now) {
     List<ZoneClassifier.PeerObservation> observations = new ArrayList<>();
     Set<Integer> liveMembers = liveMembers(now);
     liveMembers.stream().filter(memberIndex -> memberIndex != membership.selfIndex()).forEach(memberIndex ->
-        observations.add(new ZoneClassifier.PeerObservation(membership.zone(memberIndex), peerReports.report(memberIndex).status(zone).reachability())));
-    return ZoneClassifier.classifyWithPeers(localDiagnoses(now).getOrDefault(zone, ZoneDiagnosis.UNKNOWN), membership.zone(), observations, membership.size(),
+        observations.add(new ZoneClassifier.PeerObservation(membership.zone(memberIndex),
+            peerReports.report(memberIndex).status(zone).reachability())));
+    return ZoneClassifier.classifyWithPeers(localDiagnoses(now).getOrDefault(zone, ZoneDiagnosis.UNKNOWN),
+        membership.zone(), observations, membership.size(),
         QuorumRules.requiredVantages(liveMembers, membership, zone));
   }
 
-  /** Places of the proxies heard of for certain, this one included. */
+  /** Indexes of the members with a report that is certainly recent, this proxy included. */
   private Set<Integer> liveMembers(long now) {
     Set<Integer> members = new TreeSet<>();
     for (int memberIndex = 0; memberIndex < membership.size(); memberIndex++) {
@@ -209,7 +222,7 @@
 
   // ---- Decisions -----------------------------------------------------------------------------
 
-  /** The highest epoch that anybody knows is the fleet's, however old the row is. */
+  /** Adopts the highest epoch in any report. An epoch is decided for good, so the report may be of any age. */
   private void adoptNewerEpoch(ZoneState state, long now, List<Decision> decisions) {
     for (int memberIndex = 0; memberIndex < membership.size(); memberIndex++) {
       EvacuationReport report = peerReports.report(memberIndex);
@@ -219,14 +232,16 @@
     }
   }
 
-  private void advance(ZoneState state, long epoch, int relapses, boolean countedHere, long now, List<Decision> decisions) {
+  private void advance(ZoneState state, long epoch, int relapses, boolean countedHere, long now,
+      List<Decision> decisions) {
     state.advanceTo(epoch, relapses, now, settings.relapseWindow());
     decisions.add(new Decision(state.zone, epoch, countedHere));
     reportDue = true;
   }
 
   private void updateVote(ZoneState state, ZoneDiagnosis diagnosis, long now) {
-    boolean vote = startupQuorumReached && (state.isEvacuated() ? canReturn(state, now) : shouldEvacuate(state, diagnosis, now));
+    boolean vote = startupQuorumReached
+        && (state.isEvacuated() ? canReturn(state, now) : shouldEvacuate(state, diagnosis, now));
     reportDue |= vote != state.votesForNextEpoch;
     state.setVote(vote, now);
   }
@@ -236,9 +251,10 @@
         && zoneStates.values().stream().anyMatch(other -> other != state && canTakeOver(other, now));
   }
 
-  /** Whether the zone can be counted on while another is left: nobody may leave the last one. */
+  /** Whether the zone can take over while another is evacuated; the last zone must not be evacuated. */
   private boolean canTakeOver(ZoneState other, long now) {
-    return !other.isEvacuated() && other.reachability.isResponding() && now - other.lastVotedAt > 2 * settings.withClockDrift(settings.voteTtl());
+    return !other.isEvacuated() && other.reachability.isResponding()
+        && now - other.lastVotedAt > 2 * settings.withClockDrift(settings.voteTtl());
   }
 
   private boolean canReturn(ZoneState state, long now) {
@@ -252,7 +268,8 @@
     Set<Integer> liveMembers = liveMembers(now);
     Set<Integer> voters = new TreeSet<>();
     for (int memberIndex : liveMembers) {
-      boolean voted = memberIndex == membership.selfIndex() ? state.votesForNextEpoch : votesForNextEpoch(peerReports.report(memberIndex).status(state.zone), state);
+      boolean voted = memberIndex == membership.selfIndex() ? state.votesForNextEpoch
+          : votesForNextEpoch(peerReports.report(memberIndex).status(state.zone), state);
       if (voted) {
         voters.add(memberIndex);
       }
@@ -266,20 +283,22 @@
     return status.votesForNextEpoch() && status.epoch() == state.epoch;
   }
 
-  // ---- Return --------------------------------------------------------------------------------
+  // ---- Recovery ------------------------------------------------------------------------------
 
   private void updateRecovery(ZoneState state, long elapsed, long now) {
-    // What an earlier start of this proxy lent out must have run out first.
+    // Loans that an earlier process of this proxy granted must have expired first.
     if (!state.isEvacuated() && !state.fullyOpen && now - startedAt >= settings.withClockDrift(settings.leaseTtl())) {
       recoveryBudget.addHealthyTime(state, recoveryBudget.hasLease(state, hasFullHistory, now), elapsed, now);
     }
-    // A zone that was never left has nothing to prove, once a majority says so.
+    // A zone that was never evacuated needs no recovery, once a majority confirms that it never was.
     state.fullyOpen |= state.epoch == 0 && recoveryBudget.hasLease(state, hasFullHistory, now);
   }
 
-  // ---- What comes out ------------------------------------------------------------------------
+  // ---- Access and reports --------------------------------------------------------------------
 
-  /** How this proxy stands to a zone at this moment: asked anew before each send, as a share may have run out since. */
+  /**
+   * What this proxy may send to a zone now. Must be evaluated before each send, because a lease may have expired since.
+   */
   public ZoneAccess access(int zone, long now) {
     ZoneState state = zoneState(zone);
     if (!startupQuorumReached && now - startedAt < settings.startupQueryTimeout()) {
@@ -290,7 +309,8 @@
     }
     SlowStartRamp ramp = recoveryBudget.ramp(zone);
     if (state.isEvacuated() || !recoveryBudget.hasLease(state, hasFullHistory, now)) {
-      return new ZoneAccess(zone, ZoneAccess.State.CAREFUL, ramp.openShare(0), recoveryBudget.baselineRate(zone), state.epoch);
+      return new ZoneAccess(zone, ZoneAccess.State.CAREFUL, ramp.openShare(0), recoveryBudget.baselineRate(zone),
+          state.epoch);
     }
     if (state.fullyOpen) {
       return new ZoneAccess(zone, ZoneAccess.State.OPEN, 1, Double.POSITIVE_INFINITY, state.epoch);
@@ -302,22 +322,25 @@
         recoveryBudget.allowedRate(state, now), state.epoch);
   }
 
-  /** With every zone left, none of them is: then it is no zone's failure. */
+  /**
+   * Whether every zone is evacuated. In that case the failure is not one of a zone, and the evacuations are not
+   * applied.
+   */
   private boolean allEvacuated() {
     return readyZones.stream().allMatch(zone -> zoneState(zone).isEvacuated());
   }
 
-  /** Standings of all known zones, by zone. */
+  /** The access to all known zones, ordered by zone. */
   public List<ZoneAccess> accesses(long now) {
     return List.copyOf(zoneStates.keySet()).stream().map(zone -> access(zone, now)).toList();
   }
 
-  /** Whether something changed that the others should hear before the next row is due. */
+  /** Whether a change should be reported to the peers before the next report is due. */
   public boolean reportDue() {
     return reportDue;
   }
 
-  /** The content of the own next row. */
+  /** This proxy's next report, encoded. */
   public byte[] nextReport(long now) {
     reportDue = false;
     Map<Integer, EvacuationReport.ZoneStatus> statuses = new TreeMap<>();
@@ -327,11 +350,12 @@
 
   private EvacuationReport.ZoneStatus status(ZoneState state, long now) {
     boolean recovering = access(state.zone, now).state() == ZoneAccess.State.OPENING;
-    return new EvacuationReport.ZoneStatus(state.epoch, state.votesForNextEpoch, state.reachability, state.fullyOpen && !state.isEvacuated(), state.relapses,
-        recoveryBudget.wantedMilliRate(state, recovering), recoveryBudget.grantLoans(state, recovering, now));
+    return new EvacuationReport.ZoneStatus(state.epoch, state.votesForNextEpoch, state.reachability,
+        state.fullyOpen && !state.isEvacuated(), state.relapses, recoveryBudget.wantedMilliRate(state, recovering),
+        recoveryBudget.grantLoans(state, recovering, now));
   }
 
-  /** The plan that is in force from now on, by its digest. */
+  /** Records the digest of the plan that is in force from now on. */
   public void setPlanDigest(byte[] digest) {
     planDigest = digest.clone();
   }
@@ -341,7 +365,7 @@
     return zoneState(zone).votesForNextEpoch;
   }
 
-  /** What is to be kept on disk whenever a decision became known. */
+  /** The state to save on disk whenever a decision has become known. */
   public EvacuationState state() {
     Map<Integer, EvacuationState.ZoneEpoch> zones = new TreeMap<>();
     zoneStates.values().stream().filter(state -> state.epoch > 0).forEach(state ->
--- a/proxy/src/main/java/lemondeal/evacuation/EvacuationReportCodec.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvacuationReportCodec.java
@@ -10,8 +10,8 @@
 import lemondeal.evacuation.wire.ZoneWord;
 
 /**
- * Rows to bytes and back. A row that is too large, can't be read, says what no proxy says, or is of another fleet or
- * version is nothing at all: half of it could be a vote.
+ * Encodes and decodes reports. A report that is too long, malformed, contains impossible values, or is of another fleet
+ * or version is rejected as a whole: a partly decoded one could carry a vote.
  */
 final class EvacuationReportCodec {
   private static final int VERSION = 1;
@@ -35,8 +35,9 @@
   }
 
   private static ZoneWord encode(int zone, EvacuationReport.ZoneStatus status) {
-    ZoneWord.Builder wire = ZoneWord.newBuilder().setZone(zone).setEpoch(status.epoch()).setVotes(status.votesForNextEpoch())
-        .setSeen(status.reachability().ordinal()).setOpened(status.fullyOpen()).setRelapses(status.relapses()).setWants(status.wantedMilliRate());
+    ZoneWord.Builder wire = ZoneWord.newBuilder().setZone(zone).setEpoch(status.epoch())
+        .setVotes(status.votesForNextEpoch()).setSeen(status.reachability().ordinal()).setOpened(status.fullyOpen())
+        .setRelapses(status.relapses()).setWants(status.wantedMilliRate());
     for (EvacuationReport.Loan loan : status.loans()) {
       wire.addLoans(lemondeal.evacuation.wire.Loan.newBuilder().setTo(loan.borrower()).setRate(loan.milliRate()));
     }
@@ -49,8 +50,8 @@
     }
     try {
       EvacuationRow wire = EvacuationRow.parseFrom(bytes);
-      boolean accepted = wire.getVersion() == VERSION && wire.getFleet() == fleetDigest && wire.getEchoCount() == memberCount
-          && wire.getBeat() > 0 && wire.getZonesCount() <= MAX_ZONES;
+      boolean accepted = wire.getVersion() == VERSION && wire.getFleet() == fleetDigest
+          && wire.getEchoCount() == memberCount && wire.getBeat() > 0 && wire.getZonesCount() <= MAX_ZONES;
       return accepted ? toReport(wire, memberCount) : Optional.empty();
     } catch (InvalidProtocolBufferException e) {
       return Optional.empty();
@@ -84,7 +85,8 @@
   private static EvacuationReport.ZoneStatus toStatus(ZoneWord wireZone) {
     List<EvacuationReport.Loan> loans = new ArrayList<>(wireZone.getLoansCount());
     wireZone.getLoansList().forEach(loan -> loans.add(new EvacuationReport.Loan(loan.getTo(), loan.getRate())));
-    return new EvacuationReport.ZoneStatus(wireZone.getEpoch(), wireZone.getVotes(), Reachability.values()[wireZone.getSeen()], wireZone.getOpened(),
-        wireZone.getRelapses(), wireZone.getWants(), loans);
+    return new EvacuationReport.ZoneStatus(wireZone.getEpoch(), wireZone.getVotes(),
+        Reachability.values()[wireZone.getSeen()], wireZone.getOpened(), wireZone.getRelapses(), wireZone.getWants(),
+        loans);
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/EvacuationState.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvacuationState.java
@@ -13,27 +13,27 @@
 import lemondeal.evacuation.wire.SavedZone;
 
 /**
- * What must outlive a crash of all proxies at once: the decided epochs, and which plan was in force. As bytes it is a
- * line with the format's version, a SHA-256 of the rest and the rest; it is read whole or not at all.
+ * State that must survive a simultaneous crash of all proxies: the decided epochs, and which plan was in force. Encoded
+ * as a line with the format's version, the SHA-256 of the body, and the body; it is accepted only if it is intact.
  *
- * @param zones by zone; one that was never left may be absent
- * @param plan digest of the plan in force, empty for none
+ * @param zones by zone; a zone that was never evacuated may be absent
+ * @param planDigest of the plan in force; empty if there is none
  */
 public record EvacuationState(Map<Integer, ZoneEpoch> zones, byte[] planDigest) {
   private static final byte[] HEADER = "lemondeal zones 1\n".getBytes(StandardCharsets.US_ASCII);
   private static final int DIGEST_BYTES = 32;
   private static final int MAX_BYTES = 1 << 16;
 
-  /** Nothing was ever left, no plan is in force. */
+  /** No zone was ever evacuated, and no plan is in force. */
   public static final EvacuationState NONE = new EvacuationState(Map.of(), new byte[0]);
 
   /**
-   * @param epoch the highest decided one
-   * @param relapses how often in a row the zone was left soon after a return
+   * @param epoch the highest decided epoch
+   * @param relapses number of consecutive evacuations that each followed soon after a return
    */
   public record ZoneEpoch(long epoch, int relapses) {}
 
-  /** As it is to be kept. */
+  /** Encodes this state for storage. */
   public byte[] encode() {
     SavedEvacuation.Builder wire = SavedEvacuation.newBuilder().setPlan(ByteString.copyFrom(planDigest));
     new TreeMap<>(zones).forEach((zone, saved) -> wire.addZones(SavedZone.newBuilder().setZone(zone)
@@ -45,10 +45,11 @@
     return encoded;
   }
 
-  /** What was kept; empty where the bytes are cut, damaged, too many or of another version. */
+  /** Decodes stored state; empty if the bytes are truncated, damaged, too long or of another version. */
   public static Optional<EvacuationState> decode(byte[] encoded) {
     int bodyOffset = HEADER.length + DIGEST_BYTES;
-    if (encoded.length < bodyOffset || encoded.length > MAX_BYTES || !Arrays.equals(encoded, 0, HEADER.length, HEADER, 0, HEADER.length)) {
+    if (encoded.length < bodyOffset || encoded.length > MAX_BYTES
+        || !Arrays.equals(encoded, 0, HEADER.length, HEADER, 0, HEADER.length)) {
       return Optional.empty();
     }
     byte[] body = Arrays.copyOfRange(encoded, bodyOffset, encoded.length);
@@ -58,7 +59,8 @@
     try {
       SavedEvacuation wire = SavedEvacuation.parseFrom(body);
       Map<Integer, ZoneEpoch> zones = new TreeMap<>();
-      wire.getZonesList().forEach(zone -> zones.put(zone.getZone(), new ZoneEpoch(zone.getEpoch(), zone.getRelapses())));
+      wire.getZonesList()
+          .forEach(zone -> zones.put(zone.getZone(), new ZoneEpoch(zone.getEpoch(), zone.getRelapses())));
       return Optional.of(new EvacuationState(zones, wire.getPlan().toByteArray()));
     } catch (InvalidProtocolBufferException e) {
       return Optional.empty();
@@ -69,7 +71,7 @@
     try {
       return MessageDigest.getInstance("SHA-256").digest(bytes);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every JDK has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is not available", e);
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/EvidenceSettings.java
+++ b/proxy/src/main/java/lemondeal/evacuation/EvidenceSettings.java
@@ -1,12 +1,13 @@
 package lemondeal.evacuation;
 
 /**
- * When observations count. All times are milliseconds.
+ * Thresholds for observations. All times are milliseconds.
  *
- * @param blip failures must span this long, and no word may have come in it: shorter outages move nobody
- * @param recent observations older than this say nothing any more
- * @param failures fewer failures in a zone prove nothing: on a link that drops three lines in ten, some fail in a row
- * @param listLate a list older than this may call servers ready that are gone
+ * @param minOutage failures must span this long without any response; shorter outages cause no evacuation
+ * @param observationTtl older observations are ignored
+ * @param minFailures fewer failures in a zone are no evidence: on a link that loses 30 % of the lines, several fail in
+ *     a row
+ * @param staleListAge a server list older than this may still contain servers that no longer exist
  */
 public record EvidenceSettings(long minOutage, long observationTtl, int minFailures, long staleListAge) {
   public static final EvidenceSettings DEFAULT = new EvidenceSettings(1_000, 3_000, 4, 3_500);
--- a/proxy/src/main/java/lemondeal/evacuation/LoanLedger.java
+++ b/proxy/src/main/java/lemondeal/evacuation/LoanLedger.java
@@ -8,24 +8,24 @@
 import java.util.TreeMap;
 
 /**
- * What this proxy lent of its share of one zone. A loan is used by its borrower no longer than a share's life after
- * the row that told it was written, by the borrower's own clock; here it is kept back for a little longer than that.
- * So what the two use of a share never sums to more than the share, with no third party. Rates are thousandths of
- * connections a second.
+ * What this proxy has lent of its share of one zone's recovery budget. A borrower uses a loan for no longer than the
+ * lease time after the report with the loan was written, by its own clock; the lender reserves it for slightly longer
+ * than that. So lender and borrower together never use more than the share, without a third party. Rates are
+ * thousandths of connections a second.
  */
 final class LoanLedger {
-  /** A rate as it was told at a moment. */
+  /** A loan rate as it was reported at one time. */
   private record Grant(long grantedAt, int milliRate) {}
 
   private final Map<Integer, Deque<Grant>> grantsByBorrower = new TreeMap<>();
   private final long retentionMillis;
 
-  /** @param keptBack milliseconds after which what was told can be in use no more */
+  /** @param retentionMillis time after which a reported loan can no longer be in use */
   LoanLedger(long retentionMillis) {
     this.retentionMillis = retentionMillis;
   }
 
-  /** The most that can be in use by all borrowers now. */
+  /** The highest total rate that the borrowers may be using now. */
   long outstanding(long now) {
     removeExpired(now);
     return grantsByBorrower.values().stream().mapToLong(LoanLedger::maxRate).sum();
@@ -45,10 +45,10 @@
   }
 
   /**
-   * Loans for the row that is written now.
+   * Determines the loans for the report that is written now.
    *
-   * @param most that may be lent in all, what may still be in use included
-   * @param wants by place, of those that want more than they have
+   * @param limit highest rate that may be lent in total, including loans that may still be in use
+   * @param wantedByMember by member index, the rate that each wants beyond its own share
    */
   List<EvacuationReport.Loan> grant(long limit, Map<Integer, Integer> wantedByMember, long now) {
     long outstanding = outstanding(now);
@@ -57,7 +57,7 @@
     for (Map.Entry<Integer, Integer> entry : new TreeMap<>(wantedByMember).entrySet()) {
       long previousRate = maxRate(grantsByBorrower.getOrDefault(entry.getKey(), new ArrayDeque<>()));
       long proportionalRate = Math.min(entry.getValue(), limit * entry.getValue() / Math.max(1, totalWanted));
-      // Less than may still be in use frees nothing yet; more takes from what is free.
+      // Lowering a loan frees nothing until the previous rate has expired; raising it takes from the unreserved rate.
       int milliRate = (int) Math.max(0, Math.min(proportionalRate, previousRate + Math.max(0, limit - outstanding)));
       if (milliRate > 0) {
         outstanding += Math.max(0, milliRate - previousRate);
--- a/proxy/src/main/java/lemondeal/evacuation/MoveBudget.java
+++ b/proxy/src/main/java/lemondeal/evacuation/MoveBudget.java
@@ -1,6 +1,6 @@
 package lemondeal.evacuation;
 
-/** The moves that this proxy may make out of zones that are left: its part of the fleet's pace, as time passes. */
+/** Token bucket for the connections that this proxy may move out of evacuated zones: its part of the fleet's rate. */
 final class MoveBudget {
   private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -13,13 +13,16 @@
     this.members = members;
   }
 
-  /** What is not used in a second is lost: a pause must not be made up for in a burst. */
+  /**
+   * Adds the tokens of the elapsed time. At most one second's worth is kept, so that a pause is not followed by a
+   * burst.
+   */
   void refill(long elapsedMillis, int liveMembers) {
     double rate = MoveRate.perSecond(fleetPerSecond, liveMembers, members);
     tokens = Math.min(Math.max(1, rate), tokens + rate * elapsedMillis / MILLIS_PER_SECOND);
   }
 
-  /** All whole moves that there are. */
+  /** Takes all whole tokens. */
   int takeWholeTokens() {
     int whole = (int) tokens;
     tokens -= whole;
--- a/proxy/src/main/java/lemondeal/evacuation/PeerReports.java
+++ b/proxy/src/main/java/lemondeal/evacuation/PeerReports.java
@@ -3,13 +3,15 @@
 import java.util.Optional;
 
 /**
- * The newest row of every named proxy, and how fresh each is for certain. A row's age as the transport tells it may be
- * wrong by whatever delayed, replayed or kept the row. So rows echo stamps: one that echoes ours was written after ours
- * was, by our own clock alone.
+ * The newest report of every member, and a lower bound on when it was written. A report's age according to the
+ * transport may be wrong if the report was delayed, replayed or stored. Therefore reports echo stamps: a report that
+ * echoes one of ours was written after ours, as measured by our own clock alone.
  */
 final class PeerReports {
   private static final long NEVER = Long.MIN_VALUE / 4;
-  /** Own rows remembered: more than the longest life at the shortest pace. */
+  /**
+   * Number of own reports remembered: more than are written at the shortest interval within the longest time to live.
+   */
   private static final int OWN_REPORTS = 256;
 
   private final ZoneMembership membership;
@@ -30,7 +32,7 @@
     fleetDigest = membership.digest();
   }
 
-  /** Takes a row in; rows that say nothing new are left, and unusable ones counted. */
+  /** Receives a report. Reports that are not newer are ignored; invalid ones are counted. */
   void receive(String owner, byte[] content) {
     int memberIndex = membership.indexOf(owner);
     if (memberIndex < 0 || memberIndex == membership.selfIndex()) {
@@ -58,8 +60,9 @@
     return NEVER;
   }
 
-  /** The own next row, written now. */
-  byte[] encodeOwn(long incarnation, long sequence, boolean hasFullHistory, java.util.Map<Integer, EvacuationReport.ZoneStatus> zones, long now) {
+  /** Encodes this proxy's next report and records when it was written. */
+  byte[] encodeOwn(long incarnation, long sequence, boolean hasFullHistory,
+      java.util.Map<Integer, EvacuationReport.ZoneStatus> zones, long now) {
     int[] echoes = new int[reports.length];
     for (int i = 0; i < reports.length; i++) {
       echoes[i] = reports[i] == null ? 0 : EvacuationReport.stamp(reports[i].incarnation(), reports[i].sequence());
@@ -67,20 +70,21 @@
     ownStamps[nextOwnSlot] = EvacuationReport.stamp(incarnation, sequence);
     ownTimes[nextOwnSlot] = now;
     nextOwnSlot = (nextOwnSlot + 1) % OWN_REPORTS;
-    return EvacuationReportCodec.encode(new EvacuationReport(incarnation, sequence, hasFullHistory, zones, echoes), fleetDigest);
+    return EvacuationReportCodec.encode(new EvacuationReport(incarnation, sequence, hasFullHistory, zones, echoes),
+        fleetDigest);
   }
 
-  /** The newest row of the proxy at this place; null where none came. */
+  /** The newest report of the member with this index; null if none has been received. */
   EvacuationReport report(int memberIndex) {
     return reports[memberIndex];
   }
 
-  /** Whether that row was written within the last {@code life} milliseconds for certain. */
+  /** Whether that report was certainly written within the last {@code maxAge} milliseconds. */
   boolean isFresh(int memberIndex, long maxAge, long now) {
     return reports[memberIndex] != null && now - writtenNoEarlierThan[memberIndex] <= maxAge;
   }
 
-  /** Others that have answered within that time and forgot nothing. */
+  /** Number of peers with a full history whose report was certainly written within that time. */
   int answeredPeers(long maxAge, long now) {
     int count = 0;
     for (int i = 0; i < reports.length; i++) {
@@ -89,7 +93,7 @@
     return count;
   }
 
-  /** Rows that could not be used, and rows of owners that nobody named. */
+  /** Number of reports that were invalid or came from an unknown proxy. */
   long ignoredReports() {
     return invalidReports + unknownOwners;
   }
--- a/proxy/src/main/java/lemondeal/evacuation/Reachability.java
+++ b/proxy/src/main/java/lemondeal/evacuation/Reachability.java
@@ -1,19 +1,22 @@
 package lemondeal.evacuation;
 
-/** What one proxy sees of a zone from where it stands; told to the others as it is, since they can't see from there. */
+/**
+ * How a zone's servers respond to one proxy. It is reported to the peers unchanged, because they cannot observe the
+ * zone from there.
+ */
 public enum Reachability {
-  /** Nothing lately, or nobody is there to be asked. */
+  /** No recent observations, or no servers to observe. */
   UNKNOWN,
-  /** Its servers answer. */
+  /** Its servers respond. */
   REACHED,
-  /** Some servers fail while others answer. */
+  /** Some servers fail while others respond. */
   PARTLY,
-  /** Its servers live and are late or turn work away. */
+  /** Its servers respond, but are late or refuse work because of load. */
   LATE,
-  /** Independent servers have failed for longer than a blip, and none has said a word since. */
+  /** Several independent servers have been failing for longer than the minimum outage, and none has responded since. */
   UNREACHED;
 
-  /** Whether the zone certainly answered: what speaks against its failure. */
+  /** Whether the zone certainly responded, which is evidence against its failure. */
   public boolean isResponding() {
     return this == REACHED || this == PARTLY || this == LATE;
   }
--- a/proxy/src/main/java/lemondeal/evacuation/RecoveryBudget.java
+++ b/proxy/src/main/java/lemondeal/evacuation/RecoveryBudget.java
@@ -6,12 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * This proxy's share of what the fleet may send into a returning zone. The nth part of the first rate is its own at all
- * times, so that proxies out of touch with each other stay within the first rate together. All beyond it needs fresh
- * words of a majority; what it does not need of it, it lends to those that say they want more.
+ * This proxy's share of the rate that the fleet may send to a returning zone. The nth part of the initial rate is
+ * always available to each of n proxies, so that proxies without contact to each other together stay within the initial
+ * rate. Rates beyond that need a lease: recent confirmations by a majority. A proxy lends the part that it does not
+ * need to proxies that want more.
  */
 final class RecoveryBudget {
-  /** What a proxy keeps of its share above its demand, for demand is uneven. */
+  /** Margin above its demand that a proxy keeps of its share, because demand is uneven. */
   private static final double DEMAND_HEADROOM = 1.25;
   private static final double MILLI_PER_UNIT = 1_000;
 
@@ -24,7 +25,8 @@
   private final Map<Integer, LoanLedger> loansByZone = new HashMap<>();
   private final Map<Integer, Double> demands = new HashMap<>();
 
-  RecoveryBudget(ZoneMembership membership, EvacuationSettings settings, QuorumRules quorumRules, PeerReports peerReports, SlowStartRamp defaultRamp) {
+  RecoveryBudget(ZoneMembership membership, EvacuationSettings settings, QuorumRules quorumRules,
+      PeerReports peerReports, SlowStartRamp defaultRamp) {
     this.membership = membership;
     this.settings = settings;
     this.quorumRules = quorumRules;
@@ -32,7 +34,7 @@
     this.defaultRamp = defaultRamp;
   }
 
-  void ramp(int zone, SlowStartRamp ramp) {
+  void setRamp(int zone, SlowStartRamp ramp) {
     ramps.put(zone, ramp);
   }
 
@@ -44,22 +46,24 @@
     demands.put(zone, perSecond);
   }
 
-  /** What is this proxy's own at all times. */
+  /** The rate that this proxy may always use. */
   double baselineRate(int zone) {
     return ramp(zone).initialRate() / membership.size();
   }
 
   /**
-   * Whether a majority knows the zone's epoch as this proxy does, wants no other, and said so lately for certain.
+   * Whether a majority knows the same epoch of the zone as this proxy, does not vote for another, and certainly said so
+   * recently.
    *
-   * @param remembers whether this proxy's own word counts
+   * @param hasFullHistory whether this proxy's own view counts
    */
   boolean hasLease(ZoneState state, boolean hasFullHistory, long now) {
     int supporters = hasFullHistory && !state.votesForNextEpoch ? 1 : 0;
     for (int memberIndex = 0; memberIndex < membership.size(); memberIndex++) {
       if (isFresh(memberIndex, now)) {
         EvacuationReport.ZoneStatus status = peerReports.report(memberIndex).status(state.zone);
-        supporters += peerReports.report(memberIndex).hasFullHistory() && status.epoch() == state.epoch && !status.votesForNextEpoch() ? 1 : 0;
+        supporters += peerReports.report(memberIndex).hasFullHistory() && status.epoch() == state.epoch
+            && !status.votesForNextEpoch() ? 1 : 0;
       }
     }
     return quorumRules.leaseHolds(supporters, membership.size());
@@ -69,7 +73,7 @@
     return memberIndex != membership.selfIndex() && peerReports.isFresh(memberIndex, settings.leaseTtl(), now);
   }
 
-  /** Counts the time in which the zone's servers have proven themselves, here or to those that tell of it. */
+  /** Adds the time for which the zone's servers were healthy, as observed here or reported by peers. */
   void addHealthyTime(ZoneState state, boolean hasLease, long elapsed, long now) {
     boolean responding = state.reachability.isResponding();
     for (int memberIndex = 0; memberIndex < membership.size(); memberIndex++) {
@@ -87,9 +91,10 @@
     state.fullyOpen |= state.healthyMillis >= ramp(state.zone).durationMillis();
   }
 
-  /** New connections a second into a zone that opens: the own share, without what is lent and with what is borrowed. */
+  /** New connections a second to a recovering zone: this proxy's share, less the loans granted, plus those received. */
   double allowedRate(ZoneState state, long now) {
-    double retained = ownShare(state) - quorumRules.reservedForLoans(ledger(state.zone).outstanding(now)) / MILLI_PER_UNIT;
+    double retained = ownShare(state)
+        - quorumRules.reservedForLoans(ledger(state.zone).outstanding(now)) / MILLI_PER_UNIT;
     return Math.max(baselineRate(state.zone), retained) + borrowedRate(state, now);
   }
 
@@ -113,13 +118,13 @@
     return loansByZone.computeIfAbsent(zone, key -> new LoanLedger(settings.withClockDrift(settings.leaseTtl())));
   }
 
-  /** Thousandths a second that this proxy would send beyond its share. */
+  /** Thousandths of connections a second that this proxy would use beyond its share. */
   int wantedMilliRate(ZoneState state, boolean recovering) {
     double missing = recovering ? demands.getOrDefault(state.zone, 0.0) * DEMAND_HEADROOM - ownShare(state) : 0;
     return (int) Math.max(0, Math.min(Integer.MAX_VALUE / 4, missing * MILLI_PER_UNIT));
   }
 
-  /** What the next row lends of the zone. */
+  /** The loans of the zone's budget for the next report. */
   List<EvacuationReport.Loan> grantLoans(ZoneState state, boolean recovering, long now) {
     if (!recovering || !demands.containsKey(state.zone)) {
       return List.of();
--- a/proxy/src/main/java/lemondeal/evacuation/SlowStartRamp.java
+++ b/proxy/src/main/java/lemondeal/evacuation/SlowStartRamp.java
@@ -3,45 +3,52 @@
 import lemondeal.Balancer;
 
 /**
- * How many new connections a second the fleet in total may send into a returning zone, by how far it has proven itself.
- * The same at every proxy of the fleet, as it comes from settings alone.
+ * Slow-start ramp of a returning zone: how many new connections a second the whole fleet may send there, by the time
+ * for which the zone has been healthy. All proxies of the fleet use the same ramp, as it is derived from settings
+ * alone.
  *
- * @param first a second at the beginning: what the zone's servers bear cold. Its nth part is each proxy's at all times
- * @param full a second at the end
- * @param warmMillis of proof from the first to the full rate, evenly
+ * @param initialRate a second at the beginning: what the zone's servers can take while cold. Each of n proxies may
+ *     always use its nth part
+ * @param finalRate a second at the end
+ * @param durationMillis of healthy time from the initial to the final rate, which grows linearly
  */
 public record SlowStartRamp(double initialRate, double finalRate, long durationMillis) {
-  /** Part of what the rule allows: shares go by proxies, and what they carry falls unevenly on the servers. */
+  /**
+   * Part of the permitted rate that is used: shares are per proxy, so their load is distributed unevenly over the
+   * servers.
+   */
   private static final double SAFETY_FACTOR = 0.5;
   private static final long MIN_DURATION = 1_000;
   private static final double MIN_COLD_FRACTION = 0.01;
 
   /**
-   * @throws IllegalArgumentException for rates that are no numbers, fall, or are not above 0
+   * @throws IllegalArgumentException if a rate is NaN, infinite or not above 0, if the rates decrease, or if the
+   *     duration is too short
    */
   public SlowStartRamp {
-    if (!(initialRate > 0) || !(finalRate >= initialRate) || Double.isInfinite(finalRate) || durationMillis < MIN_DURATION) {
-      throw new IllegalArgumentException(
-          "an opening from " + initialRate + " to " + finalRate + " a second in " + durationMillis + " ms");
+    if (!(initialRate > 0) || !(finalRate >= initialRate) || Double.isInfinite(finalRate)
+        || durationMillis < MIN_DURATION) {
+      throw new IllegalArgumentException("invalid slow-start ramp: from " + initialRate + " to " + finalRate
+          + " connections/s within " + durationMillis + " ms");
     }
   }
 
   /**
-   * The budget by the rule for cold servers: so many times of what they can do at that moment, held against the rate
-   * that fills them over their warm-up.
+   * Derives the ramp from the rules for cold servers: a multiple of what they can do at that moment, relative to the
+   * rate that fills them within their warm-up time.
    *
-   * @param usuallyHeld connections that the zone's servers hold when all is well, above 0
+   * @param usualConnections number of connections that the zone's servers hold in normal operation, above 0
    */
   public static SlowStartRamp of(Balancer.Rules rules, double usualConnections) {
     long duration = Math.max(MIN_DURATION, rules.warmUpTime() / 1_000);
-    // A multiple that is not told is taken for 1: no more than the servers can do.
+    // If no multiple is configured, 1 is assumed: no more than the servers can do.
     double multiple = rules.overloadMultiple() > 0 ? rules.overloadMultiple() : 1;
     double finalRate = Math.max(1e-3, SAFETY_FACTOR * multiple * usualConnections * 1_000 / duration);
     double coldFraction = Math.max(MIN_COLD_FRACTION, Math.min(1, rules.coldCapacityShare()));
     return new SlowStartRamp(finalRate * coldFraction, finalRate, duration);
   }
 
-  /** The fleet's total a second after so much proof; no bound once the zone is warm. */
+  /** The fleet's total rate after this much healthy time; unlimited once the zone is warm. */
   public double rateAt(double healthyMillis) {
     if (healthyMillis >= durationMillis) {
       return Double.POSITIVE_INFINITY;
@@ -49,12 +56,12 @@
     return initialRate + (finalRate - initialRate) * Math.max(0, healthyMillis) / durationMillis;
   }
 
-  /** How far the zone is open then, from just above 0 to 1. */
+  /** The share of its usual load that the zone takes then, from just above 0 to 1. */
   double openShare(double healthyMillis) {
     return Math.min(1, rateAt(healthyMillis) / finalRate);
   }
 
-  /** The same held down to what the servers are known to have room for; NaN room is not known and holds nothing. */
+  /** This ramp limited to the servers' known spare capacity; NaN means unknown and imposes no limit. */
   public SlowStartRamp cappedAt(double capacityPerSecond) {
     if (Double.isNaN(capacityPerSecond)) {
       return this;
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneAccess.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneAccess.java
@@ -1,24 +1,24 @@
 package lemondeal.evacuation;
 
 /**
- * How this proxy stands to a zone: what it may send there.
+ * What this proxy may send to a zone.
  *
- * @param open share of its usual work that the zone takes: 0 closed, 1 open
- * @param perSecond new connections a second that this proxy may send there; no bound where the zone is open
- * @param epoch the highest decided one that is known
+ * @param openShare share of its usual load that the zone takes: 0 closed, 1 open
+ * @param maxPerSecond new connections a second that this proxy may send there; infinite if the zone is open
+ * @param epoch the highest decided epoch that is known
  */
 public record ZoneAccess(int zone, State state, double openShare, double maxPerSecond, long epoch) {
 
-  /** Why so much. */
+  /** The reason for the limit. */
   public enum State {
-    /** Just started, and nobody has said yet whether the zone is left. */
+    /** Just started; no peer has reported yet whether the zone is evacuated. */
     ASKING,
     OPEN,
-    /** Returning, or opened anew: within the proxy's share of the fleet's budget. */
+    /** Returning, or reopening: limited to the proxy's share of the recovery budget. */
     OPENING,
-    /** Out of touch with a majority: within the small share that is this proxy's at all times. */
+    /** No contact with a majority: limited to the baseline rate that each proxy may always use. */
     CAREFUL,
-    /** It fails again while it opens: nothing until it is sound or left. */
+    /** Failing again during recovery: nothing is sent until it is healthy or evacuated. */
     RELAPSING,
     CLOSED
   }
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneClassifier.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneClassifier.java
@@ -5,20 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * What the observations of zones are taken for: first from one place, then with what others see from theirs. Pure. From
- * one place a dead zone and a broken way to it look alike; only vantage zones together tell them apart.
+ * Classifies observations of zones: first those of this proxy alone, then with those of its peers. Stateless. To a
+ * single proxy, a failed zone and a broken network path to it look alike; only observations from several zones
+ * distinguish them.
  */
 public final class ZoneClassifier {
   private ZoneClassifier() {}
 
   /**
-   * What one live proxy says of a zone.
+   * A live peer's observation of a zone.
    *
-   * @param vantage the zone that it stands in
+   * @param vantage the zone in which the peer runs
    */
   public record PeerObservation(int vantage, Reachability reachability) {}
 
-  /** What every zone with ready servers looks like from {@code own}, the zone that this proxy stands in. */
+  /**
+   * Diagnoses every zone with ready servers from this proxy's observations; {@code ownZone} is the zone in which it
+   * runs.
+   */
   public static Map<Integer, ZoneDiagnosis> classifyLocally(int ownZone, Map<Integer, ZoneEvidence> zones, long listAge,
       EvidenceSettings settings) {
     Map<Integer, Reachability> reachability = new TreeMap<>();
@@ -33,11 +37,12 @@
   private static ZoneDiagnosis classifyUnreached(int ownZone, Map<Integer, Reachability> reachability) {
     boolean ownZoneResponds = reachability.getOrDefault(ownZone, Reachability.UNKNOWN).isResponding();
     long responding = reachability.values().stream().filter(Reachability::isResponding).count();
-    long unreached = reachability.values().stream().filter(one -> one == Reachability.UNREACHED).count();
+    long unreached = reachability.values().stream().filter(value -> value == Reachability.UNREACHED).count();
     if (responding == 0) {
       return ZoneDiagnosis.I_AM_CUT_OFF;
     }
-    return ownZoneResponds && responding == 1 && unreached > 1 ? ZoneDiagnosis.MY_ZONE_CUT_OFF : ZoneDiagnosis.UNREACHED_FROM_HERE;
+    return ownZoneResponds && responding == 1 && unreached > 1 ? ZoneDiagnosis.MY_ZONE_CUT_OFF
+        : ZoneDiagnosis.UNREACHED_FROM_HERE;
   }
 
   private static ZoneDiagnosis classifyOther(Reachability reachability, ZoneEvidence evidence, boolean listStale) {
@@ -50,19 +55,22 @@
   }
 
   /**
-   * The judgement with what others see.
+   * Diagnoses a zone with the observations of the peers.
    *
-   * @param mine this proxy's own verdict on the zone
-   * @param own the zone that this proxy stands in
-   * @param others what the live others say of the zone
-   * @param members named proxies in all: a majority is of them, never of those in sight
-   * @param vantages vantage zones that must agree
+   * @param local this proxy's own diagnosis of the zone
+   * @param ownZone the zone in which this proxy runs
+   * @param peers what the live peers observe of the zone
+   * @param memberCount number of configured proxies; a majority is of these, not of the live ones
+   * @param requiredVantages number of different zones that must agree
    */
-  public static ZoneDiagnosis classifyWithPeers(ZoneDiagnosis local, int ownZone, Collection<PeerObservation> peers, int memberCount, int requiredVantages) {
-    boolean unreachedHere = local.supportsEvacuation() || local == ZoneDiagnosis.I_AM_CUT_OFF || local == ZoneDiagnosis.MY_ZONE_CUT_OFF;
+  public static ZoneDiagnosis classifyWithPeers(ZoneDiagnosis local, int ownZone, Collection<PeerObservation> peers,
+      int memberCount, int requiredVantages) {
+    boolean unreachedHere = local.supportsEvacuation() || local == ZoneDiagnosis.I_AM_CUT_OFF
+        || local == ZoneDiagnosis.MY_ZONE_CUT_OFF;
     long unreachedCount = peers.stream().filter(peer -> peer.reachability() == Reachability.UNREACHED).count()
         + (local.supportsEvacuation() ? 1 : 0);
-    long vantageCount = peers.stream().filter(peer -> peer.reachability() == Reachability.UNREACHED).map(PeerObservation::vantage).distinct().count()
+    long vantageCount = peers.stream().filter(peer -> peer.reachability() == Reachability.UNREACHED)
+        .map(PeerObservation::vantage).distinct().count()
         + (local.supportsEvacuation() && peers.stream()
             .noneMatch(peer -> peer.reachability() == Reachability.UNREACHED && peer.vantage() == ownZone) ? 1 : 0);
     if (unreachedCount * 2 > memberCount && vantageCount >= requiredVantages) {
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneEvidence.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneEvidence.java
@@ -1,29 +1,34 @@
 package lemondeal.evacuation;
 
 /**
- * What {@link ZoneWatch} has of a zone at one moment.
+ * A snapshot of what {@link ZoneHealthTracker} has observed of a zone.
  *
- * @param ready servers that the list calls ready
- * @param failing of them, that failed and have said nothing since
- * @param longFailing of the failing ones, that have done so for longer than a blip
- * @param alive of them, with a word within the last blip
- * @param late of the alive ones, that are late or turned work away
- * @param failures failures of the failing ones since their last words
- * @param span milliseconds from the failure that makes enough servers to the beginning of the newest one
- * @param shut whether every failing server refused connections outright: its host lives, it does not
+ * @param readyServers servers that the server list marks as ready
+ * @param failing ready servers that failed and have not responded since
+ * @param sustainedFailing failing servers that have been failing for at least the minimum outage
+ * @param responding ready servers that responded within the last minimum outage
+ * @param late responding servers that are late or refuse work because of load
+ * @param failures failures of the failing servers since their last responses
+ * @param failureSpan milliseconds from when the required number of servers was failing to the start of the newest
+ *     failure
+ * @param allRefused whether every failing server refused connections outright: its host is up, but its process is not
  */
-public record ZoneEvidence(int readyServers, int failing, int sustainedFailing, int responding, int late, int failures, long failureSpan,
-    boolean allRefused) {
+public record ZoneEvidence(int readyServers, int failing, int sustainedFailing, int responding, int late, int failures,
+    long failureSpan, boolean allRefused) {
 
-  /** Independent servers that must fail before it is more than those servers: two, or three of a large zone. */
+  /**
+   * Number of independent servers that must fail before a failure of the zone is assumed: two, or three in a large
+   * zone.
+   */
   static int requiredFailing(int readyServers) {
     return Math.max(2, Math.min(3, (readyServers + 1) / 2));
   }
 
-  /** The same in one word. */
+  /** Summarizes the evidence. */
   public Reachability reachability(EvidenceSettings settings) {
     int requiredFailing = requiredFailing(readyServers);
-    boolean sustained = sustainedFailing >= requiredFailing && failureSpan >= settings.minOutage() && failures >= settings.minFailures();
+    boolean sustained = sustainedFailing >= requiredFailing && failureSpan >= settings.minOutage()
+        && failures >= settings.minFailures();
     if (sustained && responding * 4 <= failing) {
       return Reachability.UNREACHED;
     }
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneHealthTracker.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneHealthTracker.java
@@ -9,21 +9,24 @@
 import java.util.TreeMap;
 
 /**
- * What this proxy observes of every zone's servers, by server: only the failures of independent servers speak for a
- * zone's. Pure; times are milliseconds of the local monotonic clock. Holds a few numbers for each listed server.
+ * Passive health checks of every zone's servers, recorded by server: only failures of independent servers are evidence
+ * of a zone's failure. Does no I/O; times are milliseconds of the local monotonic clock. Holds a few numbers for each
+ * listed server.
  */
 public final class ZoneHealthTracker {
   private static final long NEVER = Long.MIN_VALUE / 4;
 
-  /** What is known of one listed server. */
+  /** Health record of one listed server. */
   private static final class ServerHealth {
     final int zone;
     long lastResponseAt = NEVER;
     long lastLateAt = NEVER;
-    /** When the run of failures without a word began, its newest failure, and how many it has. */
+    /** When the current run of failures without a response began, its newest failure, and their number. */
     long failingSince;
     long lastFailureAt = NEVER;
-    /** When what failed last began: a way may be whole again before what it lost is given up. */
+    /**
+     * When the newest failed operation began. A path may have recovered before the operations that it lost time out.
+     */
     long lastFailureBeganAt = NEVER;
     int failureCount;
     boolean allRefused;
@@ -41,7 +44,7 @@
     this.settings = settings;
   }
 
-  /** The list calls this server ready, in this zone. */
+  /** The server list marks this server as ready, in this zone. */
   public void serverReady(String server, int zone) {
     ServerHealth known = readyServers.get(server);
     if (known == null || known.zone != zone) {
@@ -49,22 +52,22 @@
     }
   }
 
-  /** The list calls the server draining or gone: what fails there from now on says nothing about its zone. */
+  /** The server list marks the server as draining or gone: later failures there are no evidence about its zone. */
   public void serverNotReady(String server) {
     readyServers.remove(server);
   }
 
-  /** All others are drained or gone. */
+  /** Removes all servers but these; the others are draining or gone. */
   void retainOnly(Set<String> servers) {
     readyServers.keySet().retainAll(servers);
   }
 
-  /** The list was confirmed or renewed now. */
+  /** The server list was confirmed or renewed now. */
   public void listConfirmed(long now) {
     listConfirmedAt = now;
   }
 
-  /** Something came from the server: a set-up that came up, a line, an answer to a probe. */
+  /** Something was received from the server: an established connection, a line, or a probe's answer. */
   public void recordResponse(String server, long now) {
     ServerHealth health = readyServers.get(server);
     if (health != null) {
@@ -74,7 +77,7 @@
     }
   }
 
-  /** The server lives and is late, or turned work away. */
+  /** The server responded, but late, or refused work because of load. */
   public void recordLate(String server, long now) {
     recordResponse(server, now);
     ServerHealth health = readyServers.get(server);
@@ -84,9 +87,9 @@
   }
 
   /**
-   * A set-up, probe or line got no answer.
+   * A connection set-up, probe or line timed out.
    *
-   * @param elapsed how long it had waited: the server is silent for that long already
+   * @param elapsed time that it waited; the server has been silent for at least that long
    */
   public void recordTimeout(String server, long elapsed, long now) {
     recordFailure(server, now - Math.max(0, elapsed), now, false);
@@ -97,7 +100,7 @@
     recordFailure(server, now, now, true);
   }
 
-  /** A standing connection was lost. */
+  /** An established connection was lost. */
   public void recordLostConnection(String server, long now) {
     recordFailure(server, now, now, false);
   }
@@ -118,17 +121,17 @@
     health.allRefused &= refused;
   }
 
-  /** This process stood still: time-outs that ran meanwhile tell of it, not of the servers. */
+  /** This process was paused: timeouts that expired meanwhile are evidence about it, not about the servers. */
   public void clearFailures() {
     readyServers.values().forEach(health -> health.failureCount = 0);
   }
 
-  /** Age of the list in milliseconds. */
+  /** Age of the server list in milliseconds. */
   public long listAge(long now) {
     return now - listConfirmedAt;
   }
 
-  /** Every zone that has a ready server, with what is seen of it now. */
+  /** The current evidence for every zone that has a ready server. */
   public Map<Integer, ZoneEvidence> evidenceByZone(long now) {
     Map<Integer, List<ServerHealth>> byZone = new TreeMap<>();
     readyServers.values().forEach(health -> byZone.computeIfAbsent(health.zone, zone -> new ArrayList<>()).add(health));
@@ -160,8 +163,10 @@
     }
     Arrays.sort(failingSince, 0, failing);
     int requiredFailing = ZoneEvidence.requiredFailing(servers.size());
-    // From the server that makes enough: one that died long ago must not lend its time to a blip of today.
+    // Measured from the server that completes the required number: one that failed long ago must not extend a recent
+    // short outage.
     long failureSpan = failing >= requiredFailing ? newestBeganAt - failingSince[requiredFailing - 1] : 0;
-    return new ZoneEvidence(servers.size(), failing, sustainedFailing, responding, late, failures, failureSpan, failing > 0 && allRefused);
+    return new ZoneEvidence(servers.size(), failing, sustainedFailing, responding, late, failures, failureSpan,
+        failing > 0 && allRefused);
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneMembership.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneMembership.java
@@ -7,23 +7,23 @@
 import java.util.zip.CRC32;
 
 /**
- * The fleet as the operator's file names it. Majorities are of these, whoever is in sight. The order of names is the
- * same at every proxy, so that rows can speak of proxies by place.
+ * The configured members of the fleet with their zones. Majorities are of these, no matter how many are reachable. The
+ * members are ordered by name, the same at every proxy, so that reports can refer to them by index.
  *
- * @param self this proxy's place in the order
+ * @param selfIndex this proxy's index
  */
 public record ZoneMembership(List<Member> members, int selfIndex) {
 
   /**
-   * One named proxy.
+   * One configured proxy.
    *
-   * @param zone the zone that it stands in
+   * @param zone the zone in which it runs
    */
   public record Member(String name, int zone) {}
 
   /**
-   * @param self one of the names
-   * @throws IllegalArgumentException for a name given twice, or a self that is not named
+   * @param selfName one of the names
+   * @throws IllegalArgumentException for a duplicate name, or if {@code selfName} is not a member
    */
   public static ZoneMembership of(List<Member> members, String selfName) {
     List<Member> ordered = members.stream().sorted(Comparator.comparing(Member::name)).toList();
@@ -31,12 +31,12 @@
     int selfIndex = -1;
     for (int i = 0; i < ordered.size(); i++) {
       if (!names.add(ordered.get(i).name())) {
-        throw new IllegalArgumentException(ordered.get(i).name() + " is named twice");
+        throw new IllegalArgumentException(ordered.get(i).name() + " is listed twice among the fleet's members");
       }
       selfIndex = ordered.get(i).name().equals(selfName) ? i : selfIndex;
     }
     if (selfIndex < 0) {
-      throw new IllegalArgumentException(selfName + " is not among the named proxies");
+      throw new IllegalArgumentException(selfName + " is not a member of the fleet");
     }
     return new ZoneMembership(ordered, selfIndex);
   }
@@ -45,7 +45,7 @@
     return members.size();
   }
 
-  /** The zone that this proxy stands in. */
+  /** The zone in which this proxy runs. */
   public int zone() {
     return zone(selfIndex);
   }
@@ -54,7 +54,7 @@
     return members.get(memberIndex).zone();
   }
 
-  /** Place of a name, -1 where it is not named. */
+  /** Index of the member with this name, or -1 if there is none. */
   int indexOf(String name) {
     for (int i = 0; i < members.size(); i++) {
       if (members.get(i).name().equals(name)) {
@@ -64,7 +64,10 @@
     return -1;
   }
 
-  /** Tells fleets named otherwise apart; a row of such a one could echo another proxy's stamps. */
+  /**
+   * Distinguishes fleets with different members: a report of another fleet could echo stamps that belong to another
+   * proxy.
+   */
   int digest() {
     CRC32 checksum = new CRC32();
     for (Member member : members) {
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneObserver.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneObserver.java
@@ -10,20 +10,20 @@
 import java.util.TreeSet;
 import lemondeal.Balancer.*;
 
-/** Turns what the module hears into what is seen of servers, and asks servers of zones where nobody is sent. */
+/** Derives health observations from the decision module's events, and probes servers of zones that get no traffic. */
 final class ZoneObserver {
   private static final long MICROS_PER_MILLI = 1_000;
-  /** Silence before a line counts as unanswered, in milliseconds: see {@code Unanswered}. */
+  /** Milliseconds of silence after which a line counts as unanswered; see {@code Unanswered}. */
   private static final long UNANSWERED_MILLIS = 400;
-  /** A connection that failed within this was refused by a host that lives, in milliseconds. */
+  /** A connection that failed within this many milliseconds was refused by a host that is up. */
   private static final long REFUSED_WITHIN_MILLIS = 100;
-  /** Milliseconds between two questions to a zone. */
+  /** Milliseconds between two probes of a zone. */
   private static final long PROBE_INTERVAL_MILLIS = 1_000;
 
   private final ZoneHealthTracker healthTracker;
   private final Map<String, Integer> zoneByServer = new TreeMap<>();
   private final Set<String> readyServers = new TreeSet<>();
-  /** Servers that were asked from here, of which the module is to hear nothing. */
+  /** Servers that were probed by this class; the results are not passed to the module. */
   private final Set<String> ownProbes = new HashSet<>();
   private final Map<Integer, Long> lastProbeAt = new HashMap<>();
   private final Map<Integer, Integer> probeCounts = new HashMap<>();
@@ -38,23 +38,25 @@
   void start(Settings settings) {
     mayProbe = settings.limits().mayProbe();
     for (RequestClass requestClass : settings.classes()) {
-      targetDelayMillis = requestClass.messageLatencyTarget() > 0 ? Math.min(targetDelayMillis, requestClass.messageLatencyTarget() / (double) MICROS_PER_MILLI) : targetDelayMillis;
+      targetDelayMillis = requestClass.messageLatencyTarget() > 0
+          ? Math.min(targetDelayMillis, requestClass.messageLatencyTarget() / (double) MICROS_PER_MILLI)
+          : targetDelayMillis;
     }
   }
 
-  /** Zone of a server, -1 where it is not known. */
+  /** Zone of a server, -1 if unknown. */
   int zoneOf(String server) {
     return zoneByServer.getOrDefault(server, -1);
   }
 
-  /** A list that is watched is as good as new until the watch fails. */
+  /** While the watch on the server list works, the list counts as current. */
   void refreshListAge(long now) {
     if (listCurrent) {
       healthTracker.listConfirmed(now);
     }
   }
 
-  /** Asks one server of the zone, each in its turn, so that a zone that is left can be seen to be sound again. */
+  /** Probes the zone's servers in turn, so that the recovery of an evacuated zone can be observed. */
   List<Action> probe(int zone, long now) {
     if (!mayProbe || now - lastProbeAt.getOrDefault(zone, now - PROBE_INTERVAL_MILLIS) < PROBE_INTERVAL_MILLIS) {
       return List.of();
@@ -70,7 +72,7 @@
     return List.of(new Probe(server));
   }
 
-  /** @return whether the event was the answer to a question from here, which is no concern of the module's */
+  /** @return whether the event was the result of a probe of this class, which must not be passed to the module */
   boolean observe(long now, Event event) {
     if (event instanceof ServerList e) {
       updateList(e);
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneRateLimiter.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneRateLimiter.java
@@ -5,14 +5,14 @@
 import lemondeal.Balancer;
 
 /**
- * Counts this proxy's sends into zones against what its standing allows. Shares are often less than one connection a
- * second: the first ones are dealt over the proxies by place, so that they don't all come at once.
+ * Token buckets that limit this proxy's sends to each zone to its access. A proxy's share is often less than one
+ * connection a second; the first tokens of the members are offset by their index, so that they do not all send at once.
  */
 public final class ZoneRateLimiter {
-  /** What is not used is kept for no longer than this part of a second, and one connection at least. */
+  /** Unused tokens are kept for this part of a second, but at least one is kept. */
   private static final double BURST_SECONDS = 0.25;
 
-  /** What is left to send into a zone. */
+  /** The token bucket of one zone. */
   private static final class Bucket {
     double tokens;
     long refilledAt;
@@ -27,7 +27,7 @@
     startedAt = now;
   }
 
-  /** Whether one more connection may go there now; one that may is counted. */
+  /** Whether one more connection may go to the zone now; if so, its token is taken. */
   public boolean tryAcquire(ZoneAccess access, long now) {
     boolean admitted = available(access, now) >= 1;
     if (admitted) {
@@ -36,7 +36,10 @@
     return admitted;
   }
 
-  /** Connections that may go there now; {@link lemondeal.Balancer.ZoneOpen#ANY} where nothing bounds them. */
+  /**
+   * Number of connections that may go to the zone now; {@link lemondeal.Balancer.ZoneOpen#UNLIMITED} if there is no
+   * limit.
+   */
   public int available(ZoneAccess access, long now) {
     if (Double.isInfinite(access.maxPerSecond())) {
       buckets.remove(access.zone());
@@ -49,7 +52,7 @@
     return access.maxPerSecond() <= 0 ? 0 : (int) Math.max(0, bucket.tokens);
   }
 
-  /** One connection went there. */
+  /** Takes the token of a connection that was sent to the zone. */
   public void recordSend(int zone) {
     Bucket bucket = buckets.get(zone);
     if (bucket != null) {
@@ -57,7 +60,7 @@
     }
   }
 
-  /** A start begins with nothing: what was sent before it is not known. */
+  /** After a start the bucket is empty, because what an earlier process sent is unknown. */
   private Bucket newBucket(long now) {
     Bucket bucket = new Bucket();
     bucket.tokens = now == startedAt ? 0 : 1 - phase;
--- a/proxy/src/main/java/lemondeal/evacuation/ZoneState.java
+++ b/proxy/src/main/java/lemondeal/evacuation/ZoneState.java
@@ -1,6 +1,9 @@
 package lemondeal.evacuation;
 
-/** Where one zone stands by what this proxy knows: the epoch, its vote, and how far a return has come. */
+/**
+ * The evacuation state of one zone as this proxy knows it: the decided epoch, its own vote, and the progress of
+ * recovery.
+ */
 final class ZoneState {
   private static final long NEVER = Long.MIN_VALUE / 4;
 
@@ -11,14 +14,17 @@
   boolean votesForNextEpoch;
   long lastVotedAt = NEVER;
   Reachability reachability = Reachability.UNKNOWN;
-  /** When it was last seen failing or late, and last seen answering. */
+  /** When the zone was last observed as failing or late, and when it was last observed as responding. */
   long lastUnhealthyAt = NEVER;
   long lastRespondedAt = NEVER;
-  /** Milliseconds of proof since the return, and whether it is through: a zone never left is. */
+  /**
+   * Milliseconds of healthy operation since the return, and whether recovery is complete. A zone that was never
+   * evacuated is fully open.
+   */
   double healthyMillis;
   boolean fullyOpen;
 
-  /** A zone as it was kept, or one never left. */
+  /** Restores a zone from saved state; {@code saved} is null for a zone that was never evacuated. */
   ZoneState(int zone, EvacuationState.ZoneEpoch saved, long now) {
     this.zone = zone;
     epoch = saved == null ? 0 : saved.epoch();
@@ -31,7 +37,10 @@
     return epoch % 2 == 1;
   }
 
-  /** Goes to a decided epoch, whose content is in its number: odd leaves, even returns. */
+  /**
+   * Advances to a decided epoch. Its number defines its meaning: odd epochs evacuate the zone, even epochs return to
+   * it.
+   */
   void advanceTo(long newEpoch, int reportedRelapses, long now, long relapseWindow) {
     if (newEpoch % 2 == 1) {
       boolean relapsed = epoch > 0 && !isEvacuated() && now - epochLearnedAt < relapseWindow;
@@ -46,7 +55,7 @@
     votesForNextEpoch = false;
   }
 
-  /** Takes in what is seen of it now. */
+  /** Records the current observation of the zone. */
   void observe(Reachability observed, long now) {
     reachability = observed;
     if (observed == Reachability.UNREACHED || observed == Reachability.LATE) {
@@ -56,7 +65,7 @@
     }
   }
 
-  /** This process stood still: what it saw before says nothing of the time between. */
+  /** Discards observations after this process was paused: what it saw before says nothing about the time between. */
   void resetAfterPause(long now) {
     votesForNextEpoch = false;
     lastUnhealthyAt = now;
@@ -68,7 +77,7 @@
     lastVotedAt = vote ? now : lastVotedAt;
   }
 
-  /** Milliseconds without a bad sign since the last decision was learnt. */
+  /** Milliseconds without a sign of failure since the last decision was learned. */
   long healthyFor(long now) {
     return now - Math.max(lastUnhealthyAt, epochLearnedAt);
   }
--- a/proxy/src/main/java/lemondeal/fleet/DropReason.java
+++ b/proxy/src/main/java/lemondeal/fleet/DropReason.java
@@ -1,17 +1,17 @@
 package lemondeal.fleet;
 
-/** Why what came from the fleet's port was dropped. Whoever sent it is told nothing. */
+/** Why data received on the fleet's port was dropped. The sender gets no reply. */
 public enum DropReason {
-  /** Longer than a letter may be. */
+  /** Longer than a message may be. */
   TOO_LARGE,
-  /** No letter, or one that can't be true. */
+  /** Not a message, or one with impossible content. */
   GARBLED,
-  /** Of a version that this program does not know. */
+  /** Of a version that this program does not support. */
   NEWER_VERSION,
-  /** From a sender, or of an owner, that the operator's file does not name. */
+  /** The sender, or the owner of the row, is not in the operator's file. */
   UNNAMED,
-  /** Another one's row. */
+  /** The row belongs to another proxy than the sender. */
   FOREIGN,
-  /** Nothing in it proves when it was made: its sender has not heard this process's present rows. */
+  /** Nothing bounds the message's age: its sender has not received a recent row of this process. */
   UNPROVEN
 }
--- a/proxy/src/main/java/lemondeal/fleet/FleetMember.java
+++ b/proxy/src/main/java/lemondeal/fleet/FleetMember.java
@@ -14,13 +14,16 @@
 import lemondeal.net.Timers;
 
 /**
- * This proxy's place in its fleet: tells its own row, holds the others', and knows who is in sight. Whoever decides by
- * what the fleet shares publishes sections of the row here and reads the rows. All of it on the I/O thread, but for
- * {@link #start}, {@link #close} and what {@link FleetLink} does on its own.
+ * This proxy as a member of its fleet: sends its own row, holds the rows of the others, and knows which members are
+ * live. Subsystems that coordinate through the fleet publish sections of the row here and read the rows of the others.
+ * Everything runs on the I/O thread, except {@link #start}, {@link #close} and the threads of {@link FleetTransport}.
  */
 public final class FleetMember implements AutoCloseable {
   private static final long MICROS_PER_MILLI = 1_000;
-  /** An owner's last row is kept so many lives for its number: an old letter must not look like a new one. */
+  /**
+   * A member's last row is kept for this many TTLs for its sequence number, so that an old message is not taken for a
+   * new one.
+   */
   private static final int FORGET_AFTER_TTLS = 30;
 
   private final FleetSettings settings;
@@ -46,7 +49,7 @@
 
   /**
    * @param self the name of this proxy, one of those in the settings
-   * @param incarnation greater than that of any start before
+   * @param incarnation greater than that of any earlier start
    */
   public FleetMember(FleetSettings settings, String self, long incarnation, FleetTransport transport, EventLog log) {
     this.settings = settings;
@@ -58,19 +61,23 @@
     validator = new MessageValidator(roster, self, sentRows);
   }
 
-  /** Begins; on any thread. @throws IOException where its address can't be listened on */
+  /**
+   * Starts; may be called on any thread.
+   *
+   * @throws IOException if it cannot listen on its address
+   */
   public void start(Executor ioExecutor, Timers ioTimers) throws IOException {
     timers = ioTimers;
     Inbox inbox = new Inbox(ioExecutor, this::receive, this::updateLiveMembers);
     transport.start(new FleetTransport.Listener() {
       @Override
-      public void onMessage(String sender, byte[] letter) {
-        inbox.put(sender, letter);
+      public void onMessage(String sender, byte[] message) {
+        inbox.put(sender, message);
       }
 
       @Override
       public void onViewChange(String members) {
-        log.info("fleet-group", "lemondeal: the transport sees " + members, "members", members);
+        log.info("fleet-group", "lemondeal: fleet: the transport's group has " + members, "members", members);
       }
     });
     ioExecutor.execute(() -> {
@@ -87,23 +94,23 @@
     return roster;
   }
 
-  /** Milliseconds of the clock by which rows age here; it never goes back. */
+  /** Milliseconds of the monotonic clock by which the age of rows is measured. */
   public long now() {
     return timers.now() / MICROS_PER_MILLI;
   }
 
   /**
-   * Shares this section from now on, in place of what was shared under this name before.
+   * Publishes this section from now on; replaces a section that was published under the same name.
    *
-   * @throws IllegalArgumentException where all sections together would be larger than {@link Row#MOST_CONTENT}; what
-   *    was shared before stays
+   * @throws IllegalArgumentException if all sections together would be larger than {@link MemberRow#MAX_CONTENT_BYTES};
+   *     the sections published before remain
    */
   public void publish(String section, byte[] bytes) {
     TreeMap<String, byte[]> updated = new TreeMap<>(sections);
     updated.put(section, bytes.clone());
     byte[] encoded = Sections.encode(updated);
     if (encoded.length > MemberRow.MAX_CONTENT_BYTES) {
-      throw new IllegalArgumentException("section " + section + ": " + encoded.length + " bytes in all; allowed: "
+      throw new IllegalArgumentException("section " + section + ": " + encoded.length + " bytes in total; allowed: "
           + MemberRow.MAX_CONTENT_BYTES);
     }
     sections.put(section, updated.get(section));
@@ -111,27 +118,27 @@
     sendSoon();
   }
 
-  /** The rows of all that are in sight, this proxy's own among them, by owner. */
+  /** The rows of all live members, this proxy included, ordered by owner. */
   public List<TimedRow> liveRows(long nowMillis) {
     return table.liveRows(nowMillis, settings.ttlMillis());
   }
 
-  /** The names of those in sight, this proxy's own among them. */
+  /** The names of the live members, this proxy included. */
   public Set<String> liveMembers() {
     return liveMembers;
   }
 
-  /** Whether those in sight are more than half of those that the operator names: if not, nothing new is decided. */
+  /** Whether the live members are more than half of the configured ones; without a majority nothing new is decided. */
   public boolean hasQuorum() {
     return roster.isMajority(liveMembers);
   }
 
-  /** {@code listener} is told when rows came, and when one came in or went out of sight. */
+  /** {@code listener} is called when rows have arrived and when the set of live members has changed. */
   public void onChange(Runnable listener) {
     listeners.add(listener);
   }
 
-  /** Adds what is counted. */
+  /** Adds its metrics. */
   public void addTo(Map<String, Long> figures) {
     figures.put("fleet_members", (long) roster.size());
     figures.put("fleet_in_sight", (long) liveMembers.size());
@@ -142,7 +149,7 @@
     transport.addTo(figures);
   }
 
-  // ---- Telling -------------------------------------------------------------------------------
+  // ---- Sending -------------------------------------------------------------------------------
 
   private void sendSoon() {
     contentChanged = true;
@@ -179,7 +186,10 @@
     contentChanged = false;
   }
 
-  /** What this proxy says may be stuck in a connection though the network is whole again. */
+  /**
+   * Replaces the connection to a peer of which no usable row has come for one TTL: this proxy's messages may be stuck
+   * in the old connection although the network has recovered.
+   */
   private void reconnectIfSilent(String peer, long now) {
     TimedRow lastRow = table.rowOf(peer);
     long since = Math.max(lastRow == null ? 0 : lastRow.createdAt(), reconnectedAt.getOrDefault(peer, 0L));
@@ -189,7 +199,7 @@
     }
   }
 
-  // ---- Hearing -------------------------------------------------------------------------------
+  // ---- Receiving -----------------------------------------------------------------------------
 
   private void receive(String sender, byte[] bytes) {
     boolean firstMessage = validator.lastReceived(sender) == null;
@@ -198,22 +208,22 @@
     if (row != null) {
       table = table.with(row);
       if (previous != null && previous.row().incarnation() < row.row().incarnation()) {
-        log.info("fleet-restarted", "lemondeal: fleet: " + sender + " has started anew", "member", sender,
+        log.info("fleet-restarted", "lemondeal: fleet: " + sender + " has restarted", "member", sender,
             "incarnation", row.row().incarnation());
       }
     }
     if (firstMessage && validator.lastReceived(sender) != null) {
-      // It holds no row of this one's until a letter echoes its own.
+      // The peer accepts no row of this proxy until a message echoes one of the peer's own.
       sendSoon();
     }
     if (!newerVersionLogged && validator.dropCount(DropReason.NEWER_VERSION) > 0) {
       newerVersionLogged = true;
-      log.warn("fleet-newer-version", "lemondeal: fleet: " + sender + " tells rows of a newer version;"
+      log.warn("fleet-newer-version", "lemondeal: fleet: " + sender + " sends rows of a newer version;"
           + " they are ignored", "member", sender);
     }
   }
 
-  /** Looks who is in sight now, and lets the listeners look. */
+  /** Updates the set of live members and calls the listeners. */
   private void updateLiveMembers() {
     long now = now();
     table = table.withoutOlderThan(now, FORGET_AFTER_TTLS * settings.ttlMillis());
@@ -234,12 +244,12 @@
     absent.removeAll(liveMembers);
     boolean majority = hasQuorum();
     String names = String.join(" ", liveMembers);
-    log.info("fleet-sight", "lemondeal: fleet: " + liveMembers.size() + " of " + roster.size() + " in sight, "
-        + (majority ? "a majority" : "no majority") + ": " + names + (absent.isEmpty() ? "" : "; not in sight: "
+    log.info("fleet-sight", "lemondeal: fleet: " + liveMembers.size() + " of " + roster.size() + " members are live, "
+        + (majority ? "a majority" : "no majority") + ": " + names + (absent.isEmpty() ? "" : "; not live: "
         + String.join(" ", absent)), "in_sight", names, "not_in_sight", String.join(" ", absent), "majority", majority);
   }
 
-  /** Ends the link and its threads; on any thread. */
+  /** Closes the transport and its threads; may be called on any thread. */
   @Override
   public void close() {
     closed = true;
--- a/proxy/src/main/java/lemondeal/fleet/FleetMessage.java
+++ b/proxy/src/main/java/lemondeal/fleet/FleetMessage.java
@@ -7,20 +7,20 @@
 import lemondeal.fleet.wire.FleetRow;
 
 /**
- * What one proxy tells one other: its row, and which of the other's rows it has heard.
+ * A message from one proxy to another: the sender's row, and which of the receiver's rows it received last.
  *
- * @param echo null where none was heard
+ * @param echo null if none was received
  */
 public record FleetMessage(MemberRow row, Echo echo) {
-  /** The one version that this program tells and knows. */
+  /** The only version that this program sends and accepts. */
   static final int VERSION = 1;
-  /** A letter is no longer than this: its content, names and numbers. */
+  /** Largest size of a message: its content, names and numbers. */
   public static final int MAX_BYTES = MemberRow.MAX_CONTENT_BYTES + 1024;
 
-  /** The number of a row: the receiver's, as the sender heard it last. */
+  /** Identifies the receiver's row that the sender received last. */
   public record Echo(long incarnation, long sequence) {}
 
-  /** Bytes that are no letter of this version. */
+  /** The bytes are not a message of this version. */
   static final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1;
     private final DropReason reason;
@@ -35,7 +35,7 @@
     }
   }
 
-  /** The letter as bytes; {@code waitedMillis} is the time since it was written, by which its row has aged. */
+  /** Encodes the message; {@code queuedMillis} is the time since it was created, which is added to its row's age. */
   public byte[] encode(long queuedMillis) {
     FleetLetter.Builder builder = FleetLetter.newBuilder().setVersion(VERSION).setRow(FleetRow.newBuilder()
         .setOwner(row.owner()).setIncarnation(row.incarnation()).setSequence(row.sequence())
@@ -46,7 +46,7 @@
     return builder.build().toByteArray();
   }
 
-  /** Reads a letter; nothing in it is believed yet. */
+  /** Decodes a message; nothing in it has been verified yet. */
   static FleetMessage decode(byte[] bytes) throws InvalidMessageException {
     if (bytes.length > MAX_BYTES) {
       throw new InvalidMessageException(DropReason.TOO_LARGE);
@@ -68,8 +68,8 @@
         || wireRow.getSequence() <= 0 || wireRow.getAgeMillis() < 0) {
       throw new InvalidMessageException(DropReason.GARBLED);
     }
-    return new FleetMessage(new MemberRow(wireRow.getOwner(), wireRow.getIncarnation(), wireRow.getSequence(), wireRow.getAgeMillis(),
-        wireRow.getContent().toByteArray()),
+    return new FleetMessage(new MemberRow(wireRow.getOwner(), wireRow.getIncarnation(), wireRow.getSequence(),
+        wireRow.getAgeMillis(), wireRow.getContent().toByteArray()),
         wire.hasEcho() ? new Echo(wire.getEcho().getIncarnation(), wire.getEcho().getSequence()) : null);
   }
 }
--- a/proxy/src/main/java/lemondeal/fleet/FleetRoster.java
+++ b/proxy/src/main/java/lemondeal/fleet/FleetRoster.java
@@ -7,22 +7,22 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Who the fleet is, as the operator's file names it. A majority is of those named, never of those in sight. */
+/** The members of the fleet as configured in the operator's file. A majority is of these, never of the live members. */
 public final class FleetRoster {
-  /** More proxies than this one fleet has not. */
+  /** Largest supported number of proxies in a fleet. */
   public static final int MAX_MEMBERS = 200;
 
   /**
    * A proxy of the fleet.
    *
-   * @param zone where it looks from
-   * @param address where this proxy reaches it
+   * @param zone the zone in which it runs
+   * @param address at which this proxy reaches it
    */
   public record Member(String name, String zone, InetSocketAddress address) {}
 
   private final Map<String, Member> members = new LinkedHashMap<>();
 
-  /** @throws IllegalArgumentException where one is named twice, or too many are named */
+  /** @throws IllegalArgumentException if a name is listed twice, or there are too many members */
   public FleetRoster(Collection<Member> configured) {
     for (Member member : configured) {
       if (members.put(member.name(), member) != null) {
@@ -38,7 +38,7 @@
     return members.values();
   }
 
-  /** Null where none is named so. */
+  /** The member with this name, or null. */
   public Member member(String name) {
     return members.get(name);
   }
@@ -51,17 +51,17 @@
     return members.size();
   }
 
-  /** How many are a majority: more than half of those named. */
+  /** Number of members that form a majority: more than half of those configured. */
   public int majority() {
     return members.size() / 2 + 1;
   }
 
-  /** Whether these are a majority; those that are not named do not count. */
+  /** Whether these form a majority; names that are not configured do not count. */
   public boolean isMajority(Set<String> names) {
     return names.stream().filter(this::contains).count() >= majority();
   }
 
-  /** The zones that proxies look from. */
+  /** The zones in which the members run. */
   public Set<String> zones() {
     Set<String> zones = new TreeSet<>();
     members.values().forEach(member -> zones.add(member.zone()));
--- a/proxy/src/main/java/lemondeal/fleet/FleetTransport.java
+++ b/proxy/src/main/java/lemondeal/fleet/FleetTransport.java
@@ -3,25 +3,32 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Carries letters between the proxies of a fleet. Letters may be lost, and none is ever waited for. */
+/** Sends messages between the proxies of a fleet. Messages may be lost, and no call waits for one. */
 public interface FleetTransport extends AutoCloseable {
 
-  /** Is told what comes, on threads of the link's own. */
+  /** Receives messages on the transport's own threads. */
   interface Listener {
-    /** {@code sender} is a proxy of the fleet, as far as the link can tell. */
+    /** {@code sender} is a proxy of the fleet, as far as the transport can verify. */
     void onMessage(String sender, byte[] message);
 
-    /** Who the link itself believes to be there, for the log. */
+    /** The members that the transport itself considers reachable, for the log. */
     void onViewChange(String members);
   }
 
-  /** Begins to listen; returns at once. @throws IOException where the address can't be listened on */
+  /**
+   * Starts to listen; returns at once.
+   *
+   * @throws IOException if it cannot listen on the address
+   */
   void start(Listener listener) throws IOException;
 
-  /** Tells this proxy the letter soon, unless a newer one comes before. Never blocks. */
+  /** Sends the message to this proxy soon, unless a newer one replaces it before. Never blocks. */
   void sendLatest(String peer, FleetMessage message);
 
-  /** Connects anew to this proxy, which has not heard this one for long. Never blocks. */
+  /**
+   * Replaces the connection to this proxy, over which this proxy's messages may not have arrived for long. Never
+   * blocks.
+   */
   void reconnect(String peer);
 
   /** Adds its counters. */
--- a/proxy/src/main/java/lemondeal/fleet/Inbox.java
+++ b/proxy/src/main/java/lemondeal/fleet/Inbox.java
@@ -7,8 +7,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Hands letters from the link's threads to the I/O thread: the newest of each sender, so that a busy I/O thread finds
- * no queue that has grown. Nothing is decided on the link's threads.
+ * Passes messages from the transport's threads to the I/O thread. Only the newest message of each sender is kept, so
+ * that no queue builds up while the I/O thread is busy. The transport's threads take no decisions.
  */
 final class Inbox {
   private final Executor ioExecutor;
@@ -17,7 +17,7 @@
   private final Map<String, byte[]> newestBySender = new ConcurrentHashMap<>();
   private final AtomicBoolean drainScheduled = new AtomicBoolean();
 
-  /** {@code done} runs after each handful of letters. */
+  /** {@code onDrained} runs after each batch of messages. */
   Inbox(Executor ioExecutor, BiConsumer<String, byte[]> onMessage, Runnable onDrained) {
     this.ioExecutor = ioExecutor;
     this.onMessage = onMessage;
--- a/proxy/src/main/java/lemondeal/fleet/MemberRow.java
+++ b/proxy/src/main/java/lemondeal/fleet/MemberRow.java
@@ -3,18 +3,19 @@
 import java.util.Arrays;
 
 /**
- * One row of the table that the proxies of a fleet share, as it was told. Its content is opaque here: {@link Sections}.
+ * One row of the table that the proxies of a fleet share, as it was sent. Its content is opaque here; see
+ * {@link Sections}.
  *
  * @param owner the proxy that wrote it
- * @param incarnation new, and greater, with each start of the owner
- * @param sequence grows within an incarnation
- * @param ageMillis milliseconds from its making to its leaving the owner
+ * @param incarnation increases with each start of the owner
+ * @param sequence increases within an incarnation
+ * @param ageMillis milliseconds from its creation until it left its owner
  */
 public record MemberRow(String owner, long incarnation, long sequence, long ageMillis, byte[] content) {
-  /** Content beyond this is not shared: with 200 owners a table takes 6.4 MB at most. */
+  /** Limit on the content: with 200 owners a table takes 6.4 MB at most. */
   public static final int MAX_CONTENT_BYTES = 32 * 1024;
 
-  /** The order in time of one owner's rows. */
+  /** Orders the rows of one owner by incarnation and sequence. */
   int compareVersion(MemberRow other) {
     int byIncarnation = Long.compare(incarnation, other.incarnation);
     return byIncarnation != 0 ? byIncarnation : Long.compare(sequence, other.sequence);
--- a/proxy/src/main/java/lemondeal/fleet/MessageValidator.java
+++ b/proxy/src/main/java/lemondeal/fleet/MessageValidator.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Judges what comes from the other proxies: a row of one that is named, told by itself, of which is known when it was
- * made; all else is dropped and counted. Pure but for what it remembers of whom it heard; on the I/O thread.
+ * Validates messages from the other proxies. Accepts a row if its owner is a configured member, the owner sent it
+ * itself, and its age is bounded; anything else is dropped and counted. Does no I/O; its only state is the last row
+ * received of each member and the counters. Used on the I/O thread.
  */
 final class MessageValidator {
   private final FleetRoster roster;
@@ -22,9 +23,9 @@
   }
 
   /**
-   * The row to be merged, or null where the bytes were dropped.
+   * The row to be merged, or null if the message was dropped.
    *
-   * @param sender the proxy that the transport says they came from
+   * @param sender the proxy from which the message came, according to the transport
    */
   TimedRow validate(String sender, byte[] bytes, long nowMillis) {
     FleetMessage message;
@@ -50,7 +51,7 @@
     return new TimedRow(row, Math.min(nowMillis - row.ageMillis(), sentRows.sentAt(message.echo())));
   }
 
-  /** The row heard last of this owner, to be echoed to it; null where there is none. */
+  /** Identifies the last row received of this owner, to be echoed to it; null if there is none. */
   FleetMessage.Echo lastReceived(String owner) {
     return lastReceived.get(owner);
   }
--- a/proxy/src/main/java/lemondeal/fleet/RowTable.java
+++ b/proxy/src/main/java/lemondeal/fleet/RowTable.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * The newest row of each owner. Never changes: merging makes a new table, and is commutative, associative and
- * idempotent. No more owners than the fleet names can be in it, as {@link Intake} lets no other in.
+ * The newest row of each owner. Immutable: merging returns a new table and is commutative, associative and idempotent.
+ * The table has at most one row for each configured member, as {@link MessageValidator} accepts no other owner.
  */
 public final class RowTable {
   public static final RowTable EMPTY = new RowTable(new TreeMap<>());
@@ -18,7 +18,7 @@
     this.rows = rows;
   }
 
-  /** This table with one more row, where it is newer than what is held of its owner. */
+  /** This table with the row added, if it is newer than the one held of its owner. */
   public RowTable with(TimedRow row) {
     TimedRow existing = rows.get(row.row().owner());
     if (existing != null && existing.newerOf(row).equals(existing)) {
@@ -29,7 +29,7 @@
     return new RowTable(merged);
   }
 
-  /** All that either has, the newer row of each owner. */
+  /** Both tables combined, with the newer row of each owner. */
   public RowTable merge(RowTable other) {
     RowTable merged = this;
     for (TimedRow row : other.rows.values()) {
@@ -38,16 +38,16 @@
     return merged;
   }
 
-  /** The owner's row, or null; possibly older than its life. */
+  /** The owner's row, or null; it may have expired. */
   public TimedRow rowOf(String owner) {
     return rows.get(owner);
   }
 
-  /** The rows that are no older than {@code lifeMillis}, by owner: all others count as absent. */
-  public List<TimedRow> liveRows(long nowMillis, long lifeMillis) {
+  /** The rows that are no older than {@code ttlMillis}, ordered by owner; all other members count as absent. */
+  public List<TimedRow> liveRows(long nowMillis, long ttlMillis) {
     List<TimedRow> live = new ArrayList<>();
     for (TimedRow row : rows.values()) {
-      if (row.ageMillis(nowMillis) <= lifeMillis) {
+      if (row.ageMillis(nowMillis) <= ttlMillis) {
         live.add(row);
       }
     }
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Without the rows that are older than this. An owner whose clock was set back before it started has a smaller
-   * incarnation than before; it is heard again once its old row is forgotten.
+   * This table without the rows that are older than this. An owner whose clock was set back before it started has a
+   * smaller incarnation than before; its rows are accepted again once its old row has been removed.
    */
   public RowTable withoutOlderThan(long nowMillis, long maxAgeMillis) {
     TreeMap<String, TimedRow> remaining = new TreeMap<>(rows);
--- a/proxy/src/main/java/lemondeal/fleet/Sections.java
+++ b/proxy/src/main/java/lemondeal/fleet/Sections.java
@@ -9,11 +9,11 @@
 import java.util.TreeMap;
 import lemondeal.fleet.wire.FleetSections;
 
-/** A row's content: what each subsystem shares, by its name. */
+/** A row's content: the data that each subsystem publishes, by the subsystem's name. */
 public final class Sections {
   private Sections() {}
 
-  /** The content with these sections; the same bytes whatever order they came in. */
+  /** Encodes the sections; the result does not depend on their order. */
   public static byte[] encode(Map<String, byte[]> sections) {
     FleetSections.Builder builder = FleetSections.newBuilder();
     sections.forEach((name, bytes) -> builder.putSections(name, ByteString.copyFrom(bytes)));
@@ -38,7 +38,7 @@
     }
   }
 
-  /** @throws IllegalArgumentException where the content is none */
+  /** @throws IllegalArgumentException if the content cannot be decoded */
   public static Map<String, byte[]> decode(byte[] content) {
     try {
       Map<String, byte[]> sections = new TreeMap<>();
--- a/proxy/src/main/java/lemondeal/fleet/SendPacer.java
+++ b/proxy/src/main/java/lemondeal/fleet/SendPacer.java
@@ -1,11 +1,11 @@
 package lemondeal.fleet;
 
 /**
- * When the row goes out: at once where it changed, but not more often than four times the usual pace, and never more
- * than {@link #PEER_BYTES} a second to each other proxy, whatever the subsystems do. Pure.
+ * Decides when the row is sent: at once after a change, but at most at four times the usual rate, and never with more
+ * than {@link #MAX_BYTES_PER_SECOND} to each peer, whatever the subsystems publish. Does no I/O.
  */
 final class SendPacer {
-  /** Bytes of letters a second to one other proxy. */
+  /** Limit on the bytes of messages a second to each peer. */
   static final long MAX_BYTES_PER_SECOND = 64 * 1024;
   private static final int SPEEDUP_ON_CHANGE = 4;
 
@@ -13,18 +13,19 @@
   private long lastSentAt;
   private long lastBytes;
 
-  /** The first row may go out at {@code nowMillis}. */
+  /** The first row may be sent at {@code nowMillis}. */
   SendPacer(long intervalMillis, long nowMillis) {
     this.intervalMillis = intervalMillis;
     lastSentAt = nowMillis - intervalMillis;
   }
 
-  /** When the next row goes out. */
+  /** When the next row is to be sent. */
   long nextSendAt(boolean changed) {
-    return lastSentAt + Math.max(changed ? intervalMillis / SPEEDUP_ON_CHANGE : intervalMillis, lastBytes * 1000 / MAX_BYTES_PER_SECOND);
+    return lastSentAt + Math.max(changed ? intervalMillis / SPEEDUP_ON_CHANGE : intervalMillis,
+        lastBytes * 1000 / MAX_BYTES_PER_SECOND);
   }
 
-  /** A letter of so many bytes goes to each. */
+  /** Records that a message of this size was sent to each peer. */
   void recordSend(long nowMillis, int bytes) {
     lastSentAt = nowMillis;
     lastBytes = bytes;
--- a/proxy/src/main/java/lemondeal/fleet/SentRows.java
+++ b/proxy/src/main/java/lemondeal/fleet/SentRows.java
@@ -1,9 +1,9 @@
 package lemondeal.fleet;
 
 /**
- * When this process told its last rows, by which others prove that theirs are younger: a letter that echoes one of
- * these was written after it was told. So a row that lay in a buffer, a relay or a stalled process is as old here as it
- * is, and no clock is compared. What is older than the ring reaches back proves nothing.
+ * Records when this process sent its last rows, which bounds the age of the messages that echo them: such a message was
+ * written after the echoed row was sent. So the time that a row spent in a buffer, a relay or a paused process counts
+ * as age, and no clocks are compared. An echo of a row that is older than the ring buffer holds bounds nothing.
  */
 final class SentRows {
   private static final int CAPACITY = 512;
@@ -16,7 +16,7 @@
     this.incarnation = incarnation;
   }
 
-  /** Takes note of the next row; its sequence. */
+  /** Records that the next row is sent, and returns its sequence number. */
   long recordSend(long nowMillis) {
     sentAt[(int) (++lastSequence % CAPACITY)] = nowMillis;
     return lastSequence;
@@ -26,17 +26,18 @@
     return incarnation;
   }
 
-  /** Whether this was never told, though it bears this process's incarnation. */
+  /** Whether the echoed row was never sent, although it has this process's incarnation. */
   boolean wasNeverSent(FleetMessage.Echo echo) {
-    return echo != null && echo.incarnation() == incarnation && (echo.sequence() <= 0 || echo.sequence() > lastSequence);
+    return echo != null && echo.incarnation() == incarnation
+        && (echo.sequence() <= 0 || echo.sequence() > lastSequence);
   }
 
-  /** Whether it tells when a letter was written at the earliest. */
+  /** Whether it bounds the time at which a message was written. */
   boolean boundsAge(FleetMessage.Echo echo) {
     return echo != null && echo.incarnation() == incarnation && echo.sequence() > lastSequence - CAPACITY;
   }
 
-  /** Milliseconds of this process's clock at which the echoed row was told. */
+  /** Milliseconds of this process's clock at which the echoed row was sent. */
   long sentAt(FleetMessage.Echo echo) {
     return sentAt[(int) (echo.sequence() % CAPACITY)];
   }
--- a/proxy/src/main/java/lemondeal/fleet/TimedRow.java
+++ b/proxy/src/main/java/lemondeal/fleet/TimedRow.java
@@ -3,21 +3,22 @@
 import java.util.Arrays;
 
 /**
- * A row with the moment of its making on this process's own clock.
+ * A row with its creation time on this process's own clock.
  *
- * @param madeAt milliseconds of the holder's monotonic clock; the row is as old as that or younger
+ * @param createdAt milliseconds of the holder's monotonic clock; the row is at most as old as this indicates
  */
 public record TimedRow(MemberRow row, long createdAt) {
 
-  /** Milliseconds since it was made, at most. */
+  /** Upper bound of the milliseconds since it was created. */
   public long ageMillis(long nowMillis) {
     return nowMillis - createdAt;
   }
 
   /**
-   * Whichever of two rows of one owner is kept. A total order decides, so that it does not matter who comes first: the
-   * newer one; of one row held twice the older moment, which errs on the safe side; of two different rows with one
-   * number, as only a liar tells them, the same one wherever they meet.
+   * Selects which of two rows of one owner to keep. The order is total, so the result does not depend on the order of
+   * arrival: the newer row is kept; if both are the same row, the one with the earlier creation time, which is the safe
+   * choice; if they are different rows with the same sequence number, which only a faulty or malicious sender produces,
+   * the same one at every proxy.
    */
   TimedRow newerOf(TimedRow other) {
     int order = row.compareVersion(other.row);
--- a/proxy/src/main/java/lemondeal/fleet/link/FleetNioServer.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/FleetNioServer.java
@@ -20,15 +20,16 @@
 import org.jgroups.util.Util;
 
 /**
- * The library's sockets, one thread for all, with two rules of the fleet's own. What is accepted is only read, what is
- * dialled is only written to: a connection that went dead one way is replaced from the side that notices. And strangers
- * are bounded: so many connections at once, and a short while to say who they are, where the library has no bound.
+ * JGroups' sockets, served by a single thread, with two additional rules. Accepted connections are only read from, and
+ * dialled ones are only written to, so a connection that fails in one direction is replaced by the side that notices.
+ * And connections of unidentified peers are limited in number and must identify themselves within a short time, for
+ * which JGroups has no limit.
  */
 final class FleetNioServer extends NioServer {
   private static final long HANDSHAKE_TIMEOUT_NANOS = 2_000_000_000L;
   private static final int EXTRA_CONNECTIONS = 16;
 
-  /** IPv4 alone: the JDK's own default is a socket of both. */
+  /** Opens IPv4 sockets only; the JDK's default is a dual-stack socket. */
   private static final class Ipv4SocketFactory extends DefaultSocketFactory {
     @Override
     public SocketChannel createSocketChannel(String service) throws IOException {
@@ -42,12 +43,16 @@
   }
 
   private final int maxConnections;
-  /** On the selector's thread alone: connections accepted, and when. */
+  /** Accepted connections and the time of each accept; used by the selector's thread only. */
   private final Map<NioConnection, Long> accepted = new LinkedHashMap<>();
   private final Map<Address, Connection> newestByPeer = new HashMap<>();
   private final AtomicLong rejectedConnections = new AtomicLong();
 
-  /** Binds the address. {@code members}: how many proxies the fleet has. */
+  /**
+   * Binds the address.
+   *
+   * @param memberCount number of proxies in the fleet
+   */
   FleetNioServer(InetSocketAddress listen, int memberCount) throws Exception {
     super(new DefaultThreadFactory("fleet", true), new Ipv4SocketFactory(), listen.getAddress(), listen.getPort(),
         listen.getPort(), null, 0, 0);
@@ -58,7 +63,7 @@
     return getChannel().socket().getLocalPort();
   }
 
-  /** Connections that were closed since there were too many, or said nothing. */
+  /** Number of connections that were closed because there were too many or they did not identify themselves in time. */
   long rejectedConnections() {
     return rejectedConnections.get();
   }
@@ -80,7 +85,7 @@
     accepted.put(connection, System.nanoTime());
   }
 
-  /** Forgets what is closed, and closes what has not said who it is. */
+  /** Removes closed connections, and closes those that have not identified themselves in time. */
   private void removeStaleConnections() {
     long now = System.nanoTime();
     for (Iterator<Map.Entry<NioConnection, Long>> iterator = accepted.entrySet().iterator(); iterator.hasNext(); ) {
@@ -96,7 +101,10 @@
     }
   }
 
-  /** An accepted connection has said who it is: the newest of each counts, whichever side dialled first. */
+  /**
+   * Called when an accepted connection has identified itself: the newest connection of each peer is kept, whichever
+   * side dialled first.
+   */
   @Override
   public void addConnection(Address peer, Connection connection) throws Exception {
     Connection previous = newestByPeer.put(peer, connection);
@@ -109,7 +117,7 @@
   @Override
   public synchronized void stop() {
     super.stop();
-    // The selector's thread has ended, or ends without another look at these.
+    // The selector's thread has ended, or ends without looking at these again.
     for (NioConnection connection : accepted.keySet().toArray(new NioConnection[0])) {
       Util.close(connection);
     }
--- a/proxy/src/main/java/lemondeal/fleet/link/FleetTcp.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/FleetTcp.java
@@ -9,8 +9,8 @@
 import org.jgroups.util.MessageBatch;
 
 /**
- * The library's TCP transport, with the fleet's addresses: who is not named is not heard, and a proxy is dialled where
- * the operator's file says, whatever it tells of itself.
+ * JGroups' TCP transport with the fleet's addresses: messages of unknown senders are dropped, and a proxy is dialled at
+ * its configured address, whatever address it claims for itself.
  */
 final class FleetTcp extends BasicTCP {
   private final FleetNioServer nioServer;
@@ -23,12 +23,12 @@
     this.memberAddresses = memberAddresses;
   }
 
-  /** Messages of senders that the operator's file does not name. */
+  /** Number of messages from senders that are not in the operator's file. */
   long unknownSenders() {
     return unknownSenders.get();
   }
 
-  /** Bytes given to the sockets, the library's own among them. */
+  /** Bytes written to the sockets, including JGroups' own messages. */
   long bytesSent() {
     return sentBytes.get();
   }
@@ -62,10 +62,10 @@
     nioServer.send(dest, data, offset, length);
   }
 
-  /** A proxy that left the library's group is dialled on: rows do not depend on what the group agrees on. */
+  /** Keeps the connection to a proxy that has left the JGroups group: rows do not depend on the group's membership. */
   @Override
   public void retainAll(Collection<Address> members) {
-    // Nothing is closed.
+    // No connection is closed.
   }
 
   @Override
@@ -80,7 +80,8 @@
 
   @Override
   protected boolean addPhysicalAddressToCache(Address logical, PhysicalAddress claimed, boolean overwrite) {
-    PhysicalAddress configured = logical != null && logical.equals(local_addr) ? claimed : memberAddresses.physicalAddress(logical);
+    PhysicalAddress configured = logical != null && logical.equals(local_addr) ? claimed
+        : memberAddresses.physicalAddress(logical);
     return configured != null && super.addPhysicalAddressToCache(logical, configured, overwrite);
   }
 
@@ -90,7 +91,7 @@
         : memberAddresses.physicalAddress(logical);
   }
 
-  /** Through a relay a message is addressed to the relay. */
+  /** A message that passes a relay is addressed to the relay. */
   @Override
   public boolean unicastDestMismatch(Address dest) {
     return !(dest instanceof PhysicalAddress) && super.unicastDestMismatch(dest);
--- a/proxy/src/main/java/lemondeal/fleet/link/JGroupsLog.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/JGroupsLog.java
@@ -6,7 +6,10 @@
 import org.jgroups.logging.CustomLogFactory;
 import org.jgroups.logging.Log;
 
-/** The library's warnings in this program's log: counted all, told one in a while, since strangers can cause them. */
+/**
+ * JGroups' warnings in this program's log. All are counted, but they are logged at a limited rate, since unknown peers
+ * can cause them.
+ */
 final class JGroupsLog implements Log, CustomLogFactory {
   private static final long LOG_INTERVAL_NANOS = 10_000_000_000L;
   private static final int MAX_TEXT_LENGTH = 300;
@@ -30,8 +33,8 @@
     if (now - lastLoggedAt >= LOG_INTERVAL_NANOS && loggedAt.compareAndSet(lastLoggedAt, now)) {
       String printable = text.replaceAll("\\p{Cntrl}", " ");
       log.warn("fleet-transport", "lemondeal: fleet: transport: "
-          + (printable.length() <= MAX_TEXT_LENGTH ? printable : printable.substring(0, MAX_TEXT_LENGTH) + "...") + " (" + total + " such in all)",
-          "count", total);
+          + (printable.length() <= MAX_TEXT_LENGTH ? printable : printable.substring(0, MAX_TEXT_LENGTH) + "...")
+          + " (" + total + " warnings in total)", "count", total);
     }
   }
 
@@ -134,52 +137,52 @@
 
   @Override
   public void info(String text) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void info(String format, Object... args) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void debug(String text) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void debug(String format, Object... args) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void debug(String text, Throwable failure) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void trace(Object object) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void trace(String text) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void trace(String format, Object... args) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void trace(String text, Throwable failure) {
-    // Not told.
+    // Not logged.
   }
 
   @Override
   public void setLevel(String level) {
-    // Always warnings and what is worse.
+    // Always warnings and more severe events.
   }
 
   @Override
--- a/proxy/src/main/java/lemondeal/fleet/link/JGroupsTransport.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/JGroupsTransport.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Collectors;
-import lemondeal.fleet.FleetTransport;
+import lemondeal.fleet.FleetMessage;
 import lemondeal.fleet.FleetRoster;
 import lemondeal.fleet.FleetSettings;
-import lemondeal.fleet.FleetMessage;
+import lemondeal.fleet.FleetTransport;
 import lemondeal.log.EventLog;
 import org.jgroups.BytesMessage;
 import org.jgroups.JChannel;
@@ -33,14 +33,14 @@
 import org.jgroups.util.NameCache;
 
 /**
- * Letters by JGroups, over TCP to the addresses of the operator's file. They go past the library's retransmission,
- * which would keep old rows for a proxy that is away, and to each proxy that is named whether or not the library's
- * group holds it: docs/FLEET-DESIGN.md. Two threads of this class's own, one that joins and one that sends; the I/O
- * thread leaves the newest letter for each peer and goes on.
+ * Sends messages by JGroups, over TCP to the addresses in the operator's file. They bypass JGroups' retransmission,
+ * which would store old rows for an unreachable proxy, and go to every configured proxy whether or not it is in the
+ * JGroups group; see docs/FLEET-DESIGN.md. One thread joins the group and another sends; the I/O thread only queues the
+ * newest message for each peer.
  */
 public final class JGroupsTransport implements FleetTransport {
   private static final String CLUSTER = "lemondeal-fleet";
-  /** Longest message of the library's own: a group's view with 200 members. */
+  /** Longest message of JGroups itself: the view of a group with 200 members. */
   private static final int MAX_JGROUPS_BYTES = 32 * 1024;
   private static final int SEND_BUFFERS = 4;
   private static final int MAX_THREADS = 4;
@@ -63,7 +63,7 @@
   private JChannel channel;
   private volatile boolean closed;
 
-  /** @throws IllegalArgumentException where two names of the fleet can't be told apart */
+  /** @throws IllegalArgumentException if two member names have the same hash */
   public JGroupsTransport(FleetSettings settings, String self, long incarnation, EventLog log) {
     this.settings = settings;
     this.self = self;
@@ -115,7 +115,7 @@
     created.setReceiver(new Receiver() {
       @Override
       public void receive(Message message) {
-        // The transport lets no sender through that is not named.
+        // The transport passes on messages of configured members only.
         if (message.hasArray()) {
           listener.onMessage(memberAddresses.memberName(message.getSrc()), payload(message));
         }
@@ -141,16 +141,16 @@
         .map(memberAddresses::physicalAddress).toList();
   }
 
-  // ---- On threads of its own -----------------------------------------------------------------
+  // ---- On its own threads --------------------------------------------------------------------
 
-  /** Joining waits for answers; letters go out meanwhile. */
+  /** Joining blocks until others answer; messages are sent meanwhile. */
   private void join() {
     while (!closed) {
       try {
         channel.connect(CLUSTER);
         return;
       } catch (Exception e) {
-        jgroupsLog.warn("can't join", e);
+        jgroupsLog.warn("cannot join the group", e);
         waitBeforeRejoin();
       }
     }
@@ -189,7 +189,7 @@
       channel.send(new BytesMessage(memberAddresses.physicalAddress(peer), bytes)
           .setFlag(Message.Flag.NO_RELIABILITY, Message.Flag.NO_FC, Message.Flag.DONT_BUNDLE));
     } catch (Exception e) {
-      // The peer is away, or this proxy is about to join: the next letter comes soon.
+      // The peer is unreachable, or this proxy has not joined yet: the next message follows soon.
       failedSends.incrementAndGet();
     }
   }
--- a/proxy/src/main/java/lemondeal/fleet/link/MemberAddresses.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/MemberAddresses.java
@@ -13,9 +13,10 @@
 import org.jgroups.util.UUID;
 
 /**
- * The library's addresses of the fleet's proxies. A proxy's logical address is made of its name and its incarnation, so
- * that whoever receives a message knows the sender by the operator's file alone. Where a proxy is dialled is the file's
- * to say, too, never what the proxy tells of itself: through a relay or another network it may be somewhere else.
+ * JGroups' addresses of the fleet's members. A proxy's logical address consists of a hash of its name and its
+ * incarnation, so that a receiver can identify the sender by the operator's file alone. The address at which a proxy is
+ * dialled also comes from that file, never from the proxy itself: through a relay or another network it may be reached
+ * at a different address.
  */
 final class MemberAddresses {
   private final Map<Long, String> namesByHash = new HashMap<>();
@@ -25,28 +26,28 @@
     for (FleetRoster.Member member : roster.members()) {
       String other = namesByHash.put(nameHash(member.name()), member.name());
       if (other != null) {
-        throw new IllegalArgumentException("'" + member.name() + "' and '" + other + "' can't be told apart");
+        throw new IllegalArgumentException("'" + member.name() + "' and '" + other + "' have the same hash");
       }
       physicalAddresses.put(member.name(), new IpAddress(member.address()));
     }
   }
 
-  /** Under which address the proxy of this name starts. */
+  /** The logical address with which the proxy of this name starts. */
   static UUID logicalAddress(String name, long incarnation) {
     return new UUID(nameHash(name), incarnation);
   }
 
-  /** Who has this logical address; null for one that the operator's file does not name. */
+  /** The member with this logical address; null for one that is not in the operator's file. */
   String memberName(Address address) {
     return address instanceof UUID uuid ? namesByHash.get(uuid.getMostSignificantBits()) : null;
   }
 
-  /** Where the proxy of this name is dialled. */
+  /** The address at which the proxy of this name is dialled. */
   PhysicalAddress physicalAddress(String name) {
     return physicalAddresses.get(name);
   }
 
-  /** Where whoever has this logical address is dialled; null for a stranger. */
+  /** The address at which the member with this logical address is dialled; null for an unknown sender. */
   PhysicalAddress physicalAddress(Address address) {
     String name = memberName(address);
     return name == null ? null : physicalAddresses.get(name);
--- a/proxy/src/test/java/lemondeal/evacuation/EvacuationTest.java
+++ b/proxy/src/test/java/lemondeal/evacuation/EvacuationTest.java
@@ -17,11 +17,11 @@
 import java.util.function.IntPredicate;
 import net.jqwik.api.Example;
 
-/** The main path and each rule of it once, with five proxies whose rows go round at once. */
+/** The normal course of an evacuation and each of its rules, with five proxies whose reports arrive without delay. */
 class EvacuationTest {
   private static final EvacuationSettings SETTINGS = EvacuationSettings.DEFAULT;
   private static final SlowStartRamp RAMP = new SlowStartRamp(5, 20, 9_000);
-  /** Proxies 0 and 1 stand in zone 0, 2 and 3 in zone 1, 4 in zone 2. */
+  /** Proxies 0 and 1 run in zone 0, 2 and 3 in zone 1, 4 in zone 2. */
   private static final int[] ZONES = {0, 0, 1, 1, 2};
 
   private long now = 100_000;
@@ -29,7 +29,7 @@
   private final Map<String, Long> decisionTimes = new HashMap<>();
   private IntPredicate running = proxy -> true;
   private BiPredicate<Integer, Integer> connected = (from, to) -> true;
-  /** Whether a proxy reaches a zone. */
+  /** Whether a proxy can reach a zone. */
   private BiPredicate<Integer, Integer> reaches = (proxy, zone) -> true;
 
   EvacuationTest() {
@@ -43,13 +43,14 @@
     for (int index = 0; index < 5; index++) {
       members.add(new ZoneMembership.Member("p" + index, ZONES[index]));
     }
-    fleet[memberIndex] = new Evacuation(ZoneMembership.of(members, "p" + memberIndex), SETTINGS, RAMP, now, restored, now);
+    fleet[memberIndex] = new Evacuation(ZoneMembership.of(members, "p" + memberIndex), SETTINGS, RAMP, now, restored,
+        now);
     for (int server = 0; server < 12; server++) {
       fleet[memberIndex].healthTracker().serverReady("s" + server, server / 4);
     }
   }
 
-  /** Plays so many milliseconds in steps of 50; rows each 200. */
+  /** Runs the fleet for this many milliseconds in steps of 50, with a report every 200. */
   private void run(long millis) {
     for (long end = now + millis; now < end;) {
       now += 50;
@@ -95,7 +96,8 @@
     run(3_000);
     for (int i = 0; i < 5; i++) {
       assertEquals(ZoneAccess.State.CLOSED, state(i, 1));
-      assertTrue(decisionTimes.get(i + " 1 1") - failedAt <= 2_000, "decided and known " + (decisionTimes.get(i + " 1 1") - failedAt));
+      assertTrue(decisionTimes.get(i + " 1 1") - failedAt <= 2_000,
+          "milliseconds until the decision was known: " + (decisionTimes.get(i + " 1 1") - failedAt));
       assertEquals(ZoneAccess.State.OPEN, state(i, 0));
     }
     reaches = (proxy, zone) -> true;
@@ -105,7 +107,7 @@
     for (int i = 0; i < 5; i++) {
       sum += fleet[i].access(1, now).maxPerSecond();
     }
-    assertTrue(sum >= RAMP.initialRate() && sum <= RAMP.initialRate() * 1.6, "at the beginning " + sum);
+    assertTrue(sum >= RAMP.initialRate() && sum <= RAMP.initialRate() * 1.6, "total rate at the start: " + sum);
     run(RAMP.durationMillis() + 1_000);
     assertEquals(ZoneAccess.State.OPEN, state(3, 1));
     reaches = (proxy, zone) -> zone != 1;
@@ -113,7 +115,7 @@
     assertEquals(ZoneAccess.State.CLOSED, state(0, 1), "relapsed");
     reaches = (proxy, zone) -> true;
     run(SETTINGS.returnDwell() + 2_000);
-    assertEquals(ZoneAccess.State.CLOSED, state(0, 1), "waits twice as long");
+    assertEquals(ZoneAccess.State.CLOSED, state(0, 1), "the dwell doubles after a relapse");
     run(SETTINGS.returnDwell());
     assertEquals(ZoneAccess.State.OPENING, state(0, 1));
   }
@@ -133,7 +135,7 @@
     assertEquals(ZoneAccess.State.CLOSED, state(0, 0), "a majority from two vantages");
     connected = (from, to) -> true;
     run(400);
-    assertEquals(ZoneAccess.State.CLOSED, state(3, 0), "hears of it at once");
+    assertEquals(ZoneAccess.State.CLOSED, state(3, 0), "adopts the decision at once");
   }
 
   @Example
@@ -141,11 +143,11 @@
     run(5_000);
     reaches = (proxy, zone) -> proxy >= 2 || zone != 2;
     run(5_000);
-    assertTrue(decisionTimes.isEmpty(), "two of one zone alone");
+    assertTrue(decisionTimes.isEmpty(), "observers in a single zone do not decide");
     assertEquals(ZoneDiagnosis.MY_ZONE_CUT_OFF, fleet[0].diagnosisWithPeers(2, now));
     reaches = (proxy, zone) -> false;
     run(5_000);
-    assertTrue(decisionTimes.isEmpty(), "everything fails");
+    assertTrue(decisionTimes.isEmpty(), "failure of all zones evacuates none");
   }
 
   @Example
@@ -165,7 +167,7 @@
     connected = (from, to) -> from != 0 && to != 0;
     start(0, Optional.of(saved));
     run(2_000);
-    assertEquals(ZoneAccess.State.CLOSED, state(0, 1), "as it was kept");
+    assertEquals(ZoneAccess.State.CLOSED, state(0, 1), "restored from the saved state");
   }
 
   @Example
@@ -173,13 +175,16 @@
     run(5_000);
     running = proxy -> proxy != 0;
     run(10_000);
-    assertEquals(ZoneAccess.State.CAREFUL, state(0, 1), "asked before anything else happens");
+    assertEquals(ZoneAccess.State.CAREFUL, state(0, 1), "evaluated before the next tick");
     running = proxy -> true;
     run(800);
     assertEquals(ZoneAccess.State.OPEN, state(0, 1));
   }
 
-  /** A proxy that stood still as the return was decided was ahead of the budget by its stall: seed 382 of the model. */
+  /**
+   * A proxy that was paused while the return was decided counted its pause as healthy time and exceeded the budget;
+   * found with seed 382 of the fleet model.
+   */
   @Example
   void timeBeforeLearningOfTheReturnDoesNotCountAsHealthy() {
     run(5_000);
@@ -211,13 +216,16 @@
       }
       fleet[0].receiveReport(i % 2 == 0 ? "p2" : "stranger", corrupted);
     }
-    assertTrue(fleet[0].ignoredReports() >= 1_000, "strangers and more: " + fleet[0].ignoredReports());
-    Map<Integer, EvacuationReport.ZoneStatus> zones = new TreeMap<>(Map.of(7, new EvacuationReport.ZoneStatus(3, true, Reachability.LATE, false, 2, 5,
-        List.of(new EvacuationReport.Loan(2, 70)))));
-    EvacuationReport decoded = EvacuationReportCodec.decode(EvacuationReportCodec.encode(new EvacuationReport(9, 2, true, zones, new int[] {1, 0, -5}), 77), 77, 3).orElseThrow();
+    assertTrue(fleet[0].ignoredReports() >= 1_000,
+        "unknown senders and corrupted reports: " + fleet[0].ignoredReports());
+    Map<Integer, EvacuationReport.ZoneStatus> zones = new TreeMap<>(Map.of(7, new EvacuationReport.ZoneStatus(3, true,
+        Reachability.LATE, false, 2, 5, List.of(new EvacuationReport.Loan(2, 70)))));
+    EvacuationReport decoded = EvacuationReportCodec.decode(EvacuationReportCodec.encode(
+        new EvacuationReport(9, 2, true, zones, new int[] {1, 0, -5}), 77), 77, 3).orElseThrow();
     assertEquals(zones, decoded.zones());
     assertArrayEquals(new int[] {1, 0, -5}, decoded.echoes());
-    assertFalse(EvacuationReportCodec.decode(EvacuationReportCodec.encode(decoded, 77), 78, 3).isPresent(), "of another fleet");
+    assertFalse(EvacuationReportCodec.decode(EvacuationReportCodec.encode(decoded, 77), 78, 3).isPresent(),
+        "of another fleet");
   }
 
   @Example
@@ -228,9 +236,9 @@
       byte[] damaged = encoded.clone();
       damaged[i] ^= 4;
       assertTrue(EvacuationState.decode(damaged).isEmpty(), "byte " + i);
-      assertTrue(EvacuationState.decode(java.util.Arrays.copyOf(encoded, i)).isEmpty(), "cut at " + i);
+      assertTrue(EvacuationState.decode(java.util.Arrays.copyOf(encoded, i)).isEmpty(), "truncated at " + i);
     }
     assertThrows(IllegalArgumentException.class, () -> new EvacuationSettings(EvidenceSettings.DEFAULT, 200, 1_500,
-        2_000, 3_000, 2_000, 3, 60_000, 1_000, 0.01), "a dwell shorter than shares live");
+        2_000, 3_000, 2_000, 3, 60_000, 1_000, 0.01), "a dwell shorter than a lease");
   }
 }
--- a/proxy/src/test/java/lemondeal/evacuation/SpilloverLimitTest.java
+++ b/proxy/src/test/java/lemondeal/evacuation/SpilloverLimitTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** How much leaves, at what pace it moves, and how a zone opens. */
+/** Tests of the spillover limit, the move rate, the slow-start ramp and the rate limiter. */
 class SpilloverLimitTest {
   private static SpilloverLimit.ZoneCapacity capacity(double perSecond) {
     return new SpilloverLimit.ZoneCapacity(0, perSecond, Double.NaN);
@@ -26,11 +26,12 @@
     SpilloverLimit.Admission all = SpilloverLimit.compute(List.of(capacity(50), capacity(50)), DEMANDS, 5_000);
     assertEquals(Map.of(0, 1.0, 1, 1.0, 2, 1.0), all.admittedShares());
     assertEquals(0, all.retryAfterMillis());
-    SpilloverLimit.Admission partial = SpilloverLimit.compute(List.of(capacity(20), capacity(400.0 / 18)), DEMANDS, 5_000);
+    SpilloverLimit.Admission partial = SpilloverLimit.compute(List.of(capacity(20), capacity(400.0 / 18)), DEMANDS,
+        5_000);
     assertEquals(1.0, partial.admittedShares().get(1));
     assertEquals(28 / 60.0, partial.admittedShares().get(0), 1e-9);
     assertEquals(partial.admittedShares().get(0), partial.admittedShares().get(2));
-    assertEquals(1_843, partial.retryAfterMillis(), "70 come for 38 places a second");
+    assertEquals(1_843, partial.retryAfterMillis(), "70 connections a second for a capacity of 38");
     SpilloverLimit.Admission none = SpilloverLimit.compute(List.of(capacity(0)), DEMANDS, 5_000);
     assertEquals(Map.of(0, 0.0, 1, 0.0, 2, 0.0), none.admittedShares());
     assertEquals(5_000, none.retryAfterMillis());
@@ -38,10 +39,12 @@
 
   @Example
   void ignoresUnknownCapacityAndAppliesPlannedShares() {
-    assertEquals(0, SpilloverLimit.compute(List.of(capacity(Double.NaN), capacity(Double.NaN)), DEMANDS, 5_000).retryAfterMillis());
-    List<SpilloverLimit.ZoneCapacity> plan = List.of(new SpilloverLimit.ZoneCapacity(0, 1_000, 0.5), new SpilloverLimit.ZoneCapacity(2, 10, 0.5));
+    assertEquals(0, SpilloverLimit.compute(List.of(capacity(Double.NaN), capacity(Double.NaN)), DEMANDS, 5_000)
+        .retryAfterMillis());
+    List<SpilloverLimit.ZoneCapacity> plan = List.of(new SpilloverLimit.ZoneCapacity(0, 1_000, 0.5),
+        new SpilloverLimit.ZoneCapacity(2, 10, 0.5));
     SpilloverLimit.Admission planned = SpilloverLimit.compute(plan, DEMANDS, 5_000);
-    assertEquals(8 / 60.0, planned.admittedShares().get(0), 1e-9, "18 in all, or zone 2 is pushed over");
+    assertEquals(8 / 60.0, planned.admittedShares().get(0), 1e-9, "18 in total, or zone 2 would be overloaded");
   }
 
   @Property(seed = "11", tries = 500)
@@ -61,10 +64,11 @@
     double admitted = 0;
     for (SpilloverLimit.ClassDemand demand : demands) {
       admitted += demand.perSecond() * admission.admittedShares().get(demand.requestClass());
-      demands.stream().filter(other -> other.worth() > demand.worth() && admission.admittedShares().get(demand.requestClass()) > 0
-          && demand.perSecond() > 0).forEach(other -> assertEquals(1.0, admission.admittedShares().get(other.requestClass())));
+      demands.stream().filter(other -> other.worth() > demand.worth()
+          && admission.admittedShares().get(demand.requestClass()) > 0 && demand.perSecond() > 0)
+          .forEach(other -> assertEquals(1.0, admission.admittedShares().get(other.requestClass())));
     }
-    assertTrue(admitted <= totalCapacity, admitted + " leave for " + totalCapacity);
+    assertTrue(admitted <= totalCapacity, admitted + " admitted with a capacity of " + totalCapacity);
   }
 
   @Example
@@ -85,7 +89,7 @@
     assertEquals(ramp, ramp.cappedAt(Double.NaN));
   }
 
-  /** Whatever is asked when: a proxy never sends more than its rate lets it, and one connection that it had kept. */
+  /** With any times between requests, a proxy sends at most at its rate, plus one connection from its bucket. */
   @Property(seed = "12", tries = 200)
   void sendsStayWithinTheRate(@ForAll long seed) {
     Random random = new Random(seed);
@@ -99,10 +103,11 @@
     for (int i = 0; i < memberCount; i++) {
       ZoneRateLimiter rateLimiter = new ZoneRateLimiter(ZoneMembership.of(members, "p" + i), 0);
       for (long now = 500; now <= 20_500; now += 1 + random.nextInt(30)) {
-        sent += rateLimiter.tryAcquire(new ZoneAccess(1, ZoneAccess.State.OPENING, 0.5, rate / memberCount, 2), now) ? 1 : 0;
+        sent += rateLimiter.tryAcquire(new ZoneAccess(1, ZoneAccess.State.OPENING, 0.5, rate / memberCount, 2), now) ? 1
+            : 0;
       }
     }
-    assertTrue(sent <= rate * 20 + memberCount / 2.0, sent + " for " + rate + " a second by " + memberCount);
-    assertTrue(sent >= rate * 17 - 2 * memberCount, "and most of it: " + sent);
+    assertTrue(sent <= rate * 20 + memberCount / 2.0, sent + " sent at " + rate + " a second, members: " + memberCount);
+    assertTrue(sent >= rate * 17 - 2 * memberCount, "most of the rate is used: " + sent);
   }
 }
--- a/proxy/src/test/java/lemondeal/evacuation/ZoneClassifierTest.java
+++ b/proxy/src/test/java/lemondeal/evacuation/ZoneClassifierTest.java
@@ -8,18 +8,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvFileSource;
 
-/** The decision table, a row a case: observations go through the watch, never straight into the judge. */
+/**
+ * The decision table of the zone diagnoses, one case per row. The observations go through the health tracker, as in
+ * production.
+ */
 class ZoneClassifierTest {
   private static final EvidenceSettings SETTINGS = EvidenceSettings.DEFAULT;
   private static final int MEMBER_COUNT = 5;
 
-  /** One thing that happens to one server. */
+  /** An event at one server. */
   private record Step(long at, String server, String kind) {}
 
   @ParameterizedTest(name = "{0}")
   @CsvFileSource(resources = "/conformance/zone-verdicts.csv", numLinesToSkip = 1)
-  void classifies(String name, int ownZone, String servers, String events, long listAge, long at, int judgedZone, String peers,
-      ZoneDiagnosis local, ZoneDiagnosis pooled, String votes) {
+  void classifies(String name, int ownZone, String servers, String events, long listAge, long at, int judgedZone,
+      String peers, ZoneDiagnosis local, ZoneDiagnosis pooled, String votes) {
     ZoneHealthTracker healthTracker = new ZoneHealthTracker(SETTINGS);
     String[] counts = servers.split("/");
     for (int zone = 0; zone < counts.length; zone++) {
@@ -31,10 +34,12 @@
     List<Step> steps = steps(events);
     steps.sort(java.util.Comparator.comparingLong(Step::at));
     steps.stream().filter(step -> step.at() <= at).forEach(step -> apply(healthTracker, step));
-    Map<Integer, ZoneDiagnosis> diagnoses = ZoneClassifier.classifyLocally(ownZone, healthTracker.evidenceByZone(at), healthTracker.listAge(at), SETTINGS);
+    Map<Integer, ZoneDiagnosis> diagnoses = ZoneClassifier.classifyLocally(ownZone, healthTracker.evidenceByZone(at),
+        healthTracker.listAge(at), SETTINGS);
     ZoneDiagnosis ownDiagnosis = diagnoses.get(judgedZone);
     assertEquals(local, ownDiagnosis, () -> "local: " + healthTracker.evidenceByZone(at));
-    assertEquals(pooled, ZoneClassifier.classifyWithPeers(ownDiagnosis, ownZone, peerObservations(peers), MEMBER_COUNT, 2), "pooled");
+    assertEquals(pooled,
+        ZoneClassifier.classifyWithPeers(ownDiagnosis, ownZone, peerObservations(peers), MEMBER_COUNT, 2), "pooled");
     assertEquals(votes, ownDiagnosis.supportsEvacuation() ? "yes" : "no", "votes");
   }
 
--- a/proxy/src/test/java/lemondeal/fleet/FleetMemberTest.java
+++ b/proxy/src/test/java/lemondeal/fleet/FleetMemberTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Three members in one thread, on a network that delays and cuts; life 2 s, told each 200 ms. */
+/**
+ * Three members in one thread on a simulated network with delays and disconnections; rows have a TTL of 2 s and are
+ * sent every 200 ms.
+ */
 class FleetMemberTest {
   private static final Set<String> ALL = Set.of("a", "b", "c");
   private final SimulatedFleet fleet = new SimulatedFleet("a", "b", "c");
@@ -60,7 +63,7 @@
     assertEquals(Set.of("c"), memberC.liveMembers());
     assertFalse(memberC.hasQuorum());
     fleet.run(3000);
-    assertTrue(fleet.reconnects.contains("c>a"), "what is stuck is dialled anew");
+    assertTrue(fleet.reconnects.contains("c>a"), "a silent connection is replaced");
     fleet.disconnected.clear();
     fleet.run(700);
     assertEquals(ALL, memberA.liveMembers());
@@ -72,7 +75,8 @@
     fleet.run(1000);
     fleet.disconnected.add("a>c");
     fleet.run(3000);
-    assertEquals(Set.of("a", "b"), memberA.liveMembers(), "c does not hear a: nothing proves its rows young");
+    assertEquals(Set.of("a", "b"), memberA.liveMembers(),
+        "c receives nothing from a, so nothing bounds the age of its rows");
     assertEquals(Set.of("b", "c"), memberC.liveMembers());
     assertEquals(ALL, memberB.liveMembers());
   }
@@ -81,7 +85,7 @@
   void delayInTheNetworkCountsAsAge() {
     fleet.delayMillis.put("b>a", 2500L);
     fleet.run(8000);
-    assertEquals(Set.of("a", "c"), memberA.liveMembers(), "its rows come each 200 ms, and are 2.5 s old");
+    assertEquals(Set.of("a", "c"), memberA.liveMembers(), "its rows arrive every 200 ms, but are 2.5 s old");
     fleet.delayMillis.put("b>a", 700L);
     fleet.run(4000);
     assertEquals(ALL, memberA.liveMembers());
@@ -96,7 +100,7 @@
     memberB = fleet.start("b", 2, 0);
     fleet.run(600);
     assertEquals(ALL, memberA.liveMembers());
-    assertNull(section(memberA, "b"), "nothing of before the restart is left");
+    assertNull(section(memberA, "b"), "no data from before the restart remains");
     assertTrue(fleet.log.stream().anyMatch(line -> line.startsWith("a fleet-restarted")), fleet.log.toString());
     memberB.close();
     memberB = fleet.start("b", 1, 0);
@@ -115,8 +119,9 @@
       memberA.publish("s", new byte[] {(byte) i});
       fleet.run(1);
     }
-    // Two others tell five rows a second to two peers each; this one changes at each millisecond.
-    assertTrue(fleet.sentMessages - sentBefore <= 2 * (20 + 1) + 2 * 2 * 6, fleet.sentMessages - sentBefore + " letters in a second");
+    // The two others send five rows a second to two peers each; this one changes its row every millisecond.
+    assertTrue(fleet.sentMessages - sentBefore <= 2 * (20 + 1) + 2 * 2 * 6,
+        fleet.sentMessages - sentBefore + " messages in a second");
     Map<String, Long> figures = new HashMap<>();
     memberA.addTo(figures);
     assertEquals(3, figures.get("fleet_in_sight"));
--- a/proxy/src/test/java/lemondeal/fleet/MessageValidatorTest.java
+++ b/proxy/src/test/java/lemondeal/fleet/MessageValidatorTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of letter that must not count is dropped and counted; none of them moves the table. */
+/** Every kind of invalid message is dropped and counted, and none changes the table. */
 class MessageValidatorTest {
   private static final long NOW = 10_000;
   private static final byte[] CONTENT = Sections.encode(Map.of("zones", new byte[] {1, 2}));
@@ -59,8 +59,9 @@
   @Test
   void echoBoundsTheAgeOfARow() {
     TimedRow row = validator.validate("a", message("a", 50, CONTENT, ownEcho(2)), NOW);
-    assertEquals(200, row.ageMillis(NOW), "it may have been made as soon as the second row was told");
-    assertEquals(450, validator.validate("a", message("a", 450, CONTENT, ownEcho(2)), NOW).ageMillis(NOW), "as it says itself");
+    assertEquals(200, row.ageMillis(NOW), "it may have been created as early as the second row was sent");
+    assertEquals(450, validator.validate("a", message("a", 450, CONTENT, ownEcho(2)), NOW).ageMillis(NOW),
+        "the age it reports is larger");
     assertArrayEquals(new byte[] {1, 2}, Sections.decode(row.row().content()).get("zones"));
   }
 
@@ -103,8 +104,10 @@
     assertDropped(DropReason.GARBLED, "a", message("a", -1, CONTENT, ownEcho(1)));
     assertDropped(DropReason.GARBLED, "a", message("a", 0, new byte[] {9, 9}, ownEcho(1)));
     assertDropped(DropReason.GARBLED, "a", message("a", 0, CONTENT, ownEcho(4)));
-    assertDropped(DropReason.GARBLED, "a", new FleetMessage(new MemberRow("a", 0, 1, 0, CONTENT), ownEcho(1)).encode(0));
-    assertDropped(DropReason.GARBLED, "a", new FleetMessage(new MemberRow("a", 5, 0, 0, CONTENT), ownEcho(1)).encode(0));
+    assertDropped(DropReason.GARBLED, "a",
+        new FleetMessage(new MemberRow("a", 0, 1, 0, CONTENT), ownEcho(1)).encode(0));
+    assertDropped(DropReason.GARBLED, "a",
+        new FleetMessage(new MemberRow("a", 5, 0, 0, CONTENT), ownEcho(1)).encode(0));
     byte[] valid = message("a", 0, CONTENT, ownEcho(1));
     Random random = new Random(24);
     for (int i = 0; i < 20_000; i++) {
@@ -129,7 +132,7 @@
     assertFalse(five.isMajority(Set.of("a", "b")));
     assertTrue(five.isMajority(Set.of("a", "b", "c")));
     assertFalse(five.isMajority(Set.of("a", "b", "x", "y")));
-    assertFalse(roster("a", "b", "c", "d").isMajority(Set.of("a", "b")), "a half is none");
+    assertFalse(roster("a", "b", "c", "d").isMajority(Set.of("a", "b")), "one half is not a majority");
     assertThrows(IllegalArgumentException.class, () -> roster("a", "a"));
     String[] many = new String[201];
     Arrays.setAll(many, i -> "p-" + i);
--- a/proxy/src/test/java/lemondeal/fleet/RowTableTest.java
+++ b/proxy/src/test/java/lemondeal/fleet/RowTableTest.java
@@ -13,15 +13,17 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** The laws of merging, and what counts as absent. Small numbers, so that rows meet often. */
+/**
+ * The laws of merging, and the expiry of rows. The values are from small ranges, so that rows often have equal keys.
+ */
 class RowTableTest {
 
   @Provide
   Arbitrary<RowTable> tables() {
     Arbitrary<TimedRow> rows = Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.longs().between(1, 3),
         Arbitraries.longs().between(1, 3), Arbitraries.longs().between(0, 2), Arbitraries.integers().between(0, 2),
-        Arbitraries.longs().between(-2, 2)).as((owner, incarnation, sequence, age, content, madeAt) -> new TimedRow(
-            new MemberRow(owner, incarnation, sequence, age, new byte[] {(byte) (int) content}), madeAt));
+        Arbitraries.longs().between(-2, 2)).as((owner, incarnation, sequence, age, content, createdAt) -> new TimedRow(
+            new MemberRow(owner, incarnation, sequence, age, new byte[] {(byte) (int) content}), createdAt));
     return rows.list().ofMaxSize(6).map(RowTableTest::table);
   }
 
@@ -39,7 +41,8 @@
   }
 
   @Property(seed = "24")
-  void mergingIsAssociative(@ForAll("tables") RowTable first, @ForAll("tables") RowTable second, @ForAll("tables") RowTable third) {
+  void mergingIsAssociative(@ForAll("tables") RowTable first, @ForAll("tables") RowTable second,
+      @ForAll("tables") RowTable third) {
     assertEquals(first.merge(second).merge(third), first.merge(second.merge(third)));
   }
 
@@ -63,13 +66,13 @@
     assertEquals(1, table.liveRows(300, 200).size());
     assertEquals(0, table.liveRows(301, 200).size());
     assertSame(table, table.withoutOlderThan(400, 300));
-    // Whoever started with its clock set back is heard once the old row is forgotten.
+    // An owner that restarted with its clock set back is accepted once its old row has been removed.
     RowTable forgotten = table.withoutOlderThan(401, 300);
     assertNull(forgotten.rowOf("a"));
     assertEquals(1, forgotten.with(row(1, 1, 400)).rowOf("a").row().incarnation());
   }
 
-  private static TimedRow row(long incarnation, long sequence, long madeAt) {
-    return new TimedRow(new MemberRow("a", incarnation, sequence, 0, new byte[0]), madeAt);
+  private static TimedRow row(long incarnation, long sequence, long createdAt) {
+    return new TimedRow(new MemberRow("a", incarnation, sequence, 0, new byte[0]), createdAt);
   }
 }
--- a/proxy/src/test/java/lemondeal/fleet/SimulatedFleet.java
+++ b/proxy/src/test/java/lemondeal/fleet/SimulatedFleet.java
@@ -11,7 +11,7 @@
 import lemondeal.log.EventLog;
 import lemondeal.net.Timers;
 
-/** A fleet in one thread with a clock of its own, whose network delays and cuts as a test says. */
+/** A fleet in one thread with a simulated clock, and a network whose delays and disconnections a test controls. */
 final class SimulatedFleet {
   private record Task(long dueAt, long order, Runnable action) {}
 
@@ -20,7 +20,7 @@
   private final FleetRoster roster;
   private final Map<String, FleetTransport.Listener> listeners = new HashMap<>();
   private final Map<String, Long> clockOffsetMillis = new HashMap<>();
-  /** Pairs "from>to" that nothing passes. */
+  /** Pairs "from>to" between which no message passes. */
   final Set<String> disconnected = new HashSet<>();
   final Map<String, Long> delayMillis = new HashMap<>();
   final List<String> reconnects = new ArrayList<>();
@@ -33,7 +33,7 @@
     roster = MessageValidatorTest.roster(names);
   }
 
-  /** A member that starts now, whose clock is that far ahead of the others'. */
+  /** Starts a member whose clock is ahead of the simulated clock by {@code clockOffset} milliseconds. */
   FleetMember start(String name, long incarnation, long clockOffset) throws IOException {
     clockOffsetMillis.put(name, clockOffset);
     FleetSettings settings = new FleetSettings(name, roster, null, 2000, 200);
@@ -65,26 +65,26 @@
 
   private FleetTransport transport(String name) {
     return new FleetTransport() {
-      private Listener mine;
+      private Listener ownListener;
 
       @Override
-      public void start(Listener ear) {
-        mine = ear;
-        listeners.put(name, ear);
+      public void start(Listener listener) {
+        ownListener = listener;
+        listeners.put(name, listener);
       }
 
       @Override
-      public void sendLatest(String peer, FleetMessage letter) {
+      public void sendLatest(String peer, FleetMessage message) {
         sentMessages++;
-        String way = name + ">" + peer;
-        if (!disconnected.contains(way)) {
-          byte[] bytes = letter.encode(0);
-          scheduleAt(nowMillis + delayMillis.getOrDefault(way, 1L), () -> deliver(way, peer, bytes));
+        String route = name + ">" + peer;
+        if (!disconnected.contains(route)) {
+          byte[] bytes = message.encode(0);
+          scheduleAt(nowMillis + delayMillis.getOrDefault(route, 1L), () -> deliver(route, peer, bytes));
         }
       }
 
-      private void deliver(String way, String peer, byte[] bytes) {
-        if (listeners.get(peer) != null && !disconnected.contains(way)) {
+      private void deliver(String route, String peer, byte[] bytes) {
+        if (listeners.get(peer) != null && !disconnected.contains(route)) {
           listeners.get(peer).onMessage(name, bytes);
         }
       }
@@ -96,12 +96,12 @@
 
       @Override
       public void addTo(Map<String, Long> figures) {
-        // Counts nothing.
+        // Has no counters.
       }
 
       @Override
       public void close() {
-        listeners.remove(name, mine);
+        listeners.remove(name, ownListener);
       }
     };
   }
--- a/proxy/src/test/java/lemondeal/fleet/link/JGroupsTransportTest.java
+++ b/proxy/src/test/java/lemondeal/fleet/link/JGroupsTransportTest.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import lemondeal.fleet.FleetTransport;
+import lemondeal.fleet.FleetMessage;
 import lemondeal.fleet.FleetRoster;
 import lemondeal.fleet.FleetSettings;
-import lemondeal.fleet.FleetMessage;
+import lemondeal.fleet.FleetTransport;
 import lemondeal.fleet.MemberRow;
 import lemondeal.log.EventLog;
 import org.jgroups.stack.IpAddress;
@@ -31,18 +31,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The library's transport on loopback, among proxies and among strangers. */
+/** The JGroups transport on loopback, with configured members and unknown senders. */
 @Timeout(120)
 class JGroupsTransportTest {
   private static final EventLog SILENT = new EventLog() {
     @Override
     public void event(Level level, String name, String line, Object... fields) {
-      // Nobody reads it.
+      // Ignored.
     }
 
     @Override
     public void failure(String line, Throwable failure) {
-      // Nobody reads it.
+      // Ignored.
     }
   };
 
@@ -72,11 +72,12 @@
   }
 
   private JGroupsTransport start(String name, long incarnation, FleetRoster fleet) throws IOException {
-    JGroupsTransport transport = new JGroupsTransport(new FleetSettings(name, fleet, null, 2000, 200), name, incarnation, SILENT);
+    JGroupsTransport transport = new JGroupsTransport(new FleetSettings(name, fleet, null, 2000, 200), name,
+        incarnation, SILENT);
     transports.add(transport);
     transport.start(new FleetTransport.Listener() {
       @Override
-      public void onMessage(String sender, byte[] letter) {
+      public void onMessage(String sender, byte[] message) {
         events.add(sender + ">" + name);
         allEvents.add(sender + ">" + name);
       }
@@ -94,8 +95,9 @@
     return new FleetMessage(new MemberRow(owner, 1, 1, 0, new byte[contentBytes]), null);
   }
 
-  /** Tells until it is heard: a letter may be lost while the other is about to start. */
-  private void sendUntilReceived(FleetTransport from, String sender, String to, int contentBytes) throws InterruptedException {
+  /** Sends until a message is received: one may be lost while the other side is starting. */
+  private void sendUntilReceived(FleetTransport from, String sender, String to, int contentBytes)
+      throws InterruptedException {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
     while (System.nanoTime() < deadline) {
       from.sendLatest(to, message(sender, contentBytes));
@@ -105,12 +107,13 @@
         }
       }
     }
-    throw new AssertionError(to + " did not hear " + sender);
+    throw new AssertionError(to + " received nothing from " + sender);
   }
 
   private void awaitEvent(String expected) throws InterruptedException {
-    for (String event = events.poll(60, TimeUnit.SECONDS); !expected.equals(event); event = events.poll(60, TimeUnit.SECONDS)) {
-      assertTrue(event != null, "nobody said '" + expected + "'");
+    for (String event = events.poll(60, TimeUnit.SECONDS); !expected.equals(event);
+        event = events.poll(60, TimeUnit.SECONDS)) {
+      assertTrue(event != null, "no event '" + expected + "'");
     }
   }
 
@@ -147,21 +150,23 @@
   void unknownSendersAreIgnored() throws Exception {
     List<FleetRoster.Member> members = new ArrayList<>(roster.members());
     FleetTransport transportA = start("a", 1, new FleetRoster(members.subList(0, 2)));
-    FleetTransport stranger = start("c", 1, roster);
+    FleetTransport unknownSender = start("c", 1, roster);
     FleetTransport transportB = start("b", 1, roster);
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
     while (figure(transportA, "fleet_strangers") < 20) {
-      assertTrue(System.nanoTime() < deadline, "the stranger's letters come and are counted");
-      stranger.sendLatest("a", message("c", 10));
+      assertTrue(System.nanoTime() < deadline, "messages of the unknown sender arrive and are counted");
+      unknownSender.sendLatest("a", message("c", 10));
       Thread.sleep(20);
     }
     sendUntilReceived(transportB, "b", "a", 10);
-    assertTrue(allEvents.stream().noneMatch(event -> event.endsWith(">a") && !event.equals("b>a")), allEvents.toString());
+    assertTrue(allEvents.stream().noneMatch(event -> event.endsWith(">a") && !event.equals("b>a")),
+        allEvents.toString());
     while (allEvents.stream().noneMatch(event -> event.startsWith("c sees c"))) {
-      assertTrue(System.nanoTime() < deadline, "it finds nobody that takes it in: " + allEvents);
+      assertTrue(System.nanoTime() < deadline, "no member accepts it into its group: " + allEvents);
       Thread.sleep(20);
     }
-    assertTrue(allEvents.stream().noneMatch(event -> event.startsWith("a sees") && event.contains("null")), allEvents.toString());
+    assertTrue(allEvents.stream().noneMatch(event -> event.startsWith("a sees") && event.contains("null")),
+        allEvents.toString());
   }
 
   @Test
@@ -178,12 +183,12 @@
       try {
         sendGarbage(socket, random, i % 3);
       } catch (IOException e) {
-        // Closed on it: so it should be.
+        // The server closed the connection, as it should.
       }
     }
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
     while (figure(transportA, "fleet_turned_away") == 0) {
-      assertTrue(System.nanoTime() < deadline, "idle strangers have a bound");
+      assertTrue(System.nanoTime() < deadline, "idle connections are limited");
       Thread.sleep(20);
     }
     sendUntilReceived(transportB, "b", "a", 10);
@@ -193,7 +198,7 @@
     }
   }
 
-  /** Nothing at all; noise; or the library's own greeting with noise behind it, lengths of all kinds among it. */
+  /** Sends nothing, random bytes, or JGroups' own handshake followed by random bytes with various length fields. */
   private static void sendGarbage(Socket socket, Random random, int kind) throws IOException {
     DataOutputStream out = new DataOutputStream(socket.getOutputStream());
     byte[] noise = new byte[200 + random.nextInt(2000)];
@@ -214,7 +219,7 @@
     out.flush();
   }
 
-  /** What the library says first: who it is. */
+  /** JGroups' handshake: the address of the sender. */
   private static void sendHandshake(DataOutputStream out, int port) throws IOException {
     IpAddress claimed = new IpAddress(new InetSocketAddress("127.0.0.1", port));
     out.write("bela".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
@@ -233,7 +238,7 @@
         socket.connect(roster.member("a").address(), 5000);
         sendHandshake(new DataOutputStream(socket.getOutputStream()), 7);
       }
-      assertEquals(-1, older.getInputStream().read(), "a dead one would hold its place for ever");
+      assertEquals(-1, older.getInputStream().read(), "the older connection is closed");
     }
   }
 
