--- a/proxy/src/main/java/lemondeal/proxy/ActiveRequests.java
+++ b/proxy/src/main/java/lemondeal/proxy/ActiveRequests.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The requests and connections under way, by the id under which the module knows them: the slot's handle. A
- * client's own id would not do, since two clients may send the same one.
+ * The open requests and connections, by the id under which the module knows them: the slot's handle. A client's own id
+ * would not do, since two clients may send the same one.
  */
 final class ActiveRequests {
   private final SlotTable<ClientLink> slots;
@@ -20,7 +20,7 @@
     return slots.isFull();
   }
 
-  /** Slots that are free. */
+  /** The number of free slots. */
   int freeSlots() {
     return slots.freeSlots();
   }
@@ -42,7 +42,7 @@
     return Long.toHexString(slots.add(client));
   }
 
-  /** The request's client link, or null if it has gone since. */
+  /** The request's client link, or null if it has ended since. */
   ClientLink find(String id) {
     return slots.get(Long.parseLong(id, 16));
   }
--- a/proxy/src/main/java/lemondeal/proxy/AdmissionControl.java
+++ b/proxy/src/main/java/lemondeal/proxy/AdmissionControl.java
@@ -1,14 +1,14 @@
 package lemondeal.proxy;
 
-/** Lets requests in while there is a slot and the proxy is to run on, and keeps the table of those inside. */
+/** Admits requests while a slot is free and the process is not shutting down, and keeps the table of admitted ones. */
 final class AdmissionControl {
-  /** In this order, and never back. */
+  /** Passed in this order; never goes back. */
   private enum State {
-    /** Whoever comes is let in while there is a slot. */
+    /** New requests are admitted while a slot is free. */
     OPEN,
-    /** Whoever comes is throttled; those inside are served on. */
+    /** New requests are throttled; admitted ones continue. */
     THROTTLING,
-    /** Nobody inside is to stay either. */
+    /** Admitted requests are to end as well. */
     CLOSING
   }
 
@@ -24,12 +24,12 @@
     return isOpen() && !requests.isFull();
   }
 
-  /** Whether whoever comes is let in while there is room: this process is not about to stop. */
+  /** Whether new requests are admitted while a slot is free: this process is not shutting down. */
   boolean isOpen() {
     return state == State.OPEN;
   }
 
-  /** Whether a request that a client gave this id is inside: nobody else may use the id meanwhile. */
+  /** Whether an admitted request has this client-given id: no other request may use it meanwhile. */
   boolean isIdInUse(String clientRequestId) {
     return requests.isIdInUse(clientRequestId);
   }
@@ -45,17 +45,17 @@
     }
   }
 
-  /** Whether a request that comes up now is to be moved at once. */
+  /** Whether a connection that is established now is to be moved at once. */
   boolean isClosing() {
     return state == State.CLOSING;
   }
 
-  /** Lets nobody in any more; those inside stay. */
+  /** Admits no more requests; admitted ones continue. */
   void throttle() {
     state = State.THROTTLING;
   }
 
-  /** Lets nobody in any more, nor stay; {@code whenEmpty} is run as soon as nobody is left inside. */
+  /** Admits no more requests and expects the admitted ones to end; {@code whenEmpty} runs as soon as none is left. */
   void close(Runnable whenEmpty) {
     state = State.CLOSING;
     onEmpty = whenEmpty;
--- a/proxy/src/main/java/lemondeal/proxy/ClientLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/ClientLink.java
@@ -17,7 +17,7 @@
 
 /**
  * A request, from its client's first line to its one final answer, and its end. Owns the executions of the request, one
- * at a time, and hears the client's side until its server says UP; a {@link Tunnel} does from then on.
+ * at a time, and handles the client's input until the server says UP; from then on a {@link Tunnel} does.
  */
 final class ClientLink implements Link.Owner, Continuity.Side {
   private static final long MILLI = 1000;
@@ -37,10 +37,10 @@
   private long adoptionDeadline;
   private int attempts;
   private Execution execution;
-  /** From UP on. */
+  /** Null until UP. */
   private Tunnel tunnel;
   private Timers.Timer timer;
-  /** Whether the module knows of it. */
+  /** Whether the decision module has been given the request. */
   private boolean admitted;
   private boolean continuityEnded;
 
@@ -55,13 +55,13 @@
         context.config().settings().rules().drainGrace());
   }
 
-  /** The admission must have room. */
+  /** Requires a free slot in the admission control. */
   void start() {
     long now = context.now();
     long deadline = now + (long) (openLine.deadlineMillis() * MILLI);
     id = admission.register(this);
     context.trace().taken(openLine.id(), openLine.value("c"), openLine.deadlineMillis());
-    // The client counts from its sending: what the module believes ends a little earlier.
+    // The client's deadline runs from when it sent the line, so the module gets a slightly earlier one.
     request = new Request(id, deadline - context.limits().clientDeadlineMargin(), requestClass, openLine.key(), openLine.value("g"),
         openLine.number("h"), false, openLine.isFlagSet("again"), 0, openLine.isFlagSet("r"));
     link.start(this);
@@ -80,7 +80,7 @@
     context.dispatcher().dispatch(new Arrived(request));
   }
 
-  /** The id that the client gave its request; the module knows the request by another. */
+  /** The id that the client gave its request; the module uses a different one. */
   String clientRequestId() {
     return openLine.id();
   }
@@ -89,7 +89,7 @@
     return link;
   }
 
-  /** Whether it is up and has not been sent away yet. */
+  /** Whether the connection is up, and neither moved nor ending yet. */
   boolean isMovable() {
     return state == State.UP && tunnel.isMovable();
   }
@@ -100,8 +100,8 @@
   }
 
   /**
-   * A client waits for its answer. What it sends all the same would be kept for a server that may never be found, and a
-   * reading that had to be suspended for it would not see the client leave.
+   * A client must wait for its answer. Other input would have to be buffered for a server that may never be found, and
+   * if reading were suspended because of it, the client's disconnect would go unnoticed.
    */
   @Override
   public void received(ByteBuffer bytes) {
@@ -111,7 +111,7 @@
 
   // ---- Executions ----------------------------------------------------------------------------
 
-  /** The first line as the server should see it. */
+  /** The first line as it is sent to the server. */
   String firstLine(long microsLeft, int attempt) {
     return continuity.firstLine(microsLeft / MILLI, attempt);
   }
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Whether the client still waits, by all that the system has of it already. Guards against sending on for one that
-   * has gone: its end may stand in the socket behind what this turn is about.
+   * Whether the client still waits, after reading all that the operating system has received from it. Guards against
+   * sending a request whose client has disconnected: the end of its stream may still be unread in the socket.
    */
   boolean isStillWaiting() {
     if (state == State.WAITING) {
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Whether the first line may go out now. Asked with nothing between the answer and the write: what was decided may be
-   * some time ago. A connection that was open before is the server's own, and goes back to it.
+   * Whether the first line may go out now. Called directly before the write, since the decision may have been made some
+   * time ago. A connection that was open before belongs to its server, and returns there unchecked.
    */
   boolean maySend(Execution attempt) {
     if (!isAdoption()) {
@@ -173,7 +173,7 @@
     }
   }
 
-  /** A connection that was open before: its server is given, and no decision is made. */
+  /** Connects a client whose connection was open before: its server is given, and the module makes no decision. */
   private void adopt() {
     if (!isStillWaiting()) {
       return;
@@ -206,7 +206,7 @@
         state != State.WAITING, report));
   }
 
-  /** What passes between client and server from now on, behind the server's answer. */
+  /** Starts relaying between client and server, after the server's answer. */
   Tunnel openTunnel(Execution attempt) {
     state = State.UP;
     Timers.cancel(timer);
@@ -217,7 +217,7 @@
     return tunnel;
   }
 
-  /** Passes the server's answer on. */
+  /** Forwards the server's answer. */
   void forwardUp(Execution attempt, String line) {
     link.send(line + "\r\n" + continuity.up(attempt.number(), attempt.server(), line));
     link.start(tunnel);
@@ -232,7 +232,7 @@
     }
   }
 
-  /** A server that ends a connection without UP has served it to its end. */
+  /** A server that ends a connection without UP has served the request completely. */
   void servedAtOnce(Execution attempt, String line, LoadReport report) {
     endRequest();
     context.answers().sendFailure(link, requestClass, line + "\r\n", openLine.id(), EndReason.SERVED_AT_ONCE);
@@ -246,7 +246,7 @@
     throttle(retryAfter, EndReason.REFUSED_BY_SESSION);
   }
 
-  /** Refuses, unless that would promise what is not so: then the request has failed. */
+  /** Throttles the client, unless that would wrongly promise that a retry is harmless: then the request fails. */
   void throttle(long retryAfter, EndReason reason) {
     Violation violation = state == State.WAITING && !isAdoption() ? rules.violationByRefusing() : null;
     if (violation != null) {
@@ -273,14 +273,14 @@
     }
   }
 
-  /** Guards the promise of an answer in time, should the module let a request lie. */
+  /** Guarantees an answer in time, should the module not decide on the request. */
   private void deadlineExpired() {
     if (state == State.WAITING) {
       failAndAbandon(EndReason.OVERDUE);
     }
   }
 
-  /** Ends the request from this side, with an answer and whatever the module makes of it. */
+  /** Fails the request from this side, and reports it to the module as gone. */
   private void failAndAbandon(EndReason reason) {
     fail(reason);
     abandonRequest();
@@ -293,7 +293,7 @@
     abandonRequest();
   }
 
-  /** Tells the module that no answer is owed any more; an execution that it leaves out is ended all the same. */
+  /** Reports to the module that no answer is owed any more, and cancels an execution that the module leaves running. */
   private void abandonRequest() {
     if (admitted) {
       context.dispatcher().dispatch(new ClientGone(id));
@@ -311,7 +311,7 @@
     endContinuity();
   }
 
-  /** Nothing goes on from here once the connection is over and no attempt of it can come up any more. */
+  /** Ends continuity once the connection is over and none of its attempts can come up any more. */
   private void endContinuity() {
     if (state == State.OVER && execution == null && !continuityEnded) {
       continuityEnded = true;
@@ -339,8 +339,8 @@
   // ---- Ends ----------------------------------------------------------------------------------
 
   /**
-   * Ends the connection now, as nobody will be here to go on: with its MOVE, or with the answer that is owed. A request
-   * whose server has not answered is failed and not throttled, since it may have run.
+   * Ends the connection now, since this process is about to exit: with its MOVE, or with the answer that is owed. A
+   * request whose server has not answered is failed and not throttled, since it may have run.
    */
   void endNow() {
     if (state == State.UP) {
@@ -350,7 +350,10 @@
     }
   }
 
-  /** The process ends with it inside. All of them had their last word before; one that had not gets it now. */
+  /**
+   * The process exits while the request is open. Each client should have received its final line before; one that has
+   * not gets it now.
+   */
   void endAtProcessExit() {
     if (state == State.WAITING || (state == State.UP && tunnel.isMovable())) {
       context.violations().count(Violation.ENDED_WITHOUT_ANSWER, openLine.id(), "inside at the process's end, in state " + state);
@@ -364,7 +367,7 @@
     }
   }
 
-  /** Most have left altogether; one that has only ended its sending still reads what it is owed. */
+  /** Most such clients have disconnected; one that has only ended its sending still reads its answer. */
   @Override
   public void endOfInput() {
     failAndAbandon(EndReason.CLIENT_DID_NOT_WAIT);
--- a/proxy/src/main/java/lemondeal/proxy/Context.java
+++ b/proxy/src/main/java/lemondeal/proxy/Context.java
@@ -10,22 +10,22 @@
 import lemondeal.net.Timers;
 import lemondeal.resume.Continuity;
 
-/** What a connection works with: the settings under which it came, and what goes by them. */
+/** What the code of a connection uses: the settings in force when it was accepted, and what depends on them. */
 record Context(Generations generations, Config config, Net net, Timers timers, EventDispatcher dispatcher, DelayMeter delayMeter,
     RequestCounters figures, FinalAnswer answers, KnownServers servers, ViolationCounter violations, RequestTrace trace,
     Function<OpenLine, Continuity> continuityFactory) {
 
-  /** What a request works with that begins now. */
+  /** The context of a request that begins now. */
   Context newest() {
     return generations.newest().context();
   }
 
-  /** Where servers are now. */
+  /** The current addresses of the servers. */
   HostGroup group() {
     return generations.group();
   }
 
-  /** How a new client's connection hangs together with others. */
+  /** How a new client's connection relates to earlier and later ones of the same session. */
   Continuity continuity(OpenLine openLine) {
     return continuityFactory.apply(openLine);
   }
--- a/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
+++ b/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
@@ -12,26 +12,26 @@
 import lemondeal.config.Limits;
 
 /**
- * Tells the module how long messages take at a server: once a second while that is over a share of the
- * shortest aim, and once more when it is back under.
+ * Reports to the module how long messages take at a server: once a second while that exceeds a share of the shortest
+ * message aim, and once more when it no longer does.
  */
 final class DelayMeter {
 
   private static final long NEVER = Long.MIN_VALUE / 2;
-  /** A delay told by a server comes within this part of a second after the last one. */
+  /** A server's delay report may be early or late by the report interval divided by this. */
   private static final long INTERVAL_TOLERANCE_DIVISOR = 20;
-  /** Seconds of work that pile up or are done in one, with a little to spare. */
+  /** Seconds of work that can queue up or be done in one second, with a small margin. */
   private static final double MAX_BACKLOG_CHANGE_RATE = 1.2;
 
   private static final class ServerDelays {
     long reportedAt = NEVER;
     boolean slow;
-    /** The last delay that it told itself, in milliseconds, and when. */
+    /** The delay that the server last reported itself, in milliseconds, and when. */
     double serverReportedMillis;
     long serverReportedAt = NEVER;
-    /** When something last came from it. */
+    /** When something was last received from the server. */
     long lastReceivedAt = NEVER;
-    /** The connection that was last told to wait while nothing came, and when; null if there is none. */
+    /** The connection last reported as waiting while nothing was received, and when; null if there is none. */
     String waitingConnection;
     long waitingSince = NEVER;
   }
@@ -53,12 +53,12 @@
     this.eventSink = eventSink;
   }
 
-  /** Forgets all but these servers. */
+  /** Forgets all servers but these. */
   void keepOnly(Set<String> known) {
     servers.keySet().retainAll(known);
   }
 
-  /** Something came from this server, on whichever connection. */
+  /** Something was received from this server, on any of its connections. */
   void recordReceived(long now, String server) {
     ServerDelays delays = delaysOf(server);
     delays.lastReceivedAt = now;
@@ -70,11 +70,11 @@
   }
 
   /**
-   * A line of this execution has waited so long for an answer. Guards against one connection that falls quiet while
-   * its server serves all others: told as the server's delay, it once sent half of the clients away from a sound
-   * server. A silence is told as a delay only if two connections wait and nothing has come on any other meanwhile.
-   * Where a large fleet leaves one proxy a connection or two at a server, a second one may never wait: so the module
-   * hears of the first one too, as a reason to ask the server.
+   * A line of this execution has waited this long for an answer. Guards against one connection that goes quiet while
+   * its server serves all others: reported as the server's delay, it once made the module move half of the clients away
+   * from a healthy server. Silence is reported as a delay only if two connections wait and nothing has been received on
+   * any other meanwhile. In a large fleet a proxy may have only one or two connections to a server, so that a second
+   * one may never wait: the module therefore receives the first one too, as a reason to probe the server.
    */
   void recordWaiting(long now, String id, int attempt, String server, long micros) {
     ServerDelays delays = delaysOf(server);
@@ -90,7 +90,7 @@
     }
   }
 
-  /** The server told this delay itself, in milliseconds. */
+  /** The server reported this delay itself, in milliseconds. */
   void recordServerReported(long now, String server, double millis) {
     ServerDelays delays = delaysOf(server);
     delays.serverReportedMillis = millis;
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Whether the figure goes on a row of delays that the server tells, one a second: it comes in time, and differs from
-   * the last by no more than the work that can have piled up or been done since.
+   * Whether the figure continues a series of delays that the server reports once a second: it comes on time, and
+   * differs from the last by no more than the work that can have queued up or been done since.
    */
   boolean continuesDelaySeries(long now, String server, double millis) {
     ServerDelays delays = delaysOf(server);
@@ -107,7 +107,7 @@
     return Math.abs(elapsed - reportInterval) <= reportInterval / INTERVAL_TOLERANCE_DIVISOR && Math.abs(millis - delays.serverReportedMillis) * 1000 <= MAX_BACKLOG_CHANGE_RATE * elapsed;
   }
 
-  /** A message of this execution took so long from line to answering line. */
+  /** A message of this execution took this long from the client's line to the server's answer. */
   void recordMeasured(long now, String id, int attempt, String server, long micros) {
     ServerDelays delays = delaysOf(server);
     boolean overThreshold = micros > threshold;
--- a/proxy/src/main/java/lemondeal/proxy/EventDispatcher.java
+++ b/proxy/src/main/java/lemondeal/proxy/EventDispatcher.java
@@ -8,11 +8,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * The way into the module and out of it. Carrying out an action may cause the next event at once; that one
- * waits until the actions of this one are done, so that the module never sees events out of order.
+ * Passes events to the decision module and carries out its actions. Carrying out an action may cause the next event at
+ * once; that event waits until all actions of the current one are done, so that the module never sees events out of
+ * order.
  */
 final class EventDispatcher {
-  /** Null once nothing is decided any more. */
+  /** Null after {@link #stop}. */
   private Balancer module;
   private final LongSupplier clock;
   private final Consumer<Action> actionHandler;
@@ -25,7 +26,7 @@
     this.actionHandler = actionHandler;
   }
 
-  /** From now on nobody decides: what the module has learnt can be forgotten. */
+  /** Ends all decisions and releases the module with what it has learnt. */
   void stop() {
     module = null;
     pendingEvents.clear();
--- a/proxy/src/main/java/lemondeal/proxy/Execution.java
+++ b/proxy/src/main/java/lemondeal/proxy/Execution.java
@@ -11,9 +11,9 @@
 import lemondeal.net.Link;
 import lemondeal.net.Timers;
 
-/** One attempt of a request at one server, with its server link. Ends once and tells its client link. */
+/** One attempt of a request at one server, with its server link. Ends once and reports that to its client link. */
 final class Execution implements Link.Owner {
-  /** Until its first line's last byte is written, in SENT, a server can't have acted on it. */
+  /** Before SENT, which follows the last byte of the first line, a server can't have acted on the request. */
   private enum State { DIALLING, SENDING, SENT, UP, ENDED }
 
   private final Context context;
@@ -27,9 +27,9 @@
   private Dial dial;
   private Link link;
   private Timers.Timer timeoutTimer;
-  /** What the server said before the first line was written; it may be its answer all the same. */
+  /** What the server sent before the first line was written completely; it may be its answer all the same. */
   private ByteBuffer earlyBytes = ByteBuffer.allocate(0);
-  /** From UP on. */
+  /** Null until UP. */
   private Tunnel tunnel;
   private ServerLine lastLine = ServerLine.parse("");
 
@@ -54,12 +54,12 @@
     return context.now() - startedAt;
   }
 
-  /** Whether nothing of a line has come that is not whole yet. */
+  /** Whether no incomplete line has been received. */
   boolean isBetweenLines() {
     return !lineParser.isMidLine();
   }
 
-  /** Whether it came up, also after its end. */
+  /** Whether the attempt came up; stays true after its end. */
   boolean cameUp() {
     return tunnel != null;
   }
@@ -70,7 +70,7 @@
 
   // ---- Until UP ------------------------------------------------------------------------------
 
-  /** Dials, and waits for {@code UP} until the time is up. */
+  /** Dials, and waits for {@code UP} until the timeout. */
   void start(long timeoutMicros) {
     deadline = startedAt + timeoutMicros;
     InetSocketAddress address = context.group().address(server);
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Writes the first line, unless there is nobody to write it for or to: a dial takes its time, and either side may
-   * have ended meanwhile without this turn having come to it.
+   * Writes the first line, unless the client or the server has ended: either may have done so during the dial without
+   * the event loop having handled it yet.
    */
   private void connected(Link serverLink) {
     link = serverLink;
@@ -110,16 +110,16 @@
   }
 
   /**
-   * From the decision to the first byte a dial may not take longer than a drain grants. The server may be told as
-   * draining right after the decision, and a send counts from its first byte (PROTOCOL, Figures). Settings without the
-   * figure have no such rule.
+   * From the decision to the first byte a dial may not take longer than the drain grace period. The server may be
+   * announced as draining right after the decision, and a send counts from its first byte (PROTOCOL, Figures). Settings
+   * without a grace period have no such rule.
    */
   private long drainGrace() {
     long grace = context.config().settings().rules().drainGrace();
     return grace > 0 ? grace : Long.MAX_VALUE;
   }
 
-  /** Counts the attempt once its line's last byte is written, which may be at once or later. */
+  /** Counts the attempt once the last byte of its first line is written, which may be at once or later. */
   private void countIfSent() {
     if (state == State.SENDING && link.isFlushed()) {
       state = State.SENT;
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Looks once more first: the answer may have come while the proxy itself stood still. */
+  /** Reads once more first: the answer may have arrived while the proxy itself was paused. */
   private void timedOut() {
     if (link != null) {
       link.readNow();
@@ -140,7 +140,7 @@
     }
   }
 
-  /** PROTOCOL: what ends before the line's last byte was written has never run. */
+  /** PROTOCOL: an attempt that ends before the last byte of its first line was written has never run. */
   private Outcome noConnectionUnlessSent(Outcome outcome) {
     return state == State.SENT ? outcome : Outcome.NO_CONNECTION;
   }
@@ -160,7 +160,7 @@
     }
   }
 
-  /** Guards against an answer that is none: one without a receipt. */
+  /** Guards against an invalid answer: an UP without a receipt. */
   private void cameUp(String line, ServerLine answer) {
     if (answer.arguments().isEmpty() || !client.acceptsUp(line)) {
       end(Outcome.ERROR, null);
@@ -204,9 +204,9 @@
   }
 
   /**
-   * Passes lines on as soon as they are whole, and tells of them. Guards the client of a server that hangs in the
-   * middle of a line: with half of it passed on there was no place left for a MOVE. A line goes out before it is told:
-   * what the module decides on it may be a move, which must not overtake or swallow the line.
+   * Forwards lines as soon as they are complete, and then handles them. Guards the client of a server that hangs in the
+   * middle of a line: with half of it forwarded, no MOVE could be sent any more. A line goes out before it is handled:
+   * what the module decides on it may be a move, which must not overtake or drop the line.
    */
   private void forwardLines(ByteBuffer bytes) throws ProtocolException {
     while (bytes.hasRemaining() && state != State.ENDED) {
@@ -221,14 +221,14 @@
     bytes.position(bytes.limit());
   }
 
-  /** What comes behind a server's last word belongs to nobody, and does not change how the connection ended. */
+  /** Input after a server's final line is ignored, and does not change how the connection ended. */
   private void recordLastLine(ServerLine line) {
     if (endOutcome() == Outcome.RESET) {
       lastLine = line;
     }
   }
 
-  /** Its client has had whole lines alone, and so can be moved. */
+  /** The client has received complete lines only, and so can be moved. */
   private void handleProtocolError() {
     if (state == State.UP) {
       tunnel.moveNow(Outcome.ERROR, EndReason.SERVER_UNREADABLE);
@@ -244,13 +244,13 @@
     end(Outcome.CANCELLED, null);
   }
 
-  /** Both sides have ended, or one has and the other had its time: what was sent still goes out. */
+  /** Both sides have ended, or one has and the other's grace period has passed: what was sent is still delivered. */
   void finish(boolean serverFirst) {
     link.closeGracefully();
     end(serverFirst ? endOutcome() : Outcome.CANCELLED, null);
   }
 
-  /** The client was reset, and so is the server. */
+  /** The client's connection was reset, so the server's is reset too. */
   void reset() {
     link.reset();
     cancel();
@@ -280,7 +280,7 @@
     }
   }
 
-  /** A server that has said its last word has ended in good order, and a reset would overtake that word. */
+  /** A server that has sent its final line has ended cleanly; a reset of the client would overtake that line. */
   @Override
   public void connectionLost() {
     if (state != State.UP) {
--- a/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
+++ b/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
@@ -3,7 +3,7 @@
 import lemondeal.figures.RequestCounters;
 import lemondeal.net.Link;
 
-/** Final answers that are this proxy's own: the one place where they are sent, and so where they are counted. */
+/** The final answers that this proxy gives itself: the one place where they are sent, and so where they are counted. */
 final class FinalAnswer {
   private static final long MILLI = 1000;
   private static final String FAILED = "ERR\r\n";
@@ -17,7 +17,7 @@
     this.trace = trace;
   }
 
-  /** Throttles: trying again is harmless, after this time if it is not 0. */
+  /** Throttles: a retry is harmless, after this time if it is not 0. */
   void sendBusy(Link link, int requestClass, long retryAfterMicros, String id, EndReason reason) {
     trace.ended(id, reason);
     figures.countRefused(requestClass);
@@ -28,20 +28,20 @@
     sendFailure(link, requestClass, FAILED, id, reason);
   }
 
-  /** Any other line tells a client that its request has failed. */
+  /** Sends a line other than BUSY: any such line tells a client that its request has failed. */
   void sendFailure(Link link, int requestClass, String line, String id, EndReason reason) {
     trace.ended(id, reason);
     figures.countFailed(requestClass);
     sendAndFinish(link, line);
   }
 
-  /** Answers one whose class can't be told, so that it counts in none. */
+  /** Answers a client whose class can't be determined, so that it is counted in none. */
   void rejectUnreadable(Link link) {
     trace.ended(null, EndReason.BAD_FIRST_LINE);
     sendAndFinish(link, FAILED);
   }
 
-  /** Ends one that has sent no request; should one be under way, trying again is harmless. */
+  /** Ends a connection that has sent no request; should one be on its way, a retry is harmless. */
   void endWithoutRequest(Link link, EndReason reason) {
     trace.ended(null, reason);
     sendAndFinish(link, THROTTLED);
--- a/proxy/src/main/java/lemondeal/proxy/Generation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generation.java
@@ -40,19 +40,19 @@
 import lemondeal.resume.Continuity;
 
 /**
- * The requests that came while one set of settings was in force, and all that goes by these settings: the module that
- * decides on them and what it has learnt, its probes, what is measured and counted for it. What a request came in with
- * is what it ends by; nothing of it is left once the last one has ended.
+ * The requests that began while one version of the settings was in force, and all that depends on these settings: the
+ * module that decides on them with what it has learnt, its probes, its measurements and its counters. A request ends
+ * under the settings that it began with; everything is released once the last request has ended.
  */
 final class Generation {
 
-  /** What all generations of a proxy have in common. */
+  /** What all generations of a proxy share. */
   record SharedServices(Net net, TimerWheel wheel, ActiveRequests requests, ListSource.Factory sourceFactory, EventLog log, String name,
       StartTimes startTimes, ViolationCounter violations, RequestTrace trace, Function<OpenLine, Continuity> continuityFactory) {}
 
   private final Generations generations;
   private final SharedServices shared;
-  /** Without the list of servers. */
+  /** The configuration without its list of servers. */
   private final Config config;
   /** Null once this generation was dropped. */
   private Balancer module;
@@ -63,13 +63,13 @@
   private final Context context;
   private final KnownServers servers;
   private final Map<String, Prober> probers = new HashMap<>();
-  /** The clients under way, once newer settings are in force; this generation has no others any more. */
+  /** The clients that are still served, once newer settings are in force; this generation gets no others any more. */
   private final Set<ClientLink> remainingClients = new HashSet<>();
-  /** Whether it began with a list: none from before the process's start is to be told later. */
+  /** Whether it started with a list: one saved before the process's start is then ignored. */
   private boolean startedWithList;
-  /** The configuration's list in discovery's form, until this generation has begun: it is large. */
+  /** The configuration's server list in discovery's form, until this generation has started: it is large. */
   private Map<String, Object> configuredList;
-  /** Of that list, to tell whether newer settings bring another one. */
+  /** Fingerprint of that list, which shows whether newer settings bring another one. */
   private final long configuredListFingerprint;
   private boolean dropped;
 
@@ -117,7 +117,7 @@
 
   // ---- Beginning and end ---------------------------------------------------------------------
 
-  /** The first one of a process: it knows the list of the configuration. */
+  /** Starts the first generation of a process: it has the list of the configuration. */
   void start(long seed) throws ProtocolException {
     configuredList = Map.of();
     dispatcher.dispatch(new Start(seed, config.settings()));
@@ -125,10 +125,10 @@
   }
 
   /**
-   * Goes on from here, with the list that the one before holds, unless the new configuration brings another one: that
-   * of another fleet, say, at another discovery.
+   * Starts with the list that the previous generation holds, unless the new configuration brings another one: that of
+   * another fleet, for instance, at another discovery service.
    *
-   * @throws ProtocolException if the new list can't be read: nothing has begun then
+   * @throws ProtocolException if the new list can't be parsed: nothing has been started then
    */
   void startAfter(Generation previous, long seed) throws ProtocolException {
     ServerList configured = group.applySaved(configuredList);
@@ -148,7 +148,7 @@
     servers.apply(list);
     dispatchList(list);
     if (config.settings().mustSubscribe() && !config.discovery().equals(previous.config.discovery())) {
-      // What discovery has there counts soon, and no watch of before goes on in the meantime.
+      // The list of the new discovery service is needed soon, and no earlier watch continues in the meantime.
       source.openWatchEarly();
     }
   }
@@ -163,7 +163,7 @@
     return addresses;
   }
 
-  /** Newer settings are in force: only these clients are left here. */
+  /** Newer settings are in force: only these clients remain here. */
   void supersede(Set<ClientLink> clients) {
     remainingClients.addAll(clients);
   }
@@ -173,27 +173,27 @@
     return servers.serverIds().size();
   }
 
-  /** Sends the clients away that are up: they come again and are served by the newest settings. */
+  /** Moves the clients that are up: they reconnect and are served under the newest settings. */
   void moveAll() {
     remainingClients.forEach(client -> client.link().runGuarded(() -> client.move(EndReason.SETTINGS_REPLACED)));
   }
 
-  /** Discovery is asked no more under these settings. */
+  /** Ends the discovery watch under these settings. */
   void stopWatching() {
     source.watch(false);
   }
 
-  /** Those left here that are still under way. */
+  /** The remaining clients that are still active. */
   Set<ClientLink> remainingClients(Set<ClientLink> activeClients) {
     remainingClients.retainAll(activeClients);
     return remainingClients;
   }
 
-  /** Ends what is kept for requests; there are none any more. */
+  /** Releases what is kept for requests; there are none any more. */
   void drop() {
     dropped = true;
     List.copyOf(probers.values()).forEach(prober -> prober.end(Outcome.CANCELLED));
-    // Timers that it has set may hold it for seconds yet.
+    // Timers that this generation has set may keep it in memory for some seconds.
     dispatcher.stop();
     module = null;
     servers.clear();
@@ -202,12 +202,12 @@
 
   // ---- Lists ---------------------------------------------------------------------------------
 
-  /** Discovery is elsewhere, or the same; nothing else has changed. */
+  /** Takes over a configuration in which discovery's address may have changed, and nothing else. */
   void reconfigure(Config fresh) {
     source.reconfigure(fresh);
   }
 
-  /** What this generation's own source tells. */
+  /** Applies a list from this generation's own source. */
   void applyOwnList(ServerList list) {
     if (list.kind() == ListKind.SAVED && startedWithList) {
       return;
@@ -218,7 +218,7 @@
     }
   }
 
-  /** What the source of other settings tells, in their terms: drains and ends are for all to know. */
+  /** Applies a list from the source of other settings, translated to these: drains and removals concern all. */
   void applyForeignList(ServerList list, Generation other) {
     if (list.kind() == ListKind.FULL || list.kind() == ListKind.CHANGES) {
       ServerList translated = servers.translate(list, other.servers);
@@ -234,7 +234,7 @@
     }
   }
 
-  /** Guards the memory of a process that runs for months, in a fleet where each new server has a new name. */
+  /** Bounds the memory of a process that runs for months, in a fleet where each new server has a new name. */
   private void pruneRemovedServers() {
     shared.startTimes().keepOnly(servers.serverIds());
     context.delayMeter().keepOnly(servers.serverIds());
@@ -242,7 +242,7 @@
 
   // ---- Actions -------------------------------------------------------------------------------
 
-  /** A chain of tests rather than a switch: pattern switches are only a preview in Java 17. */
+  /** An if-else chain, as pattern matching in a switch is only a preview in Java 17. */
   private void perform(Action action) {
     if (action instanceof Send a) {
       withClient(a.id(), client -> client.execute(a.server(), a.timeout()));
@@ -269,14 +269,14 @@
     }
   }
 
-  /** A module that has no request left must not go on by itself. */
+  /** A module that has no request left must not continue by itself. */
   private void wake(long token) {
     if (!dropped) {
       dispatcher.dispatch(new Wake(token));
     }
   }
 
-  /** The module may name a request that has gone in the meantime; its slot may have a new holder. */
+  /** The module may name a request that has ended in the meantime; its slot may have been reused. */
   private void withClient(String id, Consumer<ClientLink> task) {
     ClientLink client = shared.requests().find(id);
     if (client != null) {
--- a/proxy/src/main/java/lemondeal/proxy/Generations.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generations.java
@@ -17,15 +17,15 @@
 import lemondeal.net.Timers;
 
 /**
- * Which settings are in force, and which others still hold for requests that came under them. Settings read anew begin
- * a generation of their own; what comes from then on is served by it alone. On the I/O thread.
+ * Holds the settings in force, and the older ones that still apply to requests that began under them. Reloaded settings
+ * start a generation of their own, which alone serves new requests. On the I/O thread.
  */
 final class Generations {
-  /** How often it is looked whether an older generation has ended: what it keeps is little. */
+  /** How often to check whether an older generation has ended, in microseconds: what it keeps is little. */
   private static final long CHECK_INTERVAL = 1_000_000;
   /**
-   * Servers that older settings keep in memory together at most: as many as the largest fleet has (STANDING), some
-   * 800 bytes each. One client that stays was enough to keep them all.
+   * Limit on the servers that all older settings keep in memory together: as many as the largest fleet has (STANDING),
+   * some 800 bytes each. One client that stayed was enough to keep them all.
    */
   private static final int MAX_OLDER_SERVERS = 3_200;
 
@@ -34,13 +34,15 @@
   private final long seed;
   private final Set<Generation> older = new LinkedHashSet<>();
   private Generation newest;
-  /** The one before, while its watch goes on because the newest one's has told nothing yet; null otherwise. */
+  /**
+   * The previous generation, while its watch continues because the newest one's has delivered nothing yet; else null.
+   */
   private Generation previousWatching;
   private Timers.Timer checkTimer;
-  /** Null where settings count from the next start. */
+  /** Null if changed settings take effect at the next start only. */
   private Supplier<Balancer> moduleFactory;
 
-  /** {@code told} is run whenever discovery has told a list. */
+  /** {@code onListReceived} runs whenever discovery has delivered a list. */
   Generations(Generation.SharedServices shared, Config config, Balancer module, Runnable onListReceived) {
     this.shared = shared;
     this.onListReceived = onListReceived;
@@ -52,7 +54,7 @@
     newest.start(seed);
   }
 
-  /** From now on each change of the settings is taken over, with a module of its own. */
+  /** From now on changed settings take effect at once, each version with a module from this factory. */
   void setModuleFactory(Supplier<Balancer> moduleFactory) {
     this.moduleFactory = moduleFactory;
   }
@@ -65,17 +67,17 @@
     return generation == newest;
   }
 
-  /** Where servers are: by their ids, which are the same under all settings. */
+  /** The addresses of the servers by their ids, which are the same under all settings. */
   HostGroup group() {
     return newest.group();
   }
 
-  /** Discovery is elsewhere; the settings stay as they are. */
+  /** Takes over a new address of discovery; the settings stay as they are. */
   void reconfigureDiscovery(Config fresh) {
     newest.reconfigure(fresh);
   }
 
-  /** Takes a configuration over that was read anew and checked. What can't be served is one line in the log. */
+  /** Takes over a configuration that was reloaded and validated. If it can't be served, one line in the log says so. */
   void reconfigure(Config fresh) {
     if (fresh.hasSameServiceSettings(newest.config())) {
       reconfigureDiscovery(fresh);
@@ -98,7 +100,7 @@
       rollBack(previous, "known: " + e.getMessage());
       return;
     } catch (RuntimeException | OutOfMemoryError e) {
-      // One that has begun by half would serve whoever comes by half a list.
+      // A generation that was started only in part would serve new requests with an incomplete list.
       rollBack(previous, e.toString());
       return;
     }
@@ -119,8 +121,8 @@
   }
 
   /**
-   * Discovery is not asked by two sources for longer than it takes the new one to be told, nor at an address that is no
-   * longer the one. Guards against drains that nobody hears: proxies that are all told to reload ask one after another.
+   * Two sources watch discovery only until the new one has received a list, and none at an outdated address. Guards
+   * against missed drain notices: proxies that are all told to reload are served by discovery one after another.
    */
   private void takeOverWatch(Generation previous) {
     stopPreviousWatch();
@@ -138,7 +140,7 @@
     }
   }
 
-  /** What a source tells goes to all; one that is no longer asked is not heard any more. */
+  /** Passes a source's list to all generations; one from a source that is no longer watched is ignored. */
   void listReceived(Generation sender, ServerList list) {
     if (sender != newest && sender != previousWatching) {
       return;
@@ -155,8 +157,9 @@
   }
 
   /**
-   * Guards the memory when settings change again and again while a client of each stays: the oldest ones' clients are
-   * moved, and what is kept for them goes with them. Requests that wait end by their own deadlines.
+   * Bounds the memory when settings change again and again while a client of each stays: the clients of the oldest
+   * generations are moved, and what is kept for them is released with them. Waiting requests end at their own
+   * deadlines.
    */
   private void limitOlder() {
     List<Generation> newestFirst = new ArrayList<>(older);
--- a/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
@@ -9,22 +9,22 @@
 import lemondeal.net.Timers;
 
 /**
- * The order to stop, carried out on the I/O thread. Connections that stand are served on for a while, then moved
- * step by step, and requests that are owed an answer get theirs. What becomes of those that still come depends on
- * who has the listening socket: if it is this process's own, they are throttled until it closes; if another
- * process accepts from it too, nothing more is accepted here, and all that was is served.
+ * A graceful shutdown, carried out on the I/O thread. Established connections are served for a while, then moved step
+ * by step, and requests that are owed an answer get theirs. What happens to new clients depends on who has the
+ * listening socket: if it is this process's own, they are throttled until it closes; if another process accepts from it
+ * too, nothing more is accepted here, and all that was accepted is served.
  */
 final class GracefulShutdown {
-  /** In this order, and never back. */
+  /** Passed in this order; never goes back. */
   private enum State { NOT_STARTED, SERVING, MOVING, DONE }
 
   private final Limits limits;
   private final Timers timers;
   private final AdmissionControl admission;
   private final ActiveRequests requests;
-  /** Whether connections wait here whose first line has not come. */
+  /** Whether connections are open whose first line has not arrived. */
   private final BooleanSupplier hasPendingLinks;
-  /** Ends those with an answer. */
+  /** Ends those connections with an answer. */
   private final Runnable endPendingLinks;
   private final CountDownLatch done = new CountDownLatch(1);
   private State state = State.NOT_STARTED;
@@ -41,7 +41,7 @@
     this.endPendingLinks = endPendingLinks;
   }
 
-  /** For a process that has the clients' listening socket for itself. */
+  /** For a process that has the clients' listening socket to itself. */
   void begin(Listener ownListener) {
     if (startOnce(ownListener)) {
       admission.throttle();
@@ -52,15 +52,16 @@
     }
   }
 
-  /** The socket is closed: those inside stay for a while, counted from when it was to close. */
+  /** The socket is closed: admitted clients are served for a while, counted from when it was to close. */
   private void serveOn(long closesAt) {
     long remaining = requests.isEmpty() ? 0 : closesAt + limits.drainHoldTime() - timers.now();
     timers.after(Math.max(0, remaining), () -> moveWithin(limits.drainMoveTime()));
   }
 
   /**
-   * For a process that shares it. Guards those whose line is still on its way: turned away, each of them would
-   * count against the upgrade. The others have where to go at once, and so all of the time is used to move them.
+   * For a process that shares the socket. Guards clients whose first line is still on its way: each one throttled would
+   * count against the upgrade. The others can reconnect to the other process at once, and so all of the time is used to
+   * move them.
    */
   void handOver(Listener sharedListener) {
     if (startOnce(sharedListener)) {
@@ -69,7 +70,7 @@
     }
   }
 
-  /** Whether this is the first order; its times count, and another one changes nothing. */
+  /** Whether this is the first order; its time limits apply, and another one changes nothing. */
   private boolean startOnce(Listener clientListener) {
     if (state != State.NOT_STARTED) {
       return false;
@@ -86,8 +87,8 @@
   }
 
   /**
-   * Whoever is still inside shortly before the end gets what is owed. Guards the clients of a server that hangs: one
-   * in the middle of a line, and a request that would wait longer than this process may, were cut off without a word.
+   * Clients that remain shortly before the end get what is owed. Guards the clients of a server that hangs: one in the
+   * middle of a line, and a request that would wait longer than this process may, were cut off without an answer.
    */
   private void endRequests() {
     requests.all().forEach(client -> readThenApply(client, ClientLink::endNow));
@@ -110,8 +111,8 @@
   }
 
   /**
-   * Moves a few clients, and the others step by step. Guards the other proxies, their servers and what stands
-   * behind set-ups against a crowd: clients that are moved come again within a moment, all of them together.
+   * Moves some clients, and the others step by step. Guards the other proxies, their servers and what those need to set
+   * up connections against a thundering herd: clients that are moved reconnect within a moment, all of them together.
    */
   private void moveNextBatch() {
     long remainingSteps = Math.max(0, moveDeadline - timers.now()) / limits.drainStepInterval();
@@ -120,7 +121,7 @@
     movable.subList(0, (int) batchSize).forEach(client -> readThenApply(client, moved -> moved.move(EndReason.STOPPING)));
     boolean noneRemaining = movable.size() <= batchSize && !hasPendingLinks.getAsBoolean();
     if (remainingSteps == 0 || noneRemaining) {
-      // Who comes up from now on is moved at once.
+      // Connections that are established from now on are moved at once.
       admission.close(() -> timers.after(limits.lingerTimeout(), this::endUnlessPending));
     } else {
       timers.after(limits.drainStepInterval(), this::moveNextBatch);
@@ -128,8 +129,8 @@
   }
 
   /**
-   * What was written last has arrived by now. Guards those whose first line is on its way when nobody else is left:
-   * they were cut off while there was time.
+   * What was written last has arrived by now. Guards clients whose first line is on its way when no other client is
+   * left: they were cut off while there was time.
    */
   private void endUnlessPending() {
     if (!hasPendingLinks.getAsBoolean()) {
@@ -138,8 +139,8 @@
   }
 
   /**
-   * Ends this client's connection after a look at what it has written. Guards the last line to it: many go at once,
-   * more sides than may linger, and one that was closed over unread bytes was reset.
+   * Ends this client's connection after reading what it has written. Guards the last line to it: many connections end
+   * at once, more than may linger, and one that was closed with unread bytes was reset.
    */
   private static void readThenApply(ClientLink client, Consumer<ClientLink> action) {
     client.link().readNow();
--- a/proxy/src/main/java/lemondeal/proxy/KnownServers.java
+++ b/proxy/src/main/java/lemondeal/proxy/KnownServers.java
@@ -15,21 +15,21 @@
 import lemondeal.config.Config.Names;
 
 /**
- * The servers as one module was told them. Zones and models are places in the lists of names of its settings; other
- * settings have other lists, so what goes from one module to another is translated by name.
+ * The servers as they were announced to one module. Zones and models are indices into the name lists of its settings;
+ * other settings have other lists, so what passes from one module to another is translated by name.
  */
 final class KnownServers {
-  /** What was told of servers that are gone is of use for as long as a dial of before may be out; microseconds. */
+  /** How long the entry of a removed server is kept: an earlier dial may still be in progress; microseconds. */
   private static final long REMOVED_RETENTION = 60_000_000;
 
-  /** A server that has gone, as it was told before, and when it was told as gone. */
+  /** A removed server with its last entry, and when it was announced as removed. */
   private record RemovedServer(ServerEntry entry, long removedAt) {}
 
   private final Names names;
   private final Map<String, ServerEntry> entries = new LinkedHashMap<>();
-  /** Of each of them, which fleet's lists name it: a whole list speaks for its own fleet alone. */
+  /** For each server, the fleet whose lists name it: a full list covers its own fleet only. */
   private final Map<String, Integer> fleetByServer = new HashMap<>();
-  /** Those that have gone lately, as they were told before. */
+  /** Recently removed servers, with their last entries. */
   private final Map<String, RemovedServer> removed = new HashMap<>();
   private final Map<String, Long> drainingSince = new HashMap<>();
   private final LongSupplier clock;
@@ -63,7 +63,7 @@
     drainingSince.keySet().removeIf(server -> !entries.containsKey(server) && !removed.containsKey(server));
   }
 
-  /** Forgets them all. */
+  /** Forgets all servers. */
   void clear() {
     entries.clear();
     fleetByServer.clear();
@@ -85,7 +85,7 @@
     }
   }
 
-  /** A server has gone, and is remembered as it was known, or as it was told where it was not. */
+  /** Removes a server, and remembers its last entry, or the given one if there was none. */
   private void remove(ServerEntry entry, long now) {
     String server = entry.server();
     ServerEntry known = entries.remove(server);
@@ -94,21 +94,23 @@
     drainingSince.putIfAbsent(server, now);
   }
 
-  /** The server as it was told last, also for a while after its end, or null. */
+  /** The server's last entry, also for a while after its removal, or null. */
   ServerEntry entry(String server) {
     ServerEntry entry = entries.get(server);
     RemovedServer removedServer = removed.get(server);
     return entry != null || removedServer == null ? entry : removedServer.entry();
   }
 
-  /** When it was told that the server drains or is gone, in microseconds; {@link RequestRules#NOT_DRAINING} if not. */
+  /**
+   * When the server was announced as draining or removed, in microseconds; {@link RequestRules#NOT_DRAINING} if not.
+   */
   long drainingSince(String server) {
     return drainingSince.getOrDefault(server, RequestRules.NOT_DRAINING);
   }
 
   /**
-   * All that is held under other settings, in the terms of these. A name that those lacked is not known there: the new
-   * configuration's own list goes first.
+   * All servers known under the previous settings, translated to these. Names that those settings lacked are missing
+   * there, so the new configuration's own list is applied first.
    */
   ServerList takeOver(KnownServers previous, ServerList configured) {
     apply(configured);
@@ -117,8 +119,8 @@
   }
 
   /**
-   * A list from a file, which may have been written before discovery told what is known here: a server that was told to
-   * drain drains on, and one that was told as gone is left out, unless it has started anew since.
+   * A list from a file, which may be older than what discovery has announced here: a server that was announced as
+   * draining stays draining, and one that was announced as removed is left out, unless it has restarted since.
    */
   ServerList withEndsApplied(ServerList savedList) {
     List<ServerEntry> kept = new ArrayList<>();
@@ -138,7 +140,7 @@
     return new ServerEntry(entry.server(), entry.zone(), entry.cell(), entry.model(), entry.startedAt(), ServerState.DRAINING, entry.weight());
   }
 
-  /** A list in the terms of other settings, taken in and in the terms of these. */
+  /** Translates a list from other settings to these, applies it and returns it. */
   ServerList translate(ServerList list, KnownServers source) {
     List<ServerEntry> translated = new ArrayList<>();
     for (ServerEntry entry : list.entries()) {
@@ -156,7 +158,10 @@
     return new ServerEntry(entry.server(), zone, entry.cell(), model, entry.startedAt(), entry.state(), entry.weight());
   }
 
-  /** The same name's place here; where either list lacks it, what this server is held to be, or after them all. */
+  /**
+   * The index of the same name in the target list; where either list lacks it, the server's known index, or one past
+   * the end.
+   */
   private static int translateIndex(int index, List<String> sourceNames, List<String> targetNames, int knownIndex) {
     int targetIndex = index >= 0 && index < sourceNames.size() ? targetNames.indexOf(sourceNames.get(index)) : -1;
     return targetIndex >= 0 ? targetIndex : knownIndex >= 0 ? knownIndex : targetNames.size();
--- a/proxy/src/main/java/lemondeal/proxy/LoadReportParser.java
+++ b/proxy/src/main/java/lemondeal/proxy/LoadReportParser.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import lemondeal.codec.ServerLine;
 
-/** Turns the names of a load report, as servers or as the settings write them, into the module's figures. */
+/** Parses load reports, whose figures are named as servers or as the settings write them, into the module's figures. */
 final class LoadReportParser {
   private LoadReportParser() {}
 
-  /** The report behind a line's word, or null where there is none. */
+  /** The report after a line's first word, or null if there is none. */
   static LoadReport parse(ServerLine line) {
     if (line.arguments().isEmpty()) {
       return null;
--- a/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
+++ b/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
@@ -6,11 +6,12 @@
 import lemondeal.codec.ServerLine;
 import lemondeal.net.Link;
 
-/** What one standing connection tells the module of its server: its load, its delays and its silence. */
+/** Reports to the module what one established connection shows of its server: its load, its delays and its silence. */
 final class PassiveHealthCheck {
   /**
-   * Share of its usual load, by the client's hint, that a connection at rest still asks for; a delay in milliseconds
-   * stays far below. Of 32,932 loads in the simulator none was under 0.057, of 4,400 delays 98 in 100 were.
+   * Share of its usual load, by the client's hint, that even an idle connection reports as its load; a delay in
+   * milliseconds stays far below. Of 32,932 loads in the simulator none was under 0.057; of 4,400 delays 98 in 100
+   * were.
    */
   private static final double MIN_LOAD_SHARE = 0.05;
 
@@ -20,7 +21,7 @@
   private final Execution execution;
   private final ResponseTimeout responseTimeout;
 
-  /** {@code silent} is run when the server has left a line unanswered for too long. */
+  /** {@code onSilent} runs when the server has left a line unanswered for too long. */
   PassiveHealthCheck(Context context, Link client, Request request, Execution execution, Runnable onSilent) {
     this.context = context;
     requestId = request.id();
@@ -53,8 +54,8 @@
   }
 
   /**
-   * Guards against a server's delay being taken for a connection's load: both come as LOAD. The answer to a client's
-   * line comes at once even from a slow server, so that this is where its delay shows.
+   * Guards against mistaking a server's delay for a connection's load: both arrive as LOAD. The answer to a client's
+   * line comes at once even from a slow server, so that its delay shows only here.
    */
   private void onLoad(double value) {
     if (!(value >= 0)) {
@@ -68,7 +69,7 @@
     }
   }
 
-  /** Where the settings say that servers tell both, and the client gave no hint, a figure counts as a load. */
+  /** Where the settings say that servers report both, and the client gave no hint, a figure counts as a load. */
   private boolean isDelay(double value) {
     return switch (context.config().loadLineMeaning()) {
       case LOADS -> false;
--- a/proxy/src/main/java/lemondeal/proxy/PendingLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/PendingLink.java
@@ -9,11 +9,14 @@
 import lemondeal.net.Timers;
 
 /**
- * An accepted connection up to its first line. Answers {@code PING}; makes a {@link ClientLink} of a client whose
- * line can be used, and sends away everybody else, soon: whatever comes is owed an answer or an end.
+ * An accepted connection until its first line. Answers {@code PING}; creates a {@link ClientLink} for a client whose
+ * first line is usable, and ends any other connection soon: each is owed an answer or an end.
  */
 final class PendingLink implements Link.Owner {
-  /** The longest answer that may be owed behind those to {@code PING}, and what a cut line may still add. */
+  /**
+   * Space for the longest answer that may follow those to {@code PING}, and for what the rest of a partial line may
+   * add.
+   */
   private static final int RESERVED_ANSWER_BYTES = 64;
 
   private final Context context;
@@ -40,8 +43,8 @@
   }
 
   /**
-   * A {@code PONG} is as long as its {@code PING}, so that the answers always fit. Guards against a client that
-   * asks at full speed and does not read: its ring was overrun.
+   * A {@code PONG} is as long as its {@code PING}, so that the answers always fit. Guards against a client that sends
+   * at full speed and does not read: its ring buffer overflowed.
    */
   @Override
   public int receiveCapacity() {
@@ -67,7 +70,8 @@
   private void handleFirstLine(String line, boolean moreFollows) throws ProtocolException {
     if (line.equals("PING")) {
       if (!admission.isOpen()) {
-        // Whoever asks whether to send clients here is not to; a request behind it is answered with that.
+        // A PING asks whether clients may be sent here, and they may not; a request that follows it gets this answer
+        // too.
         removeFromPending();
         context.answers().endWithoutRequest(link, EndReason.STOPPING);
         return;
@@ -77,7 +81,7 @@
       return;
     }
     OpenLine openLine = OpenLine.parse(line);
-    // The connection may have come under other settings than its request does.
+    // The connection may have been accepted under other settings than its request.
     Context current = context.newest();
     int requestClass = current.config().names().classes().indexOf(openLine.value("c"));
     if (requestClass < 0) {
@@ -85,7 +89,7 @@
     }
     removeFromPending();
     if (moreFollows || admission.isIdInUse(openLine.id())) {
-      // A client waits behind its first line; and nobody else may use the id of an open request.
+      // A client must wait after its first line, and must not use the id of an open request.
       current.answers().sendFailure(link, requestClass, openLine.id(), EndReason.BAD_FIRST_LINE);
     } else if (!admission.canAdmit()) {
       EndReason reason = admission.isOpen() ? EndReason.NO_ROOM : EndReason.STOPPING;
@@ -96,28 +100,28 @@
     }
   }
 
-  /** It has rested for too long. */
+  /** The first line did not arrive in time. */
   private void firstLineTimedOut() {
     endWithoutRequest(EndReason.RESTED);
   }
 
   /**
-   * Leaves for others that come. Guards against usual clients that come in a burst: they are accepted by the hundred
-   * before the first of them is read.
+   * Gives way to newer connections. Guards against bursts of ordinary clients: they are accepted by the hundred before
+   * the first of them is read.
    */
   void evict() {
     endWithoutRequest(EndReason.EVICTED);
   }
 
-  /** The process ends. */
+  /** The process exits. */
   void endNow() {
     endWithoutRequest(EndReason.STOPPING);
   }
 
   /**
-   * Ends a connection that has sent no request, unless it has come in the meantime. Guards a client whose first line is
-   * under way just then: what it gets must be an answer, and a true one, since nothing that comes behind it is sent on.
-   * Who asks with PING is told nothing else.
+   * Ends a connection that has sent no request, unless one has arrived in the meantime. Guards a client whose first
+   * line is just arriving: it must get an answer, and a true one, since nothing that follows is forwarded. A client
+   * that has sent PING gets no further answer.
    */
   private void endWithoutRequest(EndReason reason) {
     link.readNow();
@@ -132,7 +136,7 @@
     }
   }
 
-  /** Ends the connection without a word, but such that what was answered to {@code PING} arrives. */
+  /** Ends the connection without a final line, but such that the answers to {@code PING} are still delivered. */
   private void endSilently(EndReason reason) {
     context.trace().ended(null, reason);
     removeFromPending();
--- a/proxy/src/main/java/lemondeal/proxy/Prober.java
+++ b/proxy/src/main/java/lemondeal/proxy/Prober.java
@@ -15,27 +15,28 @@
 import lemondeal.net.Timers;
 
 /**
- * Probes one server, over one link that is kept for a while: each new connection costs the server work. Such links are
- * bounded together; a probe for which there is no place is told as not sent, which says nothing of the server.
+ * Probes one server, over one link that is kept for a while: each new connection costs the server work. The number of
+ * such links is bounded; a probe for which no place is free is reported as not sent, which says nothing about the
+ * server.
  */
 final class Prober implements Link.Owner, LinkPool.Holder {
   private final Context context;
   private final String server;
   private final Runnable onClosed;
-  /** When the probes were asked for that are not answered yet. */
+  /** Start times of the probes that are not answered yet. */
   private final ArrayDeque<Long> probeStarts = new ArrayDeque<>();
   private LineParser lineParser;
   private Dial dial;
   private Link link;
   private long openedAt;
   private Timers.Timer timer;
-  /** Whether the link has a place in the pool. */
+  /** Whether the link holds a place in the pool. */
   private boolean inPool;
-  /** Whether the link has brought an answer already: then its server may have ended it as a probe went out. */
+  /** Whether the link has delivered an answer before: its server may then close it just as a probe goes out. */
   private boolean hasAnswered;
   private boolean closed;
 
-  /** {@code closed} is run when this prober is of no more use. */
+  /** {@code onClosed} runs when this prober can no longer be used. */
   Prober(Context context, String server, Runnable onClosed) {
     this.context = context;
     this.server = server;
@@ -88,8 +89,8 @@
   }
 
   /**
-   * Waits for the answer that is due first. Guards against a server that hangs and is asked again before the time is
-   * up: counted from the last probe, the time never was.
+   * Arms the timeout of the oldest unanswered probe. Guards against a server that hangs and is probed again before the
+   * timeout: counted from the last probe, it never expired.
    */
   private void armAnswerTimeout() {
     armTimer(Math.max(probeStarts.peek(), openedAt) + context.limits().probeTimeout() - context.now(), Outcome.TIMED_OUT);
@@ -100,7 +101,7 @@
     timer = context.timers().after(micros, () -> end(outcome));
   }
 
-  /** Ends the link; probes still out are told this outcome. */
+  /** Ends the link; unanswered probes are reported with this outcome. */
   void end(Outcome outcome) {
     if (closed) {
       return;
@@ -185,8 +186,8 @@
   }
 
   /**
-   * Guards the server that closes an idle link as a probe is written to it: the probe is made anew, once, on a link of
-   * its own, and only what comes of that is told.
+   * Guards the server that closes an idle link as a probe is written to it: the probe is repeated, once, on a new link,
+   * and only the result of that is reported.
    */
   private void handleConnectionLost() {
     if (hasAnswered && !probeStarts.isEmpty()) {
@@ -200,6 +201,6 @@
 
   @Override
   public void flushed() {
-    // The answer is awaited.
+    // Nothing to do: the answer is awaited.
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -30,7 +30,7 @@
 import lemondeal.resume.Resumption;
 import org.xnio.XnioIoThread;
 
-/** One real proxy: puts the parts together and carries out what the module decides. */
+/** One proxy on real sockets: creates and connects its components. */
 public final class Proxy implements AdminEndpoint.ProcessStatus, AutoCloseable {
   private final Config config;
   private final Net net;
@@ -48,29 +48,29 @@
   private Listener adminListener;
   private boolean accepting;
   private boolean stopping;
-  /** Null until the order has come; another order finds the same. */
+  /** Null until a stop is ordered; a further order uses the same one. */
   private GracefulShutdown shutdown;
   private XnioIoThread.Key nextAdvance;
-  /** Null where nothing else is counted. */
+  /** Adds the figures of other components; null if there are none. */
   private Consumer<Map<String, Long>> extraFigures;
 
-  /** A proxy without anything of an operator's own. */
+  /** A proxy without the features of an operator's own file. */
   public Proxy(Config config, Balancer module, PrintStream log) throws IOException {
     this(config, module, new PlainLog(log), null);
   }
 
-  /** {@code resumption} is null where no client can resume. */
+  /** {@code resumption} is null if clients can't resume. */
   public Proxy(Config config, Balancer module, EventLog log, Resumption resumption) throws IOException {
     this(config, module, log, resumption, ListSource.PLATFORM);
   }
 
-  /** The same, with servers listed by {@code sources}. */
+  /** The same, with the server list from a source made by {@code sourceFactory}. */
   public Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Factory sourceFactory)
       throws IOException {
     this(config, module, log, resumption, sourceFactory, new Clock());
   }
 
-  /** The same, by this clock. */
+  /** The same, with this clock. */
   Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Factory sourceFactory, Clock clock)
       throws IOException {
     this.resumption = resumption;
@@ -91,7 +91,7 @@
         resumption == null ? Continuity.Plain::new : resumption::of), config, module, this::listReceived);
   }
 
-  /** Starts on the I/O thread; returns when the addresses are listened on, or throws what went wrong. */
+  /** Starts on the I/O thread; returns when the addresses are listened on, or throws the failure. */
   public void start() throws IOException {
     start(config.inheritedSocket() ? Listener.inherited() : Listener.bind(config.listen()));
   }
@@ -119,7 +119,7 @@
     return clientListener.address();
   }
 
-  /** The second address, or null if there is none. */
+  /** The address of the second listener, or null if there is none. */
   public InetSocketAddress adminAddress() {
     return adminListener == null ? null : adminListener.address();
   }
@@ -131,9 +131,9 @@
   }
 
   /**
-   * From now on this process can serve: the module has a list that discovery told, or discovery has told none in
-   * good time and the list from before the start must do. Only then does it accept from a socket that another
-   * process may be accepting from.
+   * Begins to accept once this process can serve: the module has a list from discovery, or discovery has delivered none
+   * in time and the list from before the start must do. Only then does it accept from a socket that another process may
+   * be accepting from.
    */
   private void startAccepting() {
     if (!accepting && !stopping && generations.newest().standing().known() > 0) {
@@ -147,42 +147,42 @@
     new PendingLink(generations.newest().context(), admission, pendingLinks, link).start();
   }
 
-  /** Runs tasks on the I/O thread, for what comes from threads of others; from any thread. */
+  /** Runs tasks on the I/O thread, for callers on other threads; may be used on any thread. */
   public Executor executor() {
     return net::execute;
   }
 
-  /** Deadlines on the I/O thread; for use there alone. */
+  /** Timers on the I/O thread; for use on that thread only. */
   public Timers timers() {
     return wheel;
   }
 
-  /** Wakes the module, for what stands between it and this proxy; on the I/O thread alone. */
+  /** Wakes the module, for layers between it and this proxy; on the I/O thread only. */
   public void wake(long token) {
     generations.newest().dispatch(new Wake(token));
   }
 
-  /** From now on what becomes of each request is told in the log. */
+  /** From now on the log shows what happens to each request. */
   public void traceRequests() {
     net.execute(trace::enable);
   }
 
-  /** Has these figures told on the second address, too. */
+  /** Adds these figures to those shown on the second address. */
   public void addFigures(Consumer<Map<String, Long>> source) {
     net.execute(() -> extraFigures = source);
   }
 
   /**
-   * From now on settings read anew are taken over, each with a module made by this; without it they count from the next
-   * start. May be called on any thread.
+   * From now on reloaded settings take effect at once, each version with a module from this factory; without it they
+   * take effect at the next start. May be called on any thread.
    */
   public void setModuleFactory(Supplier<Balancer> moduleFactory) {
     net.execute(() -> generations.setModuleFactory(moduleFactory));
   }
 
   /**
-   * Takes over a configuration read anew and checked; may be called on any thread, also during a stop, when nothing new
-   * is served any more and discovery alone moves.
+   * Takes over a configuration that was reloaded and validated; may be called on any thread, also during a shutdown,
+   * when nothing new is served any more and only discovery's address changes.
    */
   public void reconfigure(Config fresh) {
     net.execute(() -> {
@@ -194,12 +194,12 @@
     });
   }
 
-  /** Stops politely; returns when all is done or the time is up. */
+  /** Shuts down gracefully; returns when that is done or the time limit has passed. */
   public void stop() throws InterruptedException {
     BlockingQueue<GracefulShutdown> started = new ArrayBlockingQueue<>(1);
     net.execute(() -> {
       stopping = true;
-      // How long it may take is for the settings to say that are in force by now.
+      // The time limits are those of the newest settings.
       Limits limits = generations.newest().config().limits();
       shutdown = shutdown != null ? shutdown : new GracefulShutdown(limits, wheel, admission, requests, () -> !pendingLinks.isEmpty(),
           () -> pendingLinks.closeAll(PendingLink::endNow));
@@ -213,21 +213,21 @@
     started.take().await();
   }
 
-  /** Ends the I/O thread at once. */
+  /** Ends the I/O thread immediately. */
   @Override
   public void close() {
     net.shutdown();
   }
 
-  /** The same; returns when it has ended, or after so long. */
+  /** The same; returns when the thread has ended, or after this time. */
   public void awaitClose(long millis) throws InterruptedException {
     net.shutdown();
     net.awaitShutdown(millis);
   }
 
-  // ---- What the operators' staff ask ----------------------------------------------------------
+  // ---- Second address ------------------------------------------------------------------------
 
-  /** Servers whose starts are kept in mind, for a test that none is for good. */
+  /** The number of servers whose start times are held, for a test that none is held forever. */
   int startTimesHeld() {
     return startTimes.size();
   }
@@ -272,7 +272,7 @@
       startTimes.sample();
       wheel.advance();
     } finally {
-      // Whatever failed: without the next one no deadline would ever come.
+      // Also after a failure: without the next call no timer would ever run.
       scheduleAdvance();
     }
   }
--- a/proxy/src/main/java/lemondeal/proxy/RequestRules.java
+++ b/proxy/src/main/java/lemondeal/proxy/RequestRules.java
@@ -7,30 +7,30 @@
 import lemondeal.Balancer.ServerEntry;
 
 /**
- * What the protocol allows for one request now, by what has become of it so far. It knows nothing of how a module
- * decides, and is asked right before a step is taken. Times are microseconds on the process's clock.
+ * What the protocol allows for one request now, given what has happened to it so far. It does not depend on how a
+ * module decides, and is checked right before a step is taken. Times are microseconds on the process's clock.
  */
 final class RequestRules {
-  /** WIRE 13: what has become of the attempts so far. */
+  /** WIRE 13: what the attempts so far may have done. */
   private enum State { NEVER_RAN, MAY_HAVE_RUN, ANSWERED }
 
-  /** As of when a server was told to drain; {@link #NOT_DRAINING} for one that was not. */
+  /** Given as the time when a server was announced as draining if it was not. */
   static final long NOT_DRAINING = Long.MAX_VALUE;
 
-  /** STANDING: a proxy may be held up for so long between reading its clock and writing, in microseconds. */
+  /** STANDING: a proxy may be paused for this long between reading its clock and writing, in microseconds. */
   private static final long MAX_PROCESS_PAUSE = 150_000;
 
   private final RequestClass requestClass;
   private final long drainGrace;
   private State state = State.NEVER_RAN;
   private boolean attemptInProgress;
-  /** The first attempt that may have run, null for a server that the list did not have; and when it was sent. */
+  /** The server of the first attempt that may have run, null if the list did not have it; and when that was sent. */
   private ServerEntry firstRunServer;
   private long firstRunSentAt;
   private ServerEntry sentTo;
   private long sentAt;
 
-  /** {@code drainGrace} 0: the settings have no such rule. */
+  /** {@code drainGrace} is 0 if the settings have no such rule. */
   RequestRules(RequestClass requestClass, long drainGrace) {
     this.requestClass = requestClass;
     this.drainGrace = drainGrace;
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Whether a send to a server that was told to drain would come so late in the grace that being held up could end it:
-   * once before the notice is read, which counts from its being written, and once before the write. Such a send breaks
-   * no rule yet: its dial began before the notice.
+   * Whether a send to a draining server would come so late in the grace period that pauses of the process could exceed
+   * it: one before the notice is read, as the period runs from when the notice was written, and one before the write.
+   * Such a send breaks no rule yet: its dial began before the notice.
    */
   boolean isLateForDraining(long now, long drainingSince) {
     return drainGrace > 0 && drainingSince != NOT_DRAINING && now - drainingSince > drainGrace - 2 * MAX_PROCESS_PAUSE;
@@ -68,7 +68,7 @@
     };
   }
 
-  /** Whether the server is of those that drop the repeats of what may have run. */
+  /** Whether the server is one of those that deduplicate repeats of what may have run. */
   private boolean deduplicatesRepeats(ServerEntry server) {
     if (requestClass.dedupScope() == DedupScope.ALL) {
       return true;
@@ -86,7 +86,7 @@
     sentAt = now;
   }
 
-  /** The attempt that was out has ended so. */
+  /** The attempt in progress has ended with this outcome. */
   void attemptEnded(Outcome outcome) {
     if (attemptInProgress && outcome.mayHaveRun && state == State.NEVER_RAN) {
       state = State.MAY_HAVE_RUN;
@@ -96,7 +96,7 @@
     attemptInProgress = false;
   }
 
-  /** The rule that a promise that trying again is harmless would break now, or null. */
+  /** The rule that a refusal, which promises that a retry is harmless, would break now, or null. */
   Violation violationByRefusing() {
     boolean mayHaveRun = attemptInProgress || state == State.MAY_HAVE_RUN;
     boolean harmless = requestClass.idempotency() == Idempotency.SAFE
@@ -104,7 +104,7 @@
     return mayHaveRun && !harmless ? Violation.REFUSED_AFTER_RUNNING : null;
   }
 
-  /** Its one final answer goes out, or its client has left: nothing is owed any more. */
+  /** The final answer goes out, or the client has disconnected: no answer is owed any more. */
   void answered() {
     state = State.ANSWERED;
   }
--- a/proxy/src/main/java/lemondeal/proxy/RequestTrace.java
+++ b/proxy/src/main/java/lemondeal/proxy/RequestTrace.java
@@ -5,9 +5,9 @@
 import lemondeal.log.EventLog;
 
 /**
- * What becomes of each request, by the id that its client gave it: counted always, by reason of its end, and told in the
- * log line by line where that is switched on. A line is {@code request PROXY MILLIS ID WORD name=value ...}, with the
- * wall clock, as the lines of the module's own trace.
+ * What happens to each request, by the id that its client gave it: ends are always counted by reason, and each step is
+ * logged if that is enabled. A line is {@code request PROXY MILLIS ID WORD name=value ...}, with the wall clock, like
+ * the lines of the module's own trace.
  */
 final class RequestTrace {
   private static final String METRIC_PREFIX = "ended.";
@@ -25,12 +25,12 @@
     this.wallClockMillis = wallClockMillis;
   }
 
-  /** From now on lines are told. */
+  /** From now on each step is logged. */
   void enable() {
     enabled = true;
   }
 
-  /** A client's connection ends, or gets its last word; {@code id} is null before its first line was read. */
+  /** A client's connection ends, or gets its final line; {@code id} is null before its first line was read. */
   void ended(String id, EndReason reason) {
     endCounts[reason.ordinal()]++;
     if (enabled) {
@@ -73,7 +73,7 @@
     log.info("request", prefix + wallClockMillis.getAsLong() + " " + id + " " + text);
   }
 
-  /** Adds the counts of ends under their names. */
+  /** Adds the counts of ends under their labels. */
   void addTo(Map<String, Long> figures) {
     for (EndReason reason : EndReason.values()) {
       figures.put(METRIC_PREFIX + reason.label, endCounts[reason.ordinal()]);
--- a/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
+++ b/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
@@ -6,28 +6,28 @@
 import lemondeal.net.Timers;
 
 /**
- * The lines of one client that its server has not answered yet. Guards against a server that was cut off: its
- * connection stays open and brings nothing. Long before that is certain, the waiting itself is told as a delay: a
- * sound connection answers at once, and a server that hangs tells no delay of its own.
+ * The lines of one client that its server has not answered yet. Guards against a server that was cut off from the
+ * network: its connection stays open and delivers nothing. Long before that is certain, the wait itself is reported as
+ * a delay: a healthy connection answers at once, and a server that hangs reports no delay of its own.
  */
 final class ResponseTimeout {
   private final Context context;
   private final Link link;
   private final LongConsumer onWaiting;
   private final Runnable onSilent;
-  /** When they went out; bounded, since a client may send lines without end to a server that answers none. */
+  /** When the lines were sent; bounded, since a client may send any number of lines to a server that answers none. */
   private final ArrayDeque<Long> sentTimes = new ArrayDeque<>();
   private Timers.Timer timer;
   /**
-   * Before this nothing is counted: what the server had said could not be read, since the client left no room for it. Guards
-   * a sound server against clients that flood it and don't read: it was taken for slow, then for silent.
+   * Time before this is not counted: the server's output could not be read, since the client's buffer had no space for
+   * it. Guards a healthy server against clients that flood it and don't read: it was taken for slow, then for silent.
    */
   private long measuredFrom = Long.MIN_VALUE;
   private boolean stopped;
 
   /**
-   * @param waiting is told now and then how long the oldest line has waited, once that is long
-   * @param silent is run when it has waited too long
+   * @param onWaiting receives now and then how long the oldest line has waited, once that is long
+   * @param onSilent runs when it has waited too long
    */
   ResponseTimeout(Context context, Link link, LongConsumer onWaiting, Runnable onSilent) {
     this.context = context;
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Takes a line of the server as the answer to the oldest one, and returns how long that took, or -1 where there is none or
-   * the client kept the answer waiting itself.
+   * Takes a line of the server as the answer to the oldest unanswered line, and returns how long that took, or -1 if
+   * there is none or the client itself kept the answer waiting.
    */
   long lineReceived() {
     if (sentTimes.isEmpty()) {
@@ -69,7 +69,7 @@
     return context.now() - Math.max(sentTimes.peek(), measuredFrom);
   }
 
-  /** Looks again a moment later: after a pause of the proxy itself the answer may be there, only not read. */
+  /** Checks a moment later: after a pause of the proxy itself the answer may have arrived without being read yet. */
   private void scheduleCheck() {
     timer = link.after(context.limits().pauseAllowance(), this::checkOldestWait);
   }
@@ -86,7 +86,7 @@
       return;
     }
     onWaiting.accept(waited);
-    // What was told may have moved this very client.
+    // The module may have moved this very client because of the report.
     if (!stopped && !sentTimes.isEmpty()) {
       long nextCheck = Math.min(context.limits().serverSilenceTimeout() - waited, context.limits().delayReportInterval());
       timer = link.after(nextCheck - context.limits().pauseAllowance(), this::scheduleCheck);
--- a/proxy/src/main/java/lemondeal/proxy/SlotTable.java
+++ b/proxy/src/main/java/lemondeal/proxy/SlotTable.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A table of numbered slots. A handle holds a slot's number and its generation, which grows with each reuse,
- * so that a handle kept too long finds nothing instead of the slot's next holder.
+ * A table of numbered slots. A handle holds a slot's number and its generation, which grows with each reuse, so that an
+ * outdated handle finds nothing instead of the slot's next value.
  */
 final class SlotTable<T> {
   private final List<T> values = new ArrayList<>();
@@ -63,7 +63,7 @@
     }
   }
 
-  /** All values, in the order of their slots; the table may change while the list is walked. */
+  /** All values, in the order of their slots; the table may change while the list is iterated. */
   List<T> all() {
     List<T> all = new ArrayList<>(size);
     for (T value : values) {
--- a/proxy/src/main/java/lemondeal/proxy/StartTimes.java
+++ b/proxy/src/main/java/lemondeal/proxy/StartTimes.java
@@ -13,17 +13,18 @@
 import lemondeal.Balancer.ServerState;
 
 /**
- * When servers started, on this process's own clock. Discovery tells it by the wall clock of all machines, which may be
- * stepped while processes run; what is reckoned from it (slow start) is a span of real time. All times are microseconds.
+ * When servers started, on this process's own clock. Discovery gives it by the wall clock of all machines, which may be
+ * stepped while processes run; what is computed from it (slow start) is a span of real time. All times are
+ * microseconds.
  *
- * <p>How far the two clocks are apart is sampled all the time. A start that is told is taken by the difference that was
- * in force when it can have been stamped; where several can have been, by the one that makes the server youngest, since
- * one that is taken for colder than it is gets too little and not too much.
+ * <p>The difference between the two clocks is sampled all the time. A start is converted by the difference that was in
+ * force when it can have been stamped; where several can have been, by the one that makes the server youngest, since a
+ * server that is taken for colder than it is gets too little load and not too much.
  */
 final class StartTimes {
-  /** Differences that lie closer together are one, which drifts: clocks are set right in such small steps. */
+  /** Differences that lie closer together are one that drifts: clocks are corrected in such small steps. */
   private static final long MIN_STEP = 50_000;
-  /** Steps kept in mind: a start is told soon after it was stamped. */
+  /** Steps that are kept: a start is announced soon after it was stamped. */
   private static final int MAX_STEPS = 16;
 
   /** A difference of the clocks, and when it was first and last seen, on this process's clock. */
@@ -46,14 +47,14 @@
   private final Deque<ClockOffset> offsets = new ArrayDeque<>();
   private final Map<String, ConvertedStart> starts = new HashMap<>();
 
-  /** {@code clock} never goes back; {@code wallClock} may be stepped. */
+  /** {@code clock} is monotonic; {@code wallClock} may be stepped. */
   StartTimes(LongSupplier clock, LongSupplier wallClock) {
     this.clock = clock;
     this.wallClock = wallClock;
     sample();
   }
 
-  /** Looks whether the wall clock was stepped. The more often, the better it is known when. */
+  /** Detects steps of the wall clock. The more often this runs, the more exactly the time of a step is known. */
   void sample() {
     long now = clock.getAsLong();
     long micros = wallClock.getAsLong() - now;
@@ -69,12 +70,12 @@
     }
   }
 
-  /** Starts that are kept in mind, for a test that none is for good. */
+  /** The number of starts held, for a test that none is held forever. */
   int size() {
     return starts.size();
   }
 
-  /** The list with its starts on this process's clock. A start that was told before stays where it was. */
+  /** The list with its starts on this process's clock. A start that was converted before keeps its result. */
   ServerList toLocalClock(ServerList list) {
     sample();
     List<ServerEntry> entries = new ArrayList<>(list.entries().size());
@@ -89,12 +90,12 @@
     return new ServerList(list.version(), list.kind(), entries, list.pool());
   }
 
-  /** Forgets all but these servers: names that never come again would add up. */
+  /** Forgets all servers but these: names that never recur would accumulate. */
   void keepOnly(Set<String> servers) {
     starts.keySet().retainAll(servers);
   }
 
-  /** 0 is told for a start long ago. */
+  /** A wall time of 0 means a start long ago. */
   private long toLocalClock(String server, long wallTime) {
     if (wallTime == 0) {
       return 0;
@@ -114,14 +115,14 @@
     ClockOffset previous = null;
     for (ClockOffset offset : offsets) {
       if (previous != null) {
-        // The step came between these two looks.
+        // The step happened between these two samples.
         latestStart = Math.max(latestStart, ifWithin(wallTime - previous.micros, earliestStart, offset.firstSeen));
         earliestStart = previous.lastSeen;
       }
       previous = offset;
     }
     latestStart = Math.max(latestStart, ifWithin(wallTime - previous.micros, earliestStart, now));
-    // Stamped by a clock that is ahead of this machine's: it has only just started.
+    // Stamped by a clock that is ahead of this machine's: the server has only just started.
     return latestStart == Long.MIN_VALUE ? now : latestStart;
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
+++ b/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
@@ -5,8 +5,8 @@
 import lemondeal.net.Timers;
 
 /**
- * All deadlines, in coarse ticks on a wheel. They run in order of their tick, then of their insertion, never
- * early and at most a tick late. The wheel does not run by itself: {@link #advance} moves it.
+ * All timers of a process, in coarse ticks on a timer wheel. They run in order of their tick, then of their insertion,
+ * never early and at most a tick late. The wheel does not run by itself: {@link #advance} moves it.
  */
 final class TimerWheel implements Timers {
   private final LongSupplier clock;
@@ -18,9 +18,7 @@
   private long nextTick = Long.MAX_VALUE;
   private int size;
 
-  /**
-   * @param earlier is run when a deadline comes in before all others, so that the wheel is moved in time
-   */
+  /** @param onEarlierDeadline runs when a deadline is added before all others, so that the wheel is moved in time */
   TimerWheel(LongSupplier clock, long tick, int slotCount, TaskGuard faults, Runnable onEarlierDeadline) {
     this.clock = clock;
     this.tick = tick;
@@ -40,7 +38,7 @@
 
   @Override
   public Timer after(long micros, Runnable task) {
-    // Rounded up: a deadline never comes early.
+    // Rounded up: a timer never runs early.
     long dueTick = Math.max(currentTick + 1, (now() + Math.max(0, micros) + tick - 1) / tick);
     Entry entry = new Entry(dueTick, task);
     entry.insertBefore(slot(dueTick));
@@ -52,24 +50,24 @@
     return entry;
   }
 
-  /** Time until the wheel must be moved next; Long.MAX_VALUE while nothing hangs in it. */
+  /** Time until the wheel must be moved next; Long.MAX_VALUE while it is empty. */
   long untilNext() {
     return nextTick == Long.MAX_VALUE ? nextTick : Math.max(0, nextTick * tick - now());
   }
 
-  /** Runs all deadlines that have come. */
+  /** Runs all timers that are due. */
   void advance() {
     long nowTick = now() / tick;
     while (currentTick < nowTick) {
       if (size == 0) {
-        // All were called off: a deadline in the past left standing here would be asked for without end.
+        // All timers were cancelled: a deadline in the past that remained here would be scheduled endlessly.
         nextTick = Long.MAX_VALUE;
       }
       if (nextTick > nowTick) {
         currentTick = nowTick;
         return;
       }
-      // Empty ticks are passed over: after a long pause there may be very many.
+      // Empty ticks are skipped: after a long pause there may be very many.
       currentTick = Math.max(currentTick + 1, Math.min(nextTick, nowTick));
       runTick();
       findNextTick();
@@ -77,7 +75,7 @@
   }
 
   /**
-   * Looks from the front after each task: a task may call off any other entry. One that fails must not stop the
+   * Searches from the front after each task: a task may cancel any other entry. One that fails must not stop the
    * others: the wheel would never be moved again.
    */
   private void runTick() {
@@ -98,10 +96,10 @@
     return null;
   }
 
-  /** The nearest tick with an entry, at most one round on: entries of later rounds are looked at then. */
+  /** The nearest tick with an entry, at most one round ahead: entries of later rounds are searched for then. */
   private void findNextTick() {
     if (size == 0) {
-      // Guards against a search through all ticks to come: it never ended once the wheel had run empty.
+      // Guards against a search through all future ticks: it never ended once the wheel was empty.
       nextTick = Long.MAX_VALUE;
       return;
     }
@@ -126,7 +124,7 @@
     return slots[(int) (dueTick % slots.length)];
   }
 
-  /** A deadline in the list of its slot; the list's head has no task. */
+  /** A timer in the list of its slot; the list's head has no task. */
   private final class Entry implements Timer {
     private final long dueTick;
     private final Runnable task;
--- a/proxy/src/main/java/lemondeal/proxy/Tunnel.java
+++ b/proxy/src/main/java/lemondeal/proxy/Tunnel.java
@@ -11,9 +11,9 @@
 import lemondeal.net.Timers;
 import lemondeal.resume.Continuity;
 
-/** What passes between a client link and its server link from UP on, and how the two of them end. */
+/** Relays between a client link and its server link from UP on, and ends the two of them. */
 final class Tunnel implements Link.Owner {
-  /** MOVING waits for the end of a server's line; ENDING grants the other side a moment after one has ended. */
+  /** MOVING waits for the end of a server's line; HALF_CLOSED gives the other side a moment after one has ended. */
   private enum State { OPEN, MOVING, HALF_CLOSED, CLOSED }
 
   private final Context context;
@@ -26,12 +26,12 @@
   private final LineParser lineParser;
   private State state = State.OPEN;
   private Timers.Timer timer;
-  /** Why it is to be moved, while that waits for the end of a line. */
+  /** Why the client is to be moved, while that waits for the end of a line. */
   private EndReason moveReason;
   private boolean clientEnded;
   private boolean serverEnded;
 
-  /** {@code left} is run as soon as it is over, before the module hears of the execution's end. */
+  /** {@code onClosed} runs as soon as the tunnel is closed, before the module receives the execution's end. */
   Tunnel(Context context, Link client, Continuity continuity, Request request, Execution execution, Runnable onClosed,
       Consumer<EndReason> ended) {
     this.context = context;
@@ -44,12 +44,12 @@
     lineParser = new LineParser(context.limits().maxLineBytes());
   }
 
-  /** Whether its client has not been sent away and does not go by itself. */
+  /** Whether its client has not been moved and neither side is ending. */
   boolean isMovable() {
     return state == State.OPEN;
   }
 
-  // ---- Passing on ----------------------------------------------------------------------------
+  // ---- Relaying ------------------------------------------------------------------------------
 
   @Override
   public int receiveCapacity() {
@@ -78,19 +78,19 @@
   }
 
   /**
-   * Bytes that {@link #passLine} takes now, with room for a MOVE kept back. Guards against a client that reads
-   * slowly: what the server's side has room for says nothing of the client's.
+   * Bytes that {@link #forwardLine} accepts now, with space reserved for a MOVE. Guards against a client that reads
+   * slowly: the free space on the server's side says nothing about the client's.
    */
   int clientRoom() {
     return Math.max(0, client.sendCapacity() - continuity.moveBytes());
   }
 
-  /** Passes a whole line of the server on, for which there was room. */
+  /** Forwards a complete line of the server, for which there was space. */
   void forwardLine(String line) {
     client.send(continuity.fromServer(line));
   }
 
-  /** Hears of a line that was passed on. */
+  /** Handles a line that was forwarded. */
   void onServerLine(ServerLine line) {
     if (continuity.answers(line)) {
       healthCheck.onServerLine(line);
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Passes a line of the proxy's own between two others, if there is room. */
+  /** Sends a line of the proxy's own between two others, if there is space; returns whether there was. */
   boolean sendLine(String line) {
     int bytes = line.length() + 2;
     if (state == State.CLOSED || client.sendCapacity() < bytes + continuity.moveBytes()) {
@@ -117,7 +117,7 @@
 
   // ---- Ends ----------------------------------------------------------------------------------
 
-  /** Sends the client away between two lines, or after a while without the end of one. */
+  /** Moves the client between two lines, or after a while if the current line does not end. */
   void move(EndReason reason) {
     if (state != State.OPEN) {
       return;
@@ -131,7 +131,7 @@
     }
   }
 
-  /** A line of which only a part has come is left out: all that was passed on are whole ones. */
+  /** A line that has arrived only in part is left out: all that were forwarded are complete. */
   void moveNow(Outcome outcome, EndReason reason) {
     if (state == State.CLOSED) {
       return;
@@ -146,7 +146,7 @@
 
   /**
    * The server has ended its sending, and so does this side: the other direction has a moment more. A client that was
-   * to be moved at the end of the line will not see that end any more, and is moved now.
+   * to be moved at the end of the line will not receive that end any more, and is moved now.
    */
   void serverEnded() {
     if (state == State.MOVING) {
@@ -175,7 +175,7 @@
     }
   }
 
-  /** Ends both sides in good order: what was sent to them still arrives. */
+  /** Ends both sides cleanly: what was sent to them is still delivered. */
   void finish(boolean serverFirst) {
     if (state != State.CLOSED) {
       close(serverFirst ? EndReason.SERVER_ENDED : EndReason.CLIENT_ENDED);
@@ -184,14 +184,14 @@
     }
   }
 
-  /** Ends both sides at once: the server's connection broke, or the client does not keep to the protocol. */
+  /** Ends both sides at once: the server's connection broke, or the client violates the protocol. */
   void abort(Outcome outcome, EndReason reason) {
     close(reason);
     client.reset();
     execution.end(outcome, null);
   }
 
-  /** The client was reset. */
+  /** The client's connection was reset. */
   @Override
   public void connectionLost() {
     if (state != State.CLOSED) {
--- a/proxy/src/main/java/lemondeal/proxy/Violation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Violation.java
@@ -1,23 +1,23 @@
 package lemondeal.proxy;
 
-/** The rules of the protocol that a step of this process could break, with the names under which they are counted. */
+/** The protocol rules that a step of this process could break, with the labels of their counters. */
 enum Violation {
-  /** A second attempt while the one before is out. */
+  /** A second attempt while the previous one is in progress. */
   PARALLEL_ATTEMPT("parallel-attempt"),
-  /** An attempt for a request that has had its final answer. */
+  /** An attempt for a request that already has its final answer. */
   SENT_AFTER_ANSWER("sent-after-answer"),
-  /** A repeat of what may have run and must not run twice. */
+  /** A repeat of a request that may have run and must not run twice. */
   REPEATED("repeated"),
-  /** A repeat after the window in which servers drop repeats. */
+  /** A repeat after the window in which servers deduplicate repeats. */
   REPEATED_LATE("repeated-late"),
-  /** An attempt at a server that drains, after the grace. */
+  /** An attempt at a draining server after the grace period. */
   SENT_TO_DRAINING("sent-to-draining"),
-  /** A promise that trying again is harmless where it may not be. */
+  /** A refusal, which promises that a retry is harmless, of a request whose retry may do harm. */
   REFUSED_AFTER_RUNNING("refused-after-running"),
-  /** The end of a request that was taken, without its final answer. */
+  /** The end of an accepted request without its final answer. */
   ENDED_WITHOUT_ANSWER("ended-without-answer");
 
-  /** The figure's name behind {@code violations.}. */
+  /** The counter's name after {@code violations.}. */
   final String label;
 
   Violation(String label) {
--- a/proxy/src/main/java/lemondeal/proxy/ViolationCounter.java
+++ b/proxy/src/main/java/lemondeal/proxy/ViolationCounter.java
@@ -4,13 +4,13 @@
 import lemondeal.log.EventLog;
 
 /**
- * Counts the steps that would have broken a rule of the protocol. Whoever is about to take a step asks
- * {@link RequestRules} first and does not take one that breaks a rule: so a count here is a fault of whoever ordered it,
- * seen before it did harm. One log line each, bounded.
+ * Counts the steps that would have broken a rule of the protocol. Code that is about to take a step checks {@link
+ * RequestRules} first and does not take one that breaks a rule, so a count here is a fault of the component that
+ * ordered it, found before it did harm. Each is logged in one line, up to a limit.
  */
 final class ViolationCounter {
   private static final String METRIC_PREFIX = "violations.";
-  /** Lines told in all: a fault that comes back with each request must not fill the log. */
+  /** Limit on logged lines: a fault that recurs with each request must not fill the log. */
   private static final int MAX_LOG_LINES = 100;
 
   private final EventLog log;
@@ -21,7 +21,7 @@
     this.log = log;
   }
 
-  /** A step was about to break this rule, or had to. */
+  /** A step was about to break this rule, or had to break it. */
   void count(Violation violation, String request, String detail) {
     counts[violation.ordinal()]++;
     if (loggedLines < MAX_LOG_LINES) {
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Adds every count under its name. */
+  /** Adds every count under its label. */
   void addTo(Map<String, Long> figures) {
     for (Violation violation : Violation.values()) {
       figures.put(METRIC_PREFIX + violation.label, counts[violation.ordinal()]);
