--- a/proxy/src/main/java/lemondeal/proxy/ClientLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/ClientLink.java
@@ -20,7 +20,7 @@
  * at a time, and handles the client's input until the server says UP; from then on a {@link Tunnel} does.
  */
 final class ClientLink implements Link.Owner, Continuity.Side {
-  private static final long MILLI = 1000;
+  private static final long MICROS_PER_MILLI = 1000;
 
   private enum State { WAITING, UP, OVER }
 
@@ -58,7 +58,7 @@
   /** Requires a free slot in the admission control. */
   void start() {
     long now = context.now();
-    long deadline = now + (long) (openLine.deadlineMillis() * MILLI);
+    long deadline = now + (long) (openLine.deadlineMillis() * MICROS_PER_MILLI);
     id = admission.register(this);
     context.trace().taken(openLine.id(), openLine.value("c"), openLine.deadlineMillis());
     // The client's deadline runs from when it sent the line, so the module gets a slightly earlier one.
@@ -113,7 +113,7 @@
 
   /** The first line as it is sent to the server. */
   String firstLine(long microsLeft, int attempt) {
-    return continuity.firstLine(microsLeft / MILLI, attempt);
+    return continuity.firstLine(microsLeft / MICROS_PER_MILLI, attempt);
   }
 
   /** Whether the server's UP can be passed on; if not, its attempt has failed. */
@@ -221,7 +221,7 @@
   void forwardUp(Execution attempt, String line) {
     link.send(line + "\r\n" + continuity.up(attempt.number(), attempt.server(), line));
     link.start(tunnel);
-    context.figures().countServed(requestClass);
+    context.counters().countServed(requestClass);
     if (isAdoption()) {
       context.dispatcher().dispatch(new Adopted(request, attempt.server()));
     } else {
--- a/proxy/src/main/java/lemondeal/proxy/Context.java
+++ b/proxy/src/main/java/lemondeal/proxy/Context.java
@@ -12,7 +12,7 @@
 
 /** What the code of a connection uses: the settings in force when it was accepted, and what depends on them. */
 record Context(Generations generations, Config config, Net net, Timers timers, EventDispatcher dispatcher, DelayMeter delayMeter,
-    RequestCounters figures, FinalAnswer answers, KnownServers servers, ViolationCounter violations, RequestTrace trace,
+    RequestCounters counters, FinalAnswer answers, KnownServers servers, ViolationCounter violations, RequestTrace trace,
     Function<OpenLine, Continuity> continuityFactory) {
 
   /** The context of a request that begins now. */
--- a/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
+++ b/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
@@ -33,7 +33,7 @@
     long lastReceivedAt = NEVER;
     /** The connection last reported as waiting while nothing was received, and when; null if there is none. */
     String waitingConnection;
-    long waitingSince = NEVER;
+    long waitingReportedAt = NEVER;
   }
 
   private final long threshold;
@@ -81,9 +81,9 @@
     if (delays.lastReceivedAt > now - micros) {
       return;
     }
-    boolean anotherWaits = delays.waitingConnection != null && !delays.waitingConnection.equals(id) && now - delays.waitingSince <= coincidenceWindow;
+    boolean anotherWaits = delays.waitingConnection != null && !delays.waitingConnection.equals(id) && now - delays.waitingReportedAt <= coincidenceWindow;
     delays.waitingConnection = id;
-    delays.waitingSince = now;
+    delays.waitingReportedAt = now;
     eventSink.accept(new Unanswered(id, attempt, server));
     if (anotherWaits) {
       recordMeasured(now, id, attempt, server, micros);
--- a/proxy/src/main/java/lemondeal/proxy/Execution.java
+++ b/proxy/src/main/java/lemondeal/proxy/Execution.java
@@ -123,7 +123,7 @@
   private void countIfSent() {
     if (state == State.SENDING && link.isFlushed()) {
       state = State.SENT;
-      context.figures().countAttempt();
+      context.counters().countAttempt();
       if (earlyBytes.hasRemaining()) {
         received(earlyBytes);
       }
@@ -178,7 +178,7 @@
   public int receiveCapacity() {
     int lineBytes = context.limits().maxLineBytes();
     return switch (state) {
-      case UP -> Math.max(0, tunnel.clientRoom() - lineParser.pendingBytes());
+      case UP -> Math.max(0, tunnel.clientSendCapacity() - lineParser.pendingBytes());
       case SENDING -> lineBytes - earlyBytes.remaining();
       default -> lineBytes;
     };
--- a/proxy/src/main/java/lemondeal/proxy/Generation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generation.java
@@ -59,7 +59,7 @@
   private final HostGroup group;
   private final EventDispatcher dispatcher;
   private final ListSource source;
-  private final RequestCounters figures;
+  private final RequestCounters counters;
   private final Context context;
   private final KnownServers servers;
   private final Map<String, Prober> probers = new HashMap<>();
@@ -73,22 +73,22 @@
   private final long configuredListFingerprint;
   private boolean dropped;
 
-  Generation(Generations generations, SharedServices shared, Config config, Balancer module, RequestCounters figures) {
+  Generation(Generations generations, SharedServices shared, Config config, Balancer module, RequestCounters counters) {
     this.generations = generations;
     this.shared = shared;
     this.config = config.withoutKnownServers();
     configuredList = config.knownServers();
     configuredListFingerprint = config.knownServersFingerprint();
     this.module = module;
-    this.figures = figures;
+    this.counters = counters;
     group = new HostGroup(config.names());
     servers = new KnownServers(config.names(), shared.wheel()::now);
     dispatcher = new EventDispatcher(module, shared.wheel()::now, this::perform);
     source = shared.sourceFactory().create(shared.net(), shared.wheel(), config.limits(), config, group,
         list -> generations.listReceived(this, list));
     DelayMeter delayMeter = new DelayMeter(config.settings(), config.limits(), dispatcher::dispatch);
-    context = new Context(generations, this.config, shared.net(), shared.wheel(), dispatcher, delayMeter, figures,
-        new FinalAnswer(figures, shared.trace()), servers, shared.violations(), shared.trace(), shared.continuityFactory());
+    context = new Context(generations, this.config, shared.net(), shared.wheel(), dispatcher, delayMeter, counters,
+        new FinalAnswer(counters, shared.trace()), servers, shared.violations(), shared.trace(), shared.continuityFactory());
   }
 
   Config config() {
@@ -103,11 +103,11 @@
     return group;
   }
 
-  RequestCounters figures() {
-    return figures;
+  RequestCounters counters() {
+    return counters;
   }
 
-  ServerSummary standing() {
+  ServerSummary serverSummary() {
     return module.serverSummary(shared.wheel().now());
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/Generations.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generations.java
@@ -93,7 +93,7 @@
     Generation previous = newest;
     Set<ClientLink> clients = activeClients();
     older.forEach(generation -> clients.removeAll(generation.remainingClients(activeClients())));
-    newest = new Generation(this, shared, fresh, moduleFactory.get(), previous.figures().withClasses(fresh.names().classes()));
+    newest = new Generation(this, shared, fresh, moduleFactory.get(), previous.counters().withClasses(fresh.names().classes()));
     try {
       newest.startAfter(previous, seed);
     } catch (ProtocolException e) {
--- a/proxy/src/main/java/lemondeal/proxy/KnownServers.java
+++ b/proxy/src/main/java/lemondeal/proxy/KnownServers.java
@@ -28,7 +28,7 @@
   private final Names names;
   private final Map<String, ServerEntry> entries = new LinkedHashMap<>();
   /** For each server, the fleet whose lists name it: a full list covers its own fleet only. */
-  private final Map<String, Integer> fleetByServer = new HashMap<>();
+  private final Map<String, Integer> poolByServer = new HashMap<>();
   /** Recently removed servers, with their last entries. */
   private final Map<String, RemovedServer> removed = new HashMap<>();
   private final Map<String, Long> drainingSince = new HashMap<>();
@@ -53,7 +53,7 @@
         remove(entry, now);
       } else {
         entries.put(entry.server(), entry);
-        fleetByServer.put(entry.server(), list.pool());
+        poolByServer.put(entry.server(), list.pool());
         removed.remove(entry.server());
         updateDraining(entry, now);
       }
@@ -66,14 +66,14 @@
   /** Forgets all servers. */
   void clear() {
     entries.clear();
-    fleetByServer.clear();
+    poolByServer.clear();
     removed.clear();
     drainingSince.clear();
   }
 
-  private Set<String> serversOf(int fleet) {
+  private Set<String> serversOf(int pool) {
     Set<String> servers = new HashSet<>(entries.keySet());
-    servers.removeIf(server -> fleetByServer.get(server) != fleet);
+    servers.removeIf(server -> poolByServer.get(server) != pool);
     return servers;
   }
 
@@ -89,7 +89,7 @@
   private void remove(ServerEntry entry, long now) {
     String server = entry.server();
     ServerEntry known = entries.remove(server);
-    fleetByServer.remove(server);
+    poolByServer.remove(server);
     removed.putIfAbsent(server, new RemovedServer(known != null ? known : entry, now));
     drainingSince.putIfAbsent(server, now);
   }
--- a/proxy/src/main/java/lemondeal/proxy/LoadReportParser.java
+++ b/proxy/src/main/java/lemondeal/proxy/LoadReportParser.java
@@ -13,14 +13,14 @@
     if (line.arguments().isEmpty()) {
       return null;
     }
-    Map<String, Double> figures = line.loadValues();
-    return new LoadReport(figure(figures, "x0", "x0"), figure(figures, "x1", "x1"),
-        figure(figures, "inflight", "busy_reqs"), figure(figures, "queue", "pending"),
-        figure(figures, "util", "cpu_share"));
+    Map<String, Double> values = line.loadValues();
+    return new LoadReport(value(values, "x0", "x0"), value(values, "x1", "x1"),
+        value(values, "inflight", "busy_reqs"), value(values, "queue", "pending"),
+        value(values, "util", "cpu_share"));
   }
 
-  private static double figure(Map<String, Double> figures, String wireName, String settingsName) {
-    Double figure = figures.get(wireName);
-    return figure != null ? figure : figures.getOrDefault(settingsName, Double.NaN);
+  private static double value(Map<String, Double> values, String wireName, String settingsName) {
+    Double value = values.get(wireName);
+    return value != null ? value : values.getOrDefault(settingsName, Double.NaN);
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -52,7 +52,7 @@
   private GracefulShutdown shutdown;
   private XnioIoThread.Key nextAdvance;
   /** Adds the figures of other components; null if there are none. */
-  private Consumer<Map<String, Long>> extraFigures;
+  private Consumer<Map<String, Long>> extraMetrics;
 
   /** A proxy without the features of an operator's own file. */
   public Proxy(Config config, Balancer module, PrintStream log) throws IOException {
@@ -77,9 +77,9 @@
     this.config = config.withoutKnownServers();
     this.log = log;
     Limits limits = config.limits();
-    TaskGuard faults = new TaskGuard(log);
-    net = new Net(limits, faults);
-    wheel = new TimerWheel(clock::now, limits.timerTick(), limits.wheelSlots(), faults, this::scheduleAdvance);
+    TaskGuard taskGuard = new TaskGuard(log);
+    net = new Net(limits, taskGuard);
+    wheel = new TimerWheel(clock::now, limits.timerTick(), limits.wheelSlots(), taskGuard, this::scheduleAdvance);
     net.setTimers(wheel);
     startTimes = new StartTimes(clock::now, clock::wallTime);
     violations = new ViolationCounter(log);
@@ -125,7 +125,7 @@
   }
 
   private void listReceived() {
-    if (generations.newest().standing().listReceived()) {
+    if (generations.newest().serverSummary().listReceived()) {
       startAccepting();
     }
   }
@@ -136,7 +136,7 @@
    * be accepting from.
    */
   private void startAccepting() {
-    if (!accepting && !stopping && generations.newest().standing().known() > 0) {
+    if (!accepting && !stopping && generations.newest().serverSummary().known() > 0) {
       accepting = true;
       clientListener.resume();
       log.info("ready", "lemondeal: ready");
@@ -169,7 +169,7 @@
 
   /** Adds these figures to those shown on the second address. */
   public void addFigures(Consumer<Map<String, Long>> source) {
-    net.execute(() -> extraFigures = source);
+    net.execute(() -> extraMetrics = source);
   }
 
   /**
@@ -240,18 +240,18 @@
   @Override
   public Map<String, Long> metrics() {
     Map<String, Long> result = new LinkedHashMap<>();
-    generations.newest().figures().addTo(result);
-    ServerSummary standing = generations.newest().standing();
+    generations.newest().counters().addTo(result);
+    ServerSummary summary = generations.newest().serverSummary();
     result.put("in_flight", (long) requests.size());
-    result.put("servers_known", (long) standing.known());
-    result.put("servers_excluded", (long) standing.avoided());
+    result.put("servers_known", (long) summary.known());
+    result.put("servers_excluded", (long) summary.avoided());
     violations.addTo(result);
     trace.addTo(result);
     if (resumption != null) {
       resumption.addTo(result);
     }
-    if (extraFigures != null) {
-      extraFigures.accept(result);
+    if (extraMetrics != null) {
+      extraMetrics.accept(result);
     }
     return result;
   }
--- a/proxy/src/main/java/lemondeal/proxy/RequestTrace.java
+++ b/proxy/src/main/java/lemondeal/proxy/RequestTrace.java
@@ -74,9 +74,9 @@
   }
 
   /** Adds the counts of ends under their labels. */
-  void addTo(Map<String, Long> figures) {
+  void addTo(Map<String, Long> metrics) {
     for (EndReason reason : EndReason.values()) {
-      figures.put(METRIC_PREFIX + reason.label, endCounts[reason.ordinal()]);
+      metrics.put(METRIC_PREFIX + reason.label, endCounts[reason.ordinal()]);
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
+++ b/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
@@ -12,17 +12,17 @@
   private final LongSupplier clock;
   private final long tick;
   private final Entry[] slots;
-  private final TaskGuard faults;
+  private final TaskGuard taskGuard;
   private final Runnable onEarlierDeadline;
   private long currentTick;
   private long nextTick = Long.MAX_VALUE;
   private int size;
 
   /** @param onEarlierDeadline runs when a deadline is added before all others, so that the wheel is moved in time */
-  TimerWheel(LongSupplier clock, long tick, int slotCount, TaskGuard faults, Runnable onEarlierDeadline) {
+  TimerWheel(LongSupplier clock, long tick, int slotCount, TaskGuard taskGuard, Runnable onEarlierDeadline) {
     this.clock = clock;
     this.tick = tick;
-    this.faults = faults;
+    this.taskGuard = taskGuard;
     this.onEarlierDeadline = onEarlierDeadline;
     slots = new Entry[slotCount];
     for (int i = 0; i < slotCount; i++) {
@@ -82,7 +82,7 @@
     Entry entry = firstDue();
     while (entry != null) {
       entry.cancel();
-      faults.guard(entry.task);
+      taskGuard.guard(entry.task);
       entry = firstDue();
     }
   }
--- a/proxy/src/main/java/lemondeal/proxy/Tunnel.java
+++ b/proxy/src/main/java/lemondeal/proxy/Tunnel.java
@@ -22,7 +22,7 @@
   private final Execution execution;
   private final PassiveHealthCheck healthCheck;
   private final Runnable onClosed;
-  private final Consumer<EndReason> ended;
+  private final Consumer<EndReason> onEndReason;
   private final LineParser lineParser;
   private State state = State.OPEN;
   private Timers.Timer timer;
@@ -33,13 +33,13 @@
 
   /** {@code onClosed} runs as soon as the tunnel is closed, before the module receives the execution's end. */
   Tunnel(Context context, Link client, Continuity continuity, Request request, Execution execution, Runnable onClosed,
-      Consumer<EndReason> ended) {
+      Consumer<EndReason> onEndReason) {
     this.context = context;
     this.client = client;
     this.continuity = continuity;
     this.execution = execution;
     this.onClosed = onClosed;
-    this.ended = ended;
+    this.onEndReason = onEndReason;
     healthCheck = new PassiveHealthCheck(context, client, request, execution, () -> moveNow(Outcome.RESET, EndReason.SERVER_SILENT));
     lineParser = new LineParser(context.limits().maxLineBytes());
   }
@@ -81,7 +81,7 @@
    * Bytes that {@link #forwardLine} accepts now, with space reserved for a MOVE. Guards against a client that reads
    * slowly: the free space on the server's side says nothing about the client's.
    */
-  int clientRoom() {
+  int clientSendCapacity() {
     return Math.max(0, client.sendCapacity() - continuity.moveBytes());
   }
 
@@ -202,7 +202,7 @@
 
   private void close(EndReason reason) {
     state = State.CLOSED;
-    ended.accept(reason);
+    onEndReason.accept(reason);
     Timers.cancel(timer);
     healthCheck.stop();
     onClosed.run();
--- a/proxy/src/main/java/lemondeal/proxy/ViolationCounter.java
+++ b/proxy/src/main/java/lemondeal/proxy/ViolationCounter.java
@@ -32,9 +32,9 @@
   }
 
   /** Adds every count under its label. */
-  void addTo(Map<String, Long> figures) {
+  void addTo(Map<String, Long> metrics) {
     for (Violation violation : Violation.values()) {
-      figures.put(METRIC_PREFIX + violation.label, counts[violation.ordinal()]);
+      metrics.put(METRIC_PREFIX + violation.label, counts[violation.ordinal()]);
     }
   }
 }
