--- a/proxy/src/main/java/lemondeal/proxy/ClientLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/ClientLink.java
@@ -62,8 +62,8 @@
     id = admission.register(this);
     context.trace().taken(openLine.id(), openLine.value("c"), openLine.deadlineMillis());
     // The client's deadline runs from when it sent the line, so the module gets a slightly earlier one.
-    request = new Request(id, deadline - context.limits().clientDeadlineMargin(), requestClass, openLine.key(), openLine.value("g"),
-        openLine.number("h"), false, openLine.isFlagSet("again"), 0, openLine.isFlagSet("r"));
+    request = new Request(id, deadline - context.limits().clientDeadlineMargin(), requestClass, openLine.key(),
+        openLine.value("g"), openLine.number("h"), false, openLine.isFlagSet("again"), 0, openLine.isFlagSet("r"));
     link.start(this);
     if (isAdoption()) {
       adoptionDeadline = now + context.limits().adoptTimeout();
@@ -135,7 +135,8 @@
   void execute(String server, long timeout) {
     if (execution != null || !isStillWaiting()) {
       int attemptNumber = attempts++;
-      context.dispatcher().dispatch(new Ended(id, attemptNumber, server, Outcome.NOT_SENT, 0, state == State.OVER, null));
+      context.dispatcher().dispatch(
+          new Ended(id, attemptNumber, server, Outcome.NOT_SENT, 0, state == State.OVER, null));
       return;
     }
     long remaining = request.due() - context.now();
@@ -155,7 +156,8 @@
       long drainingSince = context.servers().drainingSince(attempt.server());
       Violation violation = rules.violationBySending(now, server, drainingSince);
       if (violation != null) {
-        context.violations().count(violation, openLine.id(), "attempt " + attempt.number() + " at " + attempt.server() + " not sent");
+        context.violations().count(violation, openLine.id(),
+            "attempt " + attempt.number() + " at " + attempt.server() + " not sent");
         return false;
       }
       if (rules.isLateForDraining(now, drainingSince)) {
@@ -202,8 +204,8 @@
       }
       return;
     }
-    context.dispatcher().dispatch(new Ended(id, endedExecution.number(), endedExecution.server(), outcome, endedExecution.elapsed(),
-        state != State.WAITING, report));
+    context.dispatcher().dispatch(new Ended(id, endedExecution.number(), endedExecution.server(), outcome,
+        endedExecution.elapsed(), state != State.WAITING, report));
   }
 
   /** Starts relaying between client and server, after the server's answer. */
@@ -250,7 +252,7 @@
   void throttle(long retryAfter, EndReason reason) {
     Violation violation = state == State.WAITING && !isAdoption() ? rules.violationByRefusing() : null;
     if (violation != null) {
-      context.violations().count(violation, openLine.id(), "failed in place of refused");
+      context.violations().count(violation, openLine.id(), "failed instead of refused");
       fail(EndReason.REFUSAL_WITHHELD);
     } else if (state == State.WAITING) {
       endRequest();
@@ -356,7 +358,8 @@
    */
   void endAtProcessExit() {
     if (state == State.WAITING || (state == State.UP && tunnel.isMovable())) {
-      context.violations().count(Violation.ENDED_WITHOUT_ANSWER, openLine.id(), "inside at the process's end, in state " + state);
+      context.violations().count(Violation.ENDED_WITHOUT_ANSWER, openLine.id(),
+          "still open when the process ended, in state " + state);
       endNow();
     }
   }
--- a/proxy/src/main/java/lemondeal/proxy/Context.java
+++ b/proxy/src/main/java/lemondeal/proxy/Context.java
@@ -11,9 +11,9 @@
 import lemondeal.resume.Continuity;
 
 /** What the code of a connection uses: the settings in force when it was accepted, and what depends on them. */
-record Context(Generations generations, Config config, Net net, Timers timers, EventDispatcher dispatcher, DelayMeter delayMeter,
-    RequestCounters counters, FinalAnswer answers, KnownServers servers, ViolationCounter violations, RequestTrace trace,
-    Function<OpenLine, Continuity> continuityFactory) {
+record Context(Generations generations, Config config, Net net, Timers timers, EventDispatcher dispatcher,
+    DelayMeter delayMeter, RequestCounters counters, FinalAnswer answers, KnownServers servers,
+    ViolationCounter violations, RequestTrace trace, Function<OpenLine, Continuity> continuityFactory) {
 
   /** The context of a request that begins now. */
   Context newest() {
--- a/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
+++ b/proxy/src/main/java/lemondeal/proxy/DelayMeter.java
@@ -13,7 +13,7 @@
 
 /**
  * Reports to the module how long messages take at a server: once a second while that exceeds a share of the shortest
- * message aim, and once more when it no longer does.
+ * message latency target, and once more when it no longer does.
  */
 final class DelayMeter {
 
@@ -43,11 +43,12 @@
   private final Map<String, ServerDelays> servers = new HashMap<>();
 
   DelayMeter(Settings settings, Limits limits, Consumer<Event> eventSink) {
-    long shortestAim = Long.MAX_VALUE;
+    long shortestTarget = Long.MAX_VALUE;
     for (RequestClass requestClass : settings.classes()) {
-      shortestAim = requestClass.messageLatencyTarget() > 0 ? Math.min(shortestAim, requestClass.messageLatencyTarget()) : shortestAim;
+      shortestTarget = requestClass.messageLatencyTarget() > 0
+          ? Math.min(shortestTarget, requestClass.messageLatencyTarget()) : shortestTarget;
     }
-    threshold = shortestAim == Long.MAX_VALUE ? shortestAim : (long) (shortestAim * limits.delayReportShare());
+    threshold = shortestTarget == Long.MAX_VALUE ? shortestTarget : (long) (shortestTarget * limits.delayReportShare());
     reportInterval = limits.delayReportInterval();
     coincidenceWindow = limits.delayReportInterval() + limits.slowAnswerDelay();
     this.eventSink = eventSink;
@@ -66,7 +67,7 @@
   }
 
   private ServerDelays delaysOf(String name) {
-    return servers.computeIfAbsent(name, added -> new ServerDelays());
+    return servers.computeIfAbsent(name, key -> new ServerDelays());
   }
 
   /**
@@ -81,7 +82,8 @@
     if (delays.lastReceivedAt > now - micros) {
       return;
     }
-    boolean anotherWaits = delays.waitingConnection != null && !delays.waitingConnection.equals(id) && now - delays.waitingReportedAt <= coincidenceWindow;
+    boolean anotherWaits = delays.waitingConnection != null && !delays.waitingConnection.equals(id)
+        && now - delays.waitingReportedAt <= coincidenceWindow;
     delays.waitingConnection = id;
     delays.waitingReportedAt = now;
     eventSink.accept(new Unanswered(id, attempt, server));
@@ -104,7 +106,8 @@
   boolean continuesDelaySeries(long now, String server, double millis) {
     ServerDelays delays = delaysOf(server);
     long elapsed = now - delays.serverReportedAt;
-    return Math.abs(elapsed - reportInterval) <= reportInterval / INTERVAL_TOLERANCE_DIVISOR && Math.abs(millis - delays.serverReportedMillis) * 1000 <= MAX_BACKLOG_CHANGE_RATE * elapsed;
+    return Math.abs(elapsed - reportInterval) <= reportInterval / INTERVAL_TOLERANCE_DIVISOR
+        && Math.abs(millis - delays.serverReportedMillis) * 1000 <= MAX_BACKLOG_CHANGE_RATE * elapsed;
   }
 
   /** A message of this execution took this long from the client's line to the server's answer. */
--- a/proxy/src/main/java/lemondeal/proxy/Execution.java
+++ b/proxy/src/main/java/lemondeal/proxy/Execution.java
@@ -54,7 +54,7 @@
     return context.now() - startedAt;
   }
 
-  /** Whether no incomplete line has been received. */
+  /** Whether the input received so far ends with a complete line. */
   boolean isBetweenLines() {
     return !lineParser.isMidLine();
   }
@@ -204,9 +204,9 @@
   }
 
   /**
-   * Forwards lines as soon as they are complete, and then handles them. Guards the client of a server that hangs in the
-   * middle of a line: with half of it forwarded, no MOVE could be sent any more. A line goes out before it is handled:
-   * what the module decides on it may be a move, which must not overtake or drop the line.
+   * Forwards lines as soon as they are complete, and then handles them. Protects the client of a server that hangs in
+   * the middle of a line: with half of it forwarded, no MOVE could be sent any more. A line goes out before it is
+   * handled: what the module decides on it may be a move, which must not overtake or drop the line.
    */
   private void forwardLines(ByteBuffer bytes) throws ProtocolException {
     while (bytes.hasRemaining() && state != State.ENDED) {
--- a/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
+++ b/proxy/src/main/java/lemondeal/proxy/FinalAnswer.java
@@ -21,7 +21,8 @@
   void sendBusy(Link link, int requestClass, long retryAfterMicros, String id, EndReason reason) {
     trace.ended(id, reason);
     counters.countRefused(requestClass);
-    sendAndClose(link, retryAfterMicros <= 0 ? THROTTLED : "BUSY " + (retryAfterMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI + "\r\n");
+    sendAndClose(link, retryAfterMicros <= 0 ? THROTTLED
+        : "BUSY " + (retryAfterMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI + "\r\n");
   }
 
   void sendFailure(Link link, int requestClass, String id, EndReason reason) {
--- a/proxy/src/main/java/lemondeal/proxy/Generation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generation.java
@@ -47,8 +47,9 @@
 final class Generation {
 
   /** What all generations of a proxy share. */
-  record SharedServices(Net net, TimerWheel wheel, ActiveRequests requests, ListSource.Factory sourceFactory, EventLog log, String name,
-      StartTimes startTimes, ViolationCounter violations, RequestTrace trace, Function<OpenLine, Continuity> continuityFactory) {}
+  record SharedServices(Net net, TimerWheel wheel, ActiveRequests requests, ListSource.Factory sourceFactory,
+      EventLog log, String name, StartTimes startTimes, ViolationCounter violations, RequestTrace trace,
+      Function<OpenLine, Continuity> continuityFactory) {}
 
   private final Generations generations;
   private final SharedServices shared;
@@ -88,7 +89,8 @@
         list -> generations.listReceived(this, list));
     DelayMeter delayMeter = new DelayMeter(config.settings(), config.limits(), dispatcher::dispatch);
     context = new Context(generations, this.config, shared.net(), shared.wheel(), dispatcher, delayMeter, counters,
-        new FinalAnswer(counters, shared.trace()), servers, shared.violations(), shared.trace(), shared.continuityFactory());
+        new FinalAnswer(counters, shared.trace()), servers, shared.violations(), shared.trace(),
+        shared.continuityFactory());
   }
 
   Config config() {
@@ -115,7 +117,7 @@
     dispatcher.dispatch(event);
   }
 
-  // ---- Beginning and end ---------------------------------------------------------------------
+  // ---- Start and end -------------------------------------------------------------------------
 
   /** Starts the first generation of a process: it has the list of the configuration. */
   void start(long seed) throws ProtocolException {
@@ -133,12 +135,14 @@
   void startAfter(Generation previous, long seed) throws ProtocolException {
     ServerList configured = group.applySaved(configuredList);
     configuredList = Map.of();
-    boolean sameList = configuredListFingerprint == previous.configuredListFingerprint || configured.entries().isEmpty();
+    boolean sameList = configuredListFingerprint == previous.configuredListFingerprint
+        || configured.entries().isEmpty();
     if (sameList && previous.servers.serverIds().isEmpty()) {
       start(seed);
       return;
     }
-    ServerList list = sameList ? servers.takeOver(previous.servers, configured) : previous.servers.withEndsApplied(configured);
+    ServerList list = sameList ? servers.takeOver(previous.servers, configured)
+        : previous.servers.withEndsApplied(configured);
     startedWithList = true;
     dispatcher.dispatch(new Start(seed, config.settings()));
     source.savedLists();
@@ -286,7 +290,7 @@
 
   private void probe(String server) {
     if (!dropped) {
-      probers.computeIfAbsent(server, s -> new Prober(context, s, () -> probers.remove(s))).probe();
+      probers.computeIfAbsent(server, id -> new Prober(context, id, () -> probers.remove(id))).probe();
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/proxy/Generations.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generations.java
@@ -34,9 +34,7 @@
   private final long seed;
   private final Set<Generation> older = new LinkedHashSet<>();
   private Generation newest;
-  /**
-   * The previous generation, while its watch continues because the newest one's has delivered nothing yet; else null.
-   */
+  /** The previous generation while its watch continues, as the newest one's has delivered nothing yet; else null. */
   private Generation previousWatching;
   private Timers.Timer checkTimer;
   /** Null if changed settings take effect at the next start only. */
@@ -82,7 +80,7 @@
     if (fresh.hasSameServiceSettings(newest.config())) {
       reconfigureDiscovery(fresh);
     } else if (moduleFactory == null) {
-      shared.log().info("settings-kept", "lemondeal: the new settings count from the next start");
+      shared.log().info("settings-kept", "lemondeal: the new settings take effect at the next start");
       reconfigureDiscovery(fresh);
     } else {
       startNewGeneration(fresh);
@@ -93,7 +91,8 @@
     Generation previous = newest;
     Set<ClientLink> clients = activeClients();
     older.forEach(generation -> clients.removeAll(generation.remainingClients(activeClients())));
-    newest = new Generation(this, shared, fresh, moduleFactory.get(), previous.counters().withClasses(fresh.names().classes()));
+    newest = new Generation(this, shared, fresh, moduleFactory.get(),
+        previous.counters().withClasses(fresh.names().classes()));
     try {
       newest.startAfter(previous, seed);
     } catch (ProtocolException e) {
@@ -110,7 +109,7 @@
     limitOlder();
     dropEnded();
     shared.log().info("settings", "lemondeal: new settings serve what comes from now on; " + clients.size()
-        + " under way end by those that they came in with");
+        + " open connections keep the settings that they began with");
   }
 
   private void rollBack(Generation previous, String reason) {
--- a/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
@@ -31,8 +31,8 @@
   private Listener listener;
   private long moveDeadline;
 
-  GracefulShutdown(Limits limits, Timers timers, AdmissionControl admission, ActiveRequests requests, BooleanSupplier hasPendingLinks,
-      Runnable endPendingLinks) {
+  GracefulShutdown(Limits limits, Timers timers, AdmissionControl admission, ActiveRequests requests,
+      BooleanSupplier hasPendingLinks, Runnable endPendingLinks) {
     this.limits = limits;
     this.timers = timers;
     this.admission = admission;
@@ -59,9 +59,9 @@
   }
 
   /**
-   * For a process that shares the socket. Guards clients whose first line is still on its way: each one throttled would
-   * count against the upgrade. The others can reconnect to the other process at once, and so all of the time is used to
-   * move them.
+   * For a process that shares the socket. Protects clients whose first line is still on its way: each one throttled
+   * would count against the upgrade. The others can reconnect to the other process at once, and so all of the time is
+   * used to move them.
    */
   void handOver(Listener sharedListener) {
     if (startOnce(sharedListener)) {
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Clients that remain shortly before the end get what is owed. Guards the clients of a server that hangs: one in the
-   * middle of a line, and a request that would wait longer than this process may, were cut off without an answer.
+   * Clients that remain shortly before the end get what is owed. Protects the clients of a server that hangs: one in
+   * the middle of a line, and a request that would wait longer than this process may, were cut off without an answer.
    */
   private void endRequests() {
     requests.all().forEach(client -> readThenApply(client, ClientLink::endNow));
@@ -111,14 +111,16 @@
   }
 
   /**
-   * Moves some clients, and the others step by step. Guards the other proxies, their servers and what those need to set
-   * up connections against a thundering herd: clients that are moved reconnect within a moment, all of them together.
+   * Moves some clients, and the others step by step. Protects the other proxies, their servers and what those need to
+   * set up connections against a thundering herd: clients that are moved reconnect within a moment, all of them
+   * together.
    */
   private void moveNextBatch() {
     long remainingSteps = Math.max(0, moveDeadline - timers.now()) / limits.drainStepInterval();
     List<ClientLink> movable = requests.all().stream().filter(ClientLink::isMovable).toList();
     long batchSize = (movable.size() + remainingSteps) / (remainingSteps + 1);
-    movable.subList(0, (int) batchSize).forEach(client -> readThenApply(client, moved -> moved.move(EndReason.STOPPING)));
+    movable.subList(0, (int) batchSize).forEach(
+        client -> readThenApply(client, moved -> moved.move(EndReason.STOPPING)));
     boolean noneRemaining = movable.size() <= batchSize && !hasPendingLinks.getAsBoolean();
     if (remainingSteps == 0 || noneRemaining) {
       // Connections that are established from now on are moved at once.
@@ -129,7 +131,7 @@
   }
 
   /**
-   * What was written last has arrived by now. Guards clients whose first line is on its way when no other client is
+   * What was written last has arrived by now. Protects clients whose first line is on its way when no other client is
    * left: they were cut off while there was time.
    */
   private void endUnlessPending() {
@@ -139,7 +141,7 @@
   }
 
   /**
-   * Ends this client's connection after reading what it has written. Guards the last line to it: many connections end
+   * Ends this client's connection after reading what it has written. Protects the last line to it: many connections end
    * at once, more than may linger, and one that was closed with unread bytes was reset.
    */
   private static void readThenApply(ClientLink client, Consumer<ClientLink> action) {
--- a/proxy/src/main/java/lemondeal/proxy/KnownServers.java
+++ b/proxy/src/main/java/lemondeal/proxy/KnownServers.java
@@ -27,7 +27,7 @@
 
   private final Names names;
   private final Map<String, ServerEntry> entries = new LinkedHashMap<>();
-  /** For each server, the fleet whose lists name it: a full list covers its own fleet only. */
+  /** For each server, the pool whose lists name it: a full list covers its own pool only. */
   private final Map<String, Integer> poolByServer = new HashMap<>();
   /** Recently removed servers, with their last entries. */
   private final Map<String, RemovedServer> removed = new HashMap<>();
@@ -101,9 +101,7 @@
     return entry != null || removedServer == null ? entry : removedServer.entry();
   }
 
-  /**
-   * When the server was announced as draining or removed, in microseconds; {@link RequestRules#NOT_DRAINING} if not.
-   */
+  /** When the server was announced as draining or removed, in microseconds, or {@link RequestRules#NOT_DRAINING}. */
   long drainingSince(String server) {
     return drainingSince.getOrDefault(server, RequestRules.NOT_DRAINING);
   }
@@ -126,7 +124,8 @@
     List<ServerEntry> kept = new ArrayList<>();
     for (ServerEntry entry : savedList.entries()) {
       ServerEntry known = entry(entry.server());
-      boolean isEnding = drainingSince.containsKey(entry.server()) && known != null && entry.startedAt() <= known.startedAt();
+      boolean isEnding = drainingSince.containsKey(entry.server()) && known != null
+          && entry.startedAt() <= known.startedAt();
       if (!isEnding) {
         kept.add(entry);
       } else if (entries.containsKey(entry.server())) {
@@ -137,7 +136,8 @@
   }
 
   private static ServerEntry draining(ServerEntry entry) {
-    return new ServerEntry(entry.server(), entry.zone(), entry.cell(), entry.model(), entry.startedAt(), ServerState.DRAINING, entry.weight());
+    return new ServerEntry(entry.server(), entry.zone(), entry.cell(), entry.model(), entry.startedAt(),
+        ServerState.DRAINING, entry.weight());
   }
 
   /** Translates a list from other settings to these, applies it and returns it. */
--- a/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
+++ b/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
@@ -74,7 +74,8 @@
     return switch (context.config().loadLineMeaning()) {
       case LOADS -> false;
       case DELAYS -> true;
-      case BOTH -> value < MIN_LOAD_SHARE * usualLoad || context.delayMeter().continuesDelaySeries(context.now(), execution.server(), value);
+      case BOTH -> value < MIN_LOAD_SHARE * usualLoad
+          || context.delayMeter().continuesDelaySeries(context.now(), execution.server(), value);
     };
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/PendingLink.java
+++ b/proxy/src/main/java/lemondeal/proxy/PendingLink.java
@@ -70,8 +70,7 @@
   private void handleFirstLine(String line, boolean moreFollows) throws ProtocolException {
     if (line.equals("PING")) {
       if (!admission.isOpen()) {
-        // A PING asks whether clients may be sent here, and they may not; a request that follows it gets this answer
-        // too.
+        // A PING asks whether clients may be sent here: they may not. A request that follows it gets this answer.
         removeFromPending();
         context.answers().endWithoutRequest(link, EndReason.STOPPING);
         return;
@@ -119,7 +118,7 @@
   }
 
   /**
-   * Ends a connection that has sent no request, unless one has arrived in the meantime. Guards a client whose first
+   * Ends a connection that has sent no request, unless one has arrived in the meantime. Protects a client whose first
    * line is just arriving: it must get an answer, and a true one, since nothing that follows is forwarded. A client
    * that has sent PING gets no further answer.
    */
--- a/proxy/src/main/java/lemondeal/proxy/Prober.java
+++ b/proxy/src/main/java/lemondeal/proxy/Prober.java
@@ -93,7 +93,8 @@
    * timeout: counted from the last probe, it never expired.
    */
   private void armAnswerTimeout() {
-    armTimer(Math.max(probeStarts.peek(), openedAt) + context.limits().probeTimeout() - context.now(), Outcome.TIMED_OUT);
+    armTimer(Math.max(probeStarts.peek(), openedAt) + context.limits().probeTimeout() - context.now(),
+        Outcome.TIMED_OUT);
   }
 
   private void armTimer(long micros, Outcome outcome) {
@@ -186,7 +187,7 @@
   }
 
   /**
-   * Guards the server that closes an idle link as a probe is written to it: the probe is repeated, once, on a new link,
+   * Handles a server that closes an idle link as a probe is written to it: the probe is repeated, once, on a new link,
    * and only the result of that is reported.
    */
   private void handleConnectionLost() {
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -51,7 +51,7 @@
   /** Null until a stop is ordered; a further order uses the same one. */
   private GracefulShutdown shutdown;
   private XnioIoThread.Key nextAdvance;
-  /** Adds the figures of other components; null if there are none. */
+  /** Adds the metrics of other components; null if there are none. */
   private Consumer<Map<String, Long>> extraMetrics;
 
   /** A proxy without the features of an operator's own file. */
@@ -71,8 +71,8 @@
   }
 
   /** The same, with this clock. */
-  Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Factory sourceFactory, Clock clock)
-      throws IOException {
+  Proxy(Config config, Balancer module, EventLog log, Resumption resumption, ListSource.Factory sourceFactory,
+      Clock clock) throws IOException {
     this.resumption = resumption;
     this.config = config.withoutKnownServers();
     this.log = log;
@@ -87,8 +87,9 @@
     requests = new ActiveRequests(limits.maxClients());
     admission = new AdmissionControl(requests);
     pendingLinks = new EvictingSet<>(() -> limits.maxPending(requests.freeSlots()), PendingLink::evict);
-    generations = new Generations(new Generation.SharedServices(net, wheel, requests, sourceFactory, log, config.name(), startTimes, violations, trace,
-        resumption == null ? Continuity.Plain::new : resumption::of), config, module, this::listReceived);
+    generations = new Generations(new Generation.SharedServices(net, wheel, requests, sourceFactory, log, config.name(),
+        startTimes, violations, trace, resumption == null ? Continuity.Plain::new : resumption::of), config, module,
+        this::listReceived);
   }
 
   /** Starts on the I/O thread; returns when the addresses are listened on, or throws the failure. */
@@ -167,7 +168,7 @@
     net.execute(trace::enable);
   }
 
-  /** Adds these figures to those shown on the second address. */
+  /** Adds these metrics to those shown on the second address. */
   public void addFigures(Consumer<Map<String, Long>> source) {
     net.execute(() -> extraMetrics = source);
   }
@@ -201,8 +202,8 @@
       stopping = true;
       // The time limits are those of the newest settings.
       Limits limits = generations.newest().config().limits();
-      shutdown = shutdown != null ? shutdown : new GracefulShutdown(limits, wheel, admission, requests, () -> !pendingLinks.isEmpty(),
-          () -> pendingLinks.closeAll(PendingLink::endNow));
+      shutdown = shutdown != null ? shutdown : new GracefulShutdown(limits, wheel, admission, requests,
+          () -> !pendingLinks.isEmpty(), () -> pendingLinks.closeAll(PendingLink::endNow));
       started.add(shutdown);
       if (config.inheritedSocket()) {
         shutdown.handOver(clientListener);
--- a/proxy/src/main/java/lemondeal/proxy/RequestRules.java
+++ b/proxy/src/main/java/lemondeal/proxy/RequestRules.java
@@ -14,7 +14,7 @@
   /** WIRE 13: what the attempts so far may have done. */
   private enum State { NEVER_RAN, MAY_HAVE_RUN, ANSWERED }
 
-  /** Given as the time when a server was announced as draining if it was not. */
+  /** The draining time of a server that was not announced as draining. */
   static final long NOT_DRAINING = Long.MAX_VALUE;
 
   /** STANDING: a proxy may be paused for this long between reading its clock and writing, in microseconds. */
--- a/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
+++ b/proxy/src/main/java/lemondeal/proxy/ResponseTimeout.java
@@ -20,7 +20,7 @@
   private Timers.Timer timer;
   /**
    * Time before this is not counted: the server's output could not be read, since the client's buffer had no space for
-   * it. Guards a healthy server against clients that flood it and don't read: it was taken for slow, then for silent.
+   * it. Protects a healthy server from clients that flood it and don't read: it was taken for slow, then for silent.
    */
   private long measuredFrom = Long.MIN_VALUE;
   private boolean stopped;
@@ -88,7 +88,8 @@
     onWaiting.accept(waited);
     // The module may have moved this very client because of the report.
     if (!stopped && !sentTimes.isEmpty()) {
-      long nextCheck = Math.min(context.limits().serverSilenceTimeout() - waited, context.limits().delayReportInterval());
+      long nextCheck = Math.min(context.limits().serverSilenceTimeout() - waited,
+          context.limits().delayReportInterval());
       timer = link.after(nextCheck - context.limits().pauseAllowance(), this::scheduleCheck);
     }
   }
--- a/proxy/src/main/java/lemondeal/proxy/StartTimes.java
+++ b/proxy/src/main/java/lemondeal/proxy/StartTimes.java
@@ -17,9 +17,9 @@
  * stepped while processes run; what is computed from it (slow start) is a span of real time. All times are
  * microseconds.
  *
- * <p>The difference between the two clocks is sampled all the time. A start is converted by the difference that was in
- * force when it can have been stamped; where several can have been, by the one that makes the server youngest, since a
- * server that is taken for colder than it is gets too little load and not too much.
+ * <p>The difference between the two clocks is sampled all the time. A start is converted with the difference that held
+ * when it was stamped; if several may have held then, with the one that makes the server youngest, since a server that
+ * is taken for colder than it is gets too little load and not too much.
  */
 final class StartTimes {
   /** Differences that lie closer together are one that drifts: clocks are corrected in such small steps. */
--- a/proxy/src/main/java/lemondeal/proxy/Tunnel.java
+++ b/proxy/src/main/java/lemondeal/proxy/Tunnel.java
@@ -40,7 +40,8 @@
     this.execution = execution;
     this.onClosed = onClosed;
     this.onEndReason = onEndReason;
-    healthCheck = new PassiveHealthCheck(context, client, request, execution, () -> moveNow(Outcome.RESET, EndReason.SERVER_SILENT));
+    healthCheck = new PassiveHealthCheck(context, client, request, execution,
+        () -> moveNow(Outcome.RESET, EndReason.SERVER_SILENT));
     lineParser = new LineParser(context.limits().maxLineBytes());
   }
 
--- a/proxy/src/main/java/lemondeal/proxy/ViolationCounter.java
+++ b/proxy/src/main/java/lemondeal/proxy/ViolationCounter.java
@@ -4,8 +4,8 @@
 import lemondeal.log.EventLog;
 
 /**
- * Counts the steps that would have broken a rule of the protocol. Code that is about to take a step checks {@link
- * RequestRules} first and does not take one that breaks a rule, so a count here is a fault of the component that
+ * Counts the steps that would have broken a rule of the protocol. Code that is about to take a step first checks
+ * {@link RequestRules} and does not take one that breaks a rule, so a count here is a fault of the component that
  * ordered it, found before it did harm. Each is logged in one line, up to a limit.
  */
 final class ViolationCounter {
--- a/proxy/src/test/java/lemondeal/proxy/ReloadCrossingsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReloadCrossingsTest.java
@@ -214,7 +214,7 @@
       reload(site, Reloads::other);
       ProxyTest.up(site, site.client(CHAT));
       assertEquals("ERR", site.client(FEED).line());
-      assertTrue(logged.contains("lemondeal: the new settings count from the next start"), logged::toString);
+      assertTrue(logged.contains("lemondeal: the new settings take effect at the next start"), logged::toString);
     }
   }
 
