--- a/proxy/src/main/java/lemondeal/proxy/Generations.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generations.java
@@ -108,8 +108,8 @@
     takeOverWatch(previous);
     limitOlder();
     dropEnded();
-    shared.log().info("settings", "lemondeal: new settings serve what comes from now on; " + clients.size()
-        + " open connections keep the settings that they began with");
+    shared.log().info("settings", "lemondeal: new settings serve what comes from now on; "
+        + "connections that keep their settings: " + clients.size());
   }
 
   private void rollBack(Generation previous, String reason) {
