--- a/proxy/src/main/java/lemondeal/ConfigReloader.java
+++ b/proxy/src/main/java/lemondeal/ConfigReloader.java
@@ -10,8 +10,8 @@
 import lemondeal.log.EventLog;
 
 /**
- * Reads the configuration again when it is told to, off the I/O thread and one reload after the other. What is
- * handed on has been checked; of what can't be used, one line in the log is all that comes.
+ * Reloads the configuration on request, off the I/O thread and one reload at a time. Only a valid configuration is
+ * passed on; an invalid one is logged in one line.
  */
 final class ConfigReloader implements AutoCloseable {
   private static final long IDLE_SECONDS = 5;
@@ -19,10 +19,10 @@
   private final Map<String, String> environment;
   private final Consumer<Config> onReload;
   private final EventLog log;
-  /** One thread at most, and none while nothing is to be read. */
+  /** At most one thread, and none while idle. */
   private final ThreadPoolExecutor executor = new ThreadPoolExecutor(0, 1, IDLE_SECONDS, TimeUnit.SECONDS,
       new LinkedBlockingQueue<>(), ConfigReloader::newDaemonThread);
-  /** What else is read anew; throws what can't be used. */
+  /** Reloads the operator's file; throws if it cannot be used. */
   private final Runnable reloadOperatorFile;
   private Config config;
 
@@ -41,20 +41,20 @@
     return thread;
   }
 
-  /** Asks for a reload, from any thread. */
+  /** Requests a reload, on any thread. */
   void request() {
     executor.execute(this::reloadConfig);
     executor.execute(this::reloadFeatures);
   }
 
-  /** A mistake in a file, of whatever kind, must not end a proxy that is serving. */
+  /** No error in a file may stop a running proxy. */
   private void reloadConfig() {
     try {
       Config reloaded = config.reread(environment);
       List<String> restartOnly = config.restartOnlyChanges(reloaded);
       onReload.accept(reloaded);
       log.info("reload", "lemondeal: configuration read anew, discovery at " + reloaded.discovery()
-          + (restartOnly.isEmpty() ? "" : "; " + String.join(", ", restartOnly) + " count from the next start"));
+          + (restartOnly.isEmpty() ? "" : "; " + String.join(", ", restartOnly) + " take effect at the next start"));
       config = reloaded.withoutKnownServers();
     } catch (RuntimeException | OutOfMemoryError e) {
       log.warn("reload-refused", "lemondeal: the configuration stays as it was: " + e.getMessage());
@@ -65,11 +65,12 @@
     try {
       reloadOperatorFile.run();
     } catch (RuntimeException e) {
-      log.warn("operator-reload-refused", "lemondeal: the operator's file and keys stay as they were: " + e.getMessage().replace('\n', ';'));
+      log.warn("operator-reload-refused", "lemondeal: the operator's file and keys stay as they were: "
+          + e.getMessage().replace('\n', ';'));
     }
   }
 
-  /** Nothing more is read. */
+  /** Stops reloading. */
   @Override
   public void close() {
     executor.shutdownNow();
--- a/proxy/src/main/java/lemondeal/DirectMemory.java
+++ b/proxy/src/main/java/lemondeal/DirectMemory.java
@@ -6,17 +6,17 @@
 import lemondeal.config.ConfigException;
 
 /**
- * Whether the JVM gives ring buffers the memory off the heap that an operator's file grants them. Without it the proxy
- * would take clients in that it can't hold, and fail each one when its buffers are taken.
+ * Checks that the JVM allows the direct memory that the operator's file grants to ring buffers. Otherwise the proxy
+ * would accept clients beyond its memory, and each of them would fail when its buffers are allocated.
  */
 final class DirectMemory {
-  /** What XNIO and the JDK take off the heap beside the rings. */
+  /** Direct memory of XNIO and the JDK, besides the ring buffers. */
   private static final long RESERVED_MB = 4;
   private static final int MB_SHIFT = 20;
 
   private DirectMemory() {}
 
-  /** Throws, with what is allowed, where {@code ringsMb} does not fit. */
+  /** Throws if {@code ringsMb} does not fit; the message says what is allowed. */
   static void check(Path file, int ringsMb) {
     long maxMb = maxDirectMemoryMb();
     if (ringsMb > maxMb - RESERVED_MB) {
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The JVM's bound on direct buffers, in megabytes. */
+  /** The JVM's limit on direct memory, in megabytes. */
   private static long maxDirectMemoryMb() {
     String option = ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class)
         .getVMOption("MaxDirectMemorySize").getValue();
--- a/proxy/src/main/java/lemondeal/ExtrasLauncher.java
+++ b/proxy/src/main/java/lemondeal/ExtrasLauncher.java
@@ -9,9 +9,10 @@
 import java.nio.file.Path;
 
 /**
- * The program with all its libraries: every command but the platform's two. The libraries stand in a jar of their own,
- * read through a class loader of their own. On the class path, even as a jar's {@code Class-Path}, the JDK's look-up of
- * logging services opened it at each start, for 3 MB and some milliseconds.
+ * Runs the commands that need all libraries, which are all but the platform's two. The libraries are in a separate
+ * jar, loaded by a separate class loader. With that jar on the class path, even through the manifest's
+ * {@code Class-Path}, the JDK's look-up of logging services opened it at each start, which cost 3 MB and some
+ * milliseconds.
  */
 final class ExtrasLauncher {
   private static final String EXTRAS_JAR = "lemondeal-extras.jar";
@@ -19,10 +20,11 @@
 
   private ExtrasLauncher() {}
 
-  /** Runs the command; returns what {@code lemondeal.cli.Lemondeal} does. */
+  /** Runs the command; returns the result of {@code lemondeal.cli.Lemondeal}. */
   static int run(String[] args) throws IOException {
     try {
-      return (int) Class.forName(ENTRY_CLASS, true, loader()).getMethod("run", String[].class).invoke(null, (Object) args);
+      return (int) Class.forName(ENTRY_CLASS, true, loader()).getMethod("run", String[].class)
+          .invoke(null, (Object) args);
     } catch (InvocationTargetException e) {
       throw new IllegalStateException(e.getCause());
     } catch (ReflectiveOperationException e) {
@@ -30,16 +32,17 @@
     }
   }
 
-  /** The loader that has the libraries: this class's own, where the class path holds them. */
+  /** The class loader of the libraries: this class's own one if they are on the class path. */
   private static ClassLoader loader() throws IOException {
-    Path programJar = Path.of(new File(ExtrasLauncher.class.getProtectionDomain().getCodeSource().getLocation().getPath())
+    Path programJar = Path.of(
+        new File(ExtrasLauncher.class.getProtectionDomain().getCodeSource().getLocation().getPath())
         .getAbsolutePath());
     Path extrasJar = programJar.resolveSibling(EXTRAS_JAR);
     if (!Files.isRegularFile(programJar) || !Files.exists(extrasJar)) {
       return ExtrasLauncher.class.getClassLoader();
     }
     URL[] urls = {programJar.toUri().toURL(), extrasJar.toUri().toURL()};
-    // Stays open as long as the program runs.
+    // Not closed: it is needed as long as the program runs.
     ClassLoader loader = new URLClassLoader(urls, ClassLoader.getPlatformClassLoader());
     Thread.currentThread().setContextClassLoader(loader);
     return loader;
--- a/proxy/src/main/java/lemondeal/Main.java
+++ b/proxy/src/main/java/lemondeal/Main.java
@@ -5,17 +5,17 @@
 import lemondeal.log.LogQueue;
 
 /**
- * The program's entry. The two words that the platform uses go straight to their work, since a command line's classes
- * would cost them a part of their start; all else is read by {@code lemondeal.cli}.
+ * The program's entry point. The two commands that the platform uses run directly, since loading a command-line parser
+ * would slow down their start; all other commands are parsed by {@code lemondeal.cli}.
  */
 public final class Main {
-  /** A command has started threads that go on: the program must not end. */
+  /** The command has started threads that keep running: the process must not exit. */
   public static final int KEEP_RUNNING = -1;
 
   private Main() {}
 
   public static void main(String[] args) throws IOException {
-    // XNIO's logging would look for other libraries' and start what it finds.
+    // Otherwise XNIO's logging would look for other logging libraries and initialize those that it finds.
     System.setProperty("org.jboss.logging.provider", "jdk");
     int exitCode = run(args, System.getenv());
     if (exitCode != KEEP_RUNNING) {
--- a/proxy/src/main/java/lemondeal/OperatorFeatures.java
+++ b/proxy/src/main/java/lemondeal/OperatorFeatures.java
@@ -32,20 +32,20 @@
 import lemondeal.proxy.Proxy;
 import lemondeal.resume.Resumption;
 
-/** What the operator's own file adds to a proxy. Nothing of this is loaded where there is no such file. */
+/** The optional features that the operator's file enables in a proxy. None of them is loaded without such a file. */
 final class OperatorFeatures implements AutoCloseable {
   private final Path file;
   private final Operator operator;
   private EventLog log;
   private Resumption resumption;
-  /** Null unless claims are made in a fleet's store. */
+  /** Null unless claims are kept in a fleet's store. */
   private FleetStore claimStore;
-  /** Null unless the proxies of the fleet tell each other rows. */
+  /** Null unless the proxies of a fleet exchange rows. */
   private FleetMember fleetMember;
-  /** Null unless the fleet leaves zones together. */
+  /** Null unless the fleet evacuates zones by a common decision. */
   private ZoneEvacuationService evacuation;
   private long incarnation;
-  /** Null unless servers are listed by Consul, and until the proxy has made it. */
+  /** Null unless Consul is the source of server lists, and until the proxy has created it. */
   private ConsulServices consul;
 
   private OperatorFeatures(Path file, Operator operator) {
@@ -53,7 +53,7 @@
     this.operator = operator;
   }
 
-  /** Reads the file; what can't be used throws, with all faults. */
+  /** Reads the file; throws with all errors if it cannot be used. */
   static OperatorFeatures read(Path file) {
     try {
       Operator operator = Operator.read(file);
@@ -66,12 +66,12 @@
     }
   }
 
-  /** Megabytes that ring buffers may take at most. */
+  /** Maximum size of all ring buffers, in megabytes. */
   int ringsMb() {
     return operator.ringsMb() > 0 ? operator.ringsMb() : Limits.DEFAULT_RINGS_MB;
   }
 
-  /** Makes what the proxy is to have: the log, and the claims and keys of sessions that can resume. */
+  /** Creates what the proxy needs: the log, the claims and keys of resumable sessions, and the fleet member. */
   void begin(Config config) {
     log = operator.jsonLog() ? new JsonLog(System.err, config.name()) : new PlainLog(System.err);
     resumption = operator.resume() == null ? null : resumption(file, operator.resume(), config, log);
@@ -82,19 +82,19 @@
     FleetSettings settings = section.settings();
     String name = settings.name() != null ? settings.name() : config.name();
     if (!config.settings().limits().mayMessagePeers()) {
-      throw new ConfigException(section.fault("fleet: the platform's settings forbid that proxies tell each other anything"
+      throw new ConfigException(section.fault("fleet: the platform's settings do not allow messages between proxies"
           + " (permissions.mayTell is not true); allowed: no section fleet").toString());
     }
     if (!settings.roster().contains(name)) {
-      throw new ConfigException(section.fault("fleet.members: this proxy, '" + name + "', is not among them; allowed: its"
-          + " name there, or fleet.name").toString());
+      throw new ConfigException(section.fault("fleet.members: this proxy, '" + name + "', is not among them; allowed:"
+          + " its name there, or fleet.name").toString());
     }
-    // Greater than before a restart, as long as this machine's own clock is not set back: docs/FLEET-DESIGN.md.
+    // Greater than before a restart, unless this machine's clock is set back; see docs/FLEET-DESIGN.md.
     incarnation = System.currentTimeMillis();
     return new FleetMember(settings, name, incarnation, new JGroupsTransport(settings, name, incarnation, log), log);
   }
 
-  /** Begins what needs the running proxy; throws where an address can't be listened on. */
+  /** Starts what needs the running proxy; throws if it cannot listen on an address. */
   void begin(Proxy proxy) {
     if (fleetMember != null) {
       try {
@@ -120,11 +120,13 @@
     List<String> classes = config.names().classes();
     for (String name : section.settings().classes()) {
       if (!classes.contains(name)) {
-        throw new ConfigException(file + ": resume.classes: found '" + name + "'; allowed: " + String.join(", ", classes));
+        throw new ConfigException(file + ": resume.classes: found '" + name + "'; allowed: "
+            + String.join(", ", classes));
       }
     }
     return new Resumption(section.settings(), KeyFile.read(section.keys()),
-        new CasClaims(openClaimStore(section, log), System::currentTimeMillis), config.name(), System::currentTimeMillis);
+        new CasClaims(openClaimStore(section, log), System::currentTimeMillis), config.name(),
+        System::currentTimeMillis);
   }
 
   private CasStore openClaimStore(Operator.Resume section, EventLog log) {
@@ -144,12 +146,12 @@
     return log;
   }
 
-  /** Null where no client can resume. */
+  /** Null if sessions cannot resume. */
   Resumption resumption() {
     return resumption;
   }
 
-  /** Where the proxy's servers are listed: Consul where the file names it, else the platform's discovery. */
+  /** The source of server lists: Consul if the file configures it, otherwise the platform's discovery. */
   ListSource.Factory listSources() {
     return operator.consul().isEmpty() ? ListSource.PLATFORM
         : ConsulServices.factory(consulSettings(operator), log, created -> consul = created);
@@ -159,17 +161,18 @@
     return operator.consul().stream().map(Operator.ConsulService::settings).toList();
   }
 
-  /** The module: within what the fleet decided of its zones, where it does so. */
+  /** The decision module, restricted by the fleet's zone evacuation where that is enabled. */
   Balancer module(Config config) {
     Balancer placement = placementModule(config);
     if (operator.fleet() == null || operator.fleet().evacuation() == null) {
       return placement;
     }
-    evacuation = new ZoneEvacuationService(operator.fleet(), config, fleetMember, incarnation, System.currentTimeMillis(), placement, log);
+    evacuation = new ZoneEvacuationService(operator.fleet(), config, fleetMember, incarnation,
+        System.currentTimeMillis(), placement, log);
     return evacuation.module();
   }
 
-  /** One for all classes, or one for each service that lists some of them. */
+  /** One module for all classes, or one for each Consul service and its classes. */
   private Balancer placementModule(Config config) {
     if (operator.consul().isEmpty() || operator.consul().get(0).classes().isEmpty()) {
       return new DecisionModule();
@@ -198,8 +201,8 @@
   }
 
   /**
-   * Takes the keys over as they are now, and the certificates towards the fleet's store; throws what is wrong with them,
-   * and what was used before stays.
+   * Reloads the keys, the certificates for the fleet's store, and Consul's section. Throws if any of them cannot be
+   * used; the previous ones then stay in use.
    */
   void reload() {
     Operator reloaded = Operator.read(file);
@@ -208,7 +211,8 @@
         consul.reload(consulSettings(reloaded));
         log.info("consul-reload", "lemondeal: Consul's section, its token and certificates read anew");
       } catch (IOException e) {
-        throw new ConfigException(file + ": discovery.consul: " + e.getMessage() + "; what was used before stays");
+        throw new ConfigException(file + ": discovery.consul: " + e.getMessage()
+            + "; the previous settings stay in use");
       }
     }
     if (resumption == null) {
@@ -220,14 +224,15 @@
       try {
         claimStore.reload(tls);
       } catch (IOException e) {
-        throw new ConfigException(file + ": resume.claims.tls: " + e.getMessage() + "; the certificates before stay");
+        throw new ConfigException(file + ": resume.claims.tls: " + e.getMessage()
+            + "; the previous certificates stay in use");
       }
     }
     log.info("keys-reload", "lemondeal: keys" + (tls == null ? "" : " and certificates") + " read anew"
-        + (hasSameStartupSettings(reloaded) ? "" : "; other changes of " + file + " count from the next start"));
+        + (hasSameStartupSettings(reloaded) ? "" : "; other changes of " + file + " take effect at the next start"));
   }
 
-  /** Whether all that is taken at the start alone stayed as it was. */
+  /** Whether everything that takes effect only at a start is unchanged. */
   private boolean hasSameStartupSettings(Operator reloaded) {
     return new Operator(reloaded.jsonLog(), reloaded.ringsMb(), operator.consul(), reloaded.resume(),
         hasSameFleetSettings(reloaded) ? operator.fleet() : reloaded.fleet()).equals(operator);
--- a/proxy/src/main/java/lemondeal/Serve.java
+++ b/proxy/src/main/java/lemondeal/Serve.java
@@ -16,27 +16,27 @@
 import lemondeal.trace.TracingBalancer;
 
 /**
- * Runs one real proxy until SIGTERM. The order is heard before the first client can be let in: a process that ends
- * without it cuts off whoever it has accepted.
+ * Runs one proxy until SIGTERM. The shutdown hook is registered before the first client can be accepted: a process that
+ * exits without it would cut off its accepted clients.
  */
 public final class Serve {
-  /** What can't be used was said in a line for each fault. */
+  /** Exit code for a configuration that cannot be used; each error was printed in one line. */
   private static final int EXIT_BAD_USE = 2;
 
   /**
-   * How long the end waits for the I/O thread. A JVM that halts while a thread waits in the system for its sockets goes on
-   * waiting for that thread for 0.3 s itself (HotSpot, VM_Exit::wait_for_threads_in_native_to_block): longer than is left
-   * before SIGKILL may come.
+   * How long the exit waits for the I/O thread. If a thread is blocked in native code, such as in the selector, when
+   * the JVM halts, the JVM itself waits for it for 0.3 s (HotSpot, VM_Exit::wait_for_threads_in_native_to_block),
+   * which is longer than the time left before a SIGKILL.
    */
   private static final long CLOSE_WAIT_MILLIS = 100;
 
-  /** How long the end waits for the log, which may stand still. */
+  /** How long the exit waits for the log, whose reader may have stopped. */
   private static final long LOG_DRAIN_MILLIS = 150;
 
   private enum State { STARTING, RUNNING, REFUSED }
 
   private final Proxy proxy;
-  /** Null where there is no operator's file. */
+  /** Null without an operator's file. */
   private final OperatorFeatures features;
   private final EventLog log;
   private final CountDownLatch startFinished = new CountDownLatch(1);
@@ -49,10 +49,10 @@
   }
 
   /**
-   * Starts the proxy; its threads go on when this returns.
+   * Starts the proxy, whose threads keep running when this returns.
    *
-   * @param operatorFile the operator's own file, or null where there is none
-   * @return 0, or the exit code with which the program is to end
+   * @param operatorFile the operator's file, or null
+   * @return 0, or the exit code of the program
    */
   public static int run(Map<String, String> environment, Path operatorFile) {
     try {
@@ -62,7 +62,8 @@
         features.begin(config);
       }
       EventLog log = features == null ? new PlainLog(System.err) : features.log();
-      Balancer module = withTrace(features == null ? new DecisionModule() : features.module(config), config.name(), environment, log);
+      Balancer module = withTrace(features == null ? new DecisionModule() : features.module(config), config.name(),
+          environment, log);
       Proxy proxy = features == null ? new Proxy(config, module, log, null)
           : new Proxy(config, module, log, features.resumption(), features.listSources());
       if (features == null) {
@@ -89,23 +90,23 @@
     }
   }
 
-  /** {@code GW_TRACE} has all that the module hears and decides told in the log, for a while of looking closely. */
+  /** Where {@code GW_TRACE} is set, logs all events and actions of the decision module, for debugging. */
   private static Balancer withTrace(Balancer module, String name, Map<String, String> environment, EventLog log) {
     return environment.getOrDefault("GW_TRACE", "").isEmpty() ? module
         : new TracingBalancer(module, log, name, System::currentTimeMillis);
   }
 
-  /** A process that can't hear an order goes on as if it had not been given: whoever gives it has to know. */
+  /** Logs a warning if the process was started with signals ignored: sending them then has no effect. */
   private static void warnOfIgnoredSignals(EventLog log) {
     List<String> ignored = Signals.ignored();
     if (!ignored.isEmpty()) {
       String names = String.join(", ", ignored);
-      log.warn("signals-ignored", "lemondeal: started with " + names + " ignored, and will not hear them; start it with"
+      log.warn("signals-ignored", "lemondeal: started with " + names + " ignored and cannot handle them; start it with"
           + " env --default-signal=HUP,INT,TERM", "signals", names);
     }
   }
 
-  /** From now on SIGTERM runs {@link #stop}; false if the process is ending already. */
+  /** Makes SIGTERM run {@link #stop}; returns false if the process is already exiting. */
   private boolean addShutdownHook() {
     try {
       Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
@@ -144,7 +145,7 @@
     }
   }
 
-  /** Runs on SIGTERM, and after a start that was refused; the process ends when this returns. */
+  /** Runs on SIGTERM and after a failed start; the process exits when this returns. */
   private void stop() {
     try {
       startFinished.await();
@@ -157,7 +158,7 @@
         features.close();
       }
       log.info("stopped", "lemondeal: stopped");
-      // Before the sockets close: with an inherited one the JDK closes the log, too.
+      // Before the sockets close: when an inherited one closes, the JDK closes standard error too.
       LogQueue.drainInstalled(LOG_DRAIN_MILLIS);
       proxy.awaitClose(CLOSE_WAIT_MILLIS);
       Runtime.getRuntime().halt(0);
--- a/proxy/src/main/java/lemondeal/Signals.java
+++ b/proxy/src/main/java/lemondeal/Signals.java
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /**
- * The signals that the program acts on: SIGHUP has it read its configuration again, SIGTERM and SIGINT have it stop.
+ * The signals that the program handles: SIGHUP reloads the configuration, SIGTERM and SIGINT stop the program.
  *
- * <p>A signal that the program's starter ignores is ignored here too, since that is inherited, and a JVM leaves it so
- * (see {@code nohup(1)} and {@code signal(7)}). Nothing in a JVM can change that; it can only be told.
+ * <p>A signal that the parent process ignores is ignored here too, since the disposition is inherited and the JVM does
+ * not change it (see {@code nohup(1)} and {@code signal(7)}). It cannot be changed from within a JVM, only reported.
  */
 final class Signals {
   private static final String HANGUP = "HUP";
-  /** Those that are acted on, in the order of their numbers. */
+  /** The handled signals, in the order of their numbers. */
   private static final List<String> HANDLED = List.of(HANGUP, "INT", "TERM");
   private static final List<Integer> HANDLED_NUMBERS = List.of(1, 2, 15);
-  /** Linux: signal n is bit n - 1 of the mask in this row, in hexadecimal digits. */
+  /** Linux: one line has the mask of ignored signals in hexadecimal digits, with signal n as bit n - 1. */
   private static final Path STATUS_FILE = Path.of("/proc/self/status");
   private static final String IGNORED_MASK_PREFIX = "SigIgn:";
   private static final int HEX_RADIX = 16;
@@ -26,9 +26,9 @@
   private Signals() {}
 
   /**
-   * Runs the task on each SIGHUP from now on, on a thread of the JVM's. A JVM without a handler ends on it. The JDK has
-   * no public interface to signals: the classes of {@code jdk.unsupported} are the customary one, and are reached by
-   * name, since the compiler warns of each use of theirs and of nothing else here.
+   * Runs the task on each SIGHUP, on a thread of the JVM. Without a handler the JVM exits on SIGHUP. The JDK has no
+   * public API for signals; the classes of {@code jdk.unsupported} are commonly used instead. They are accessed by
+   * reflection, since each direct use causes a compiler warning, and there are no other warnings in this project.
    */
   static void onHangup(Runnable task) {
     try {
@@ -42,13 +42,13 @@
       Object hangup = signalType.getConstructor(String.class).newInstance(HANGUP);
       signalType.getMethod("handle", signalType, handlerType).invoke(null, hangup, hangupHandler);
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("this JVM can't hear SIG" + HANGUP, e);
+      throw new IllegalStateException("this JVM cannot handle SIG" + HANGUP, e);
     }
   }
 
   /**
-   * The signals that this process was started with as ignored, of those that it acts on, as {@code SIGHUP}. Empty also
-   * where the system does not tell.
+   * Those of the handled signals that this process was started with as ignored, such as {@code SIGHUP}. Empty also
+   * where the system does not provide this information.
    */
   static List<String> ignored() {
     try {
@@ -58,7 +58,7 @@
         }
       }
     } catch (IOException | NumberFormatException e) {
-      // Not Linux, or not as its page says.
+      // Not Linux, or an unknown format.
     }
     return List.of();
   }
--- a/proxy/src/main/java/lemondeal/admin/AdminConnection.java
+++ b/proxy/src/main/java/lemondeal/admin/AdminConnection.java
@@ -11,8 +11,8 @@
 import lemondeal.net.Timers;
 
 /**
- * One connection to the second address: a line, its reply, the end. It is bounded with the other callers until it
- * closes, also behind its reply: among the clients' lingering connections it would take the place of one of theirs.
+ * One connection to the admin endpoint: reads one command, sends one reply and closes. It counts towards the endpoint's
+ * limit until it is closed, also after its reply: in the set of lingering client links it would displace one of them.
  */
 final class AdminConnection implements Link.Owner {
   private final Limits limits;
@@ -21,13 +21,14 @@
   private final UnaryOperator<String> commandHandler;
   private final LineParser lines;
   private Timers.Timer timer;
-  /** What is still to be sent of the reply; null before it. */
+  /** The part of the reply still to be sent; null before the reply. */
   private ByteBuffer reply;
-  /** Bytes still read behind the call: none must be left when the connection closes, or it is reset. */
+  /** Bytes still read and discarded after the command: a close with unread bytes would reset the connection. */
   private int discardBytesLeft;
   private boolean inputEnded;
 
-  AdminConnection(Limits limits, Link link, EvictingSet<AdminConnection> connections, UnaryOperator<String> commandHandler) {
+  AdminConnection(Limits limits, Link link, EvictingSet<AdminConnection> connections,
+      UnaryOperator<String> commandHandler) {
     this.limits = limits;
     this.link = link;
     this.connections = connections;
@@ -72,7 +73,7 @@
     sendMore();
   }
 
-  /** Sends as much of the reply as there is room for: the figures of many classes are longer than a ring. */
+  /** Sends as much of the reply as fits: the metrics of many classes are larger than a ring buffer. */
   private void sendMore() {
     while (reply.hasRemaining() && link.sendCapacity() > 0) {
       ByteBuffer part = reply.slice().limit(Math.min(link.sendCapacity(), reply.remaining()));
@@ -93,7 +94,6 @@
     }
   }
 
-  /** Ends the connection. */
   void close() {
     Timers.cancel(timer);
     connections.remove(this);
--- a/proxy/src/main/java/lemondeal/admin/AdminEndpoint.java
+++ b/proxy/src/main/java/lemondeal/admin/AdminEndpoint.java
@@ -6,18 +6,18 @@
 import lemondeal.net.Link;
 
 /**
- * The second address, for the operators' staff: a connection brings one line and gets one reply. Its connections are
- * bounded and timed by themselves; beyond the bound the oldest goes, so that whoever keeps one for nothing shuts nobody
- * out.
+ * The admin endpoint on the proxy's second address, for operators: a connection sends one command and gets one reply.
+ * These connections have their own limit and timeouts; a new one evicts the oldest, so that idle connections lock
+ * nobody out.
  */
 public final class AdminEndpoint {
 
-  /** What can be asked of this process, on the I/O thread. */
+  /** The state that the endpoint reports, read on the I/O thread. */
   public interface ProcessStatus {
     /** Whether this process can serve clients. */
     boolean isReady();
 
-    /** Every figure under its name. */
+    /** All metrics by name. */
     Map<String, Long> metrics();
   }
 
@@ -25,8 +25,8 @@
   private static final String SHOW_STAT = "show-stat";
 
   /**
-   * Kept free for one just accepted. Guards against a full table that stops the library's accepting: it goes on only
-   * when a second connection has closed, and callers without a call once shut all others out for their five seconds.
+   * Capacity reserved for a connection that was just accepted. At the connection limit XNIO stops accepting and resumes
+   * only when a second connection has closed, so connections without a command once locked out all others for 5 s.
    */
   private static final int RESERVED_CONNECTIONS = 1;
 
--- a/proxy/src/main/java/lemondeal/codec/HttpParser.java
+++ b/proxy/src/main/java/lemondeal/codec/HttpParser.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Reads one HTTP/1.1 answer as it comes and gives out its body line by line. */
+/** Incremental parser of one HTTP/1.1 response, whose body is delivered line by line. */
 public final class HttpParser {
 
-  /** What the answer brings, in order. */
+  /** Receives the parts of the response in order. */
   public interface Sink {
     void status(int code) throws ProtocolException;
 
-    /** A line of the body without its end; the last one may lack an end in the body. */
+    /** A line of the body without its line end; the last line may have none in the body. */
     void line(String line) throws ProtocolException;
 
     void end();
@@ -46,12 +46,12 @@
     }
   }
 
-  /** The connection has ended; only a body without a length may end so. */
+  /** The connection was closed by the server; only a body without a length may end this way. */
   public void endOfInput() throws ProtocolException {
     if (state == State.UNTIL_CLOSE) {
       finish();
     } else if (state != State.OVER) {
-      throw new ProtocolException("the answer breaks off");
+      throw new ProtocolException("the response is incomplete");
     }
   }
 
@@ -71,7 +71,7 @@
 
   private void status(String line) throws ProtocolException {
     if (!line.matches("HTTP/1\\.[01] [1-9]\\d{2}( .*)?")) {
-      throw new ProtocolException("not a status line: " + OpenLine.abbreviate(line));
+      throw new ProtocolException("malformed status line: " + OpenLine.abbreviate(line));
     }
     state = State.HEADERS;
     sink.status(Integer.parseInt(line.substring(9, 12)));
@@ -87,7 +87,7 @@
     }
     int colon = line.indexOf(':');
     if (colon <= 0 || ++headerCount > MAX_HEADERS) {
-      throw new ProtocolException("not a header: " + OpenLine.abbreviate(line));
+      throw new ProtocolException("malformed header, or too many headers: " + OpenLine.abbreviate(line));
     }
     String value = line.substring(colon + 1).trim();
     switch (line.substring(0, colon).toLowerCase(Locale.ROOT)) {
@@ -109,14 +109,14 @@
         return Integer.parseInt(digits, radix);
       }
     } catch (NumberFormatException e) {
-      // Told below with the digits themselves.
+      // Reported below together with the digits.
     }
-    throw new ProtocolException("not a length: " + OpenLine.abbreviate(digits));
+    throw new ProtocolException("invalid length: " + OpenLine.abbreviate(digits));
   }
 
   private void chunkEnd(String line) throws ProtocolException {
     if (!line.isEmpty()) {
-      throw new ProtocolException("a chunk is longer than it says");
+      throw new ProtocolException("a chunk is longer than its declared size");
     }
     state = State.SIZE;
   }
--- a/proxy/src/main/java/lemondeal/codec/Json.java
+++ b/proxy/src/main/java/lemondeal/codec/Json.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as maps, lists, strings, doubles and booleans: settings and lists are small and read seldom. */
+/** Reads JSON as maps, lists, strings, doubles and booleans. Settings and server lists are small and read rarely. */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private Json() {}
 
-  /** Reads one object that is the whole text. */
+  /** Reads a text that consists of one object. */
   public static Map<String, Object> parseObject(String text) throws ProtocolException {
     try (JsonParser in = FACTORY.createParser(text)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -24,7 +24,7 @@
       }
       Map<String, Object> object = readObject(in);
       if (in.nextToken() != null) {
-        throw new ProtocolException("something follows the JSON object");
+        throw new ProtocolException("unexpected text after the JSON object");
       }
       return object;
     } catch (JsonProcessingException e) {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The object whose opening brace the parser stands on. */
+  /** Reads the object whose opening brace is the current token. */
   public static Map<String, Object> readObject(JsonParser in) throws IOException {
     Map<String, Object> map = new LinkedHashMap<>();
     while (in.nextToken() == JsonToken.FIELD_NAME) {
--- a/proxy/src/main/java/lemondeal/codec/JsonObjectAssembler.java
+++ b/proxy/src/main/java/lemondeal/codec/JsonObjectAssembler.java
@@ -1,8 +1,8 @@
 package lemondeal.codec;
 
 /**
- * Puts JSON objects together from the lines that they come in: one line each as a rule, several where they come indented.
- * A line that was cut off must not swallow those behind it, so whatever can't go on an object is told at once.
+ * Assembles JSON objects from lines: usually one line each, several where they are indented. A truncated line must not
+ * absorb the lines behind it, so a line that cannot continue the current object is an error at once.
  */
 public final class JsonObjectAssembler {
   private final int maxCharacters;
@@ -10,30 +10,30 @@
   private int depth;
   private boolean inString;
   private boolean escaped;
-  /** The last character that is no white space. */
+  /** The last character that is not white space. */
   private char lastNonBlank;
 
-  /** {@code longest} counts the characters of an object, its line ends and what its lines are indented by left out. */
+  /** @param maxCharacters longest object, not counting line ends and indentation */
   public JsonObjectAssembler(int maxCharacters) {
     this.maxCharacters = maxCharacters;
   }
 
-  /** Whether an object has begun and is not whole. */
+  /** Whether an object has begun and is incomplete. */
   public boolean isMidObject() {
     return depth > 0;
   }
 
   /**
-   * Takes a line that is not empty, or an empty one that is to end no object.
+   * Adds a line. Outside an object the line must not be empty.
    *
-   * @return the object that is whole with it, not checked any further, or null if more has to come
-   * @throws ProtocolException if the line does not go on the object that has begun; nothing more can be read then
+   * @return the text of the object that this line completes, not validated any further, or null if it is incomplete
+   * @throws ProtocolException if the line cannot continue the current object; nothing more can be read then
    */
   public String add(String line) throws ProtocolException {
     if (isMidObject() && !continuesObject(line)) {
-      throw new ProtocolException("a JSON object breaks off before: " + OpenLine.abbreviate(line));
+      throw new ProtocolException("a JSON object is incomplete before: " + OpenLine.abbreviate(line));
     }
-    // No string goes on from one line to the next, so that blanks at a line's ends mean nothing.
+    // A string cannot span lines, so white space at the ends of a line has no meaning.
     String stripped = line.strip();
     if (text.length() + stripped.length() > maxCharacters) {
       throw new ProtocolException("a JSON object is longer than " + maxCharacters + " characters");
@@ -43,7 +43,7 @@
       trackNesting(stripped.charAt(i));
     }
     if (inString) {
-      throw new ProtocolException("a JSON string breaks off at a line's end");
+      throw new ProtocolException("a JSON string is not closed at the end of a line");
     }
     if (isMidObject()) {
       return null;
@@ -53,7 +53,7 @@
     return object;
   }
 
-  /** No line in an object is empty, and a brace at a line's start begins the next object unless a value may stand there. */
+  /** A line inside an object is not empty, and a brace at its start begins a new object unless a value is expected. */
   private boolean continuesObject(String line) {
     return !line.isBlank() && (line.charAt(0) != '{' || ",[:".indexOf(lastNonBlank) >= 0);
   }
--- a/proxy/src/main/java/lemondeal/codec/LineParser.java
+++ b/proxy/src/main/java/lemondeal/codec/LineParser.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Cuts bytes, as they come, into lines that end in CRLF, or in LF alone where that is allowed. */
+/** Incremental parser that splits bytes into lines ending in CRLF, or also in a bare LF where that is allowed. */
 public final class LineParser {
   private static final int INITIAL_SIZE = 64;
 
@@ -13,7 +13,7 @@
   private byte[] line = new byte[INITIAL_SIZE];
   private int length;
 
-  /** {@code longest} counts the line's end too. */
+  /** @param maxBytes longest line, including its line end */
   public LineParser(int maxBytes) {
     this(maxBytes, false);
   }
@@ -23,12 +23,12 @@
     this.acceptsBareLf = acceptsBareLf;
   }
 
-  /** Also takes LF alone as an end: what people type into a plain tool ends so. */
+  /** Also accepts a bare LF as line end, which simple command-line tools send. */
   public static LineParser acceptingBareLf(int maxBytes) {
     return new LineParser(maxBytes, true);
   }
 
-  /** Takes bytes up to the next line's end; returns that line without its end, or null if it is not whole. */
+  /** Consumes bytes up to the next line end; returns the line without it, or null if the line is incomplete. */
   public String next(ByteBuffer in) throws ProtocolException {
     while (in.hasRemaining()) {
       byte b = in.get();
@@ -56,12 +56,12 @@
     return text;
   }
 
-  /** Bytes taken of a line that is not whole. */
+  /** Bytes consumed of an incomplete line. */
   public int pendingBytes() {
     return length;
   }
 
-  /** Whether the bytes so far end inside a line. */
+  /** Whether the bytes consumed so far end inside a line. */
   public boolean isMidLine() {
     return length > 0;
   }
--- a/proxy/src/main/java/lemondeal/codec/OpenLine.java
+++ b/proxy/src/main/java/lemondeal/codec/OpenLine.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** A connection's first line: {@code OPEN id key name=value,...}. The text is kept as the client sent it. */
+/** The first line of a connection: {@code OPEN id key name=value,...}. Its text is kept as the client sent it. */
 public final class OpenLine {
   private static final String COMMAND_PREFIX = "OPEN ";
 
-  /** A plain number: what else Java reads as one ("0x1p3", "5d", "NaN") is none on the wire. */
+  /** A decimal number. Other forms that Java parses ("0x1p3", "5d", "NaN") are not valid in the protocol. */
   private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
   private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
 
@@ -31,8 +31,9 @@
 
   public static OpenLine parse(String line) throws ProtocolException {
     String[] fields = line.split(" ", -1);
-    if (!line.startsWith(COMMAND_PREFIX) || fields.length != 4 || !ID.matcher(fields[1]).matches() || fields[2].isEmpty()) {
-      throw new ProtocolException("not a first line: " + abbreviate(line));
+    if (!line.startsWith(COMMAND_PREFIX) || fields.length != 4 || !ID.matcher(fields[1]).matches()
+        || fields[2].isEmpty()) {
+      throw new ProtocolException("malformed first line: " + abbreviate(line));
     }
     Map<String, String> values = new HashMap<>();
     int deadlineStart = -1;
@@ -52,12 +53,12 @@
     }
     OpenLine open = new OpenLine(line, fields[1], fields[2], values, deadlineStart);
     if (open.deadlineMillis() < 0) {
-      throw new ProtocolException("d is no time: " + abbreviate(values.get("d")));
+      throw new ProtocolException("d is not a valid time: " + abbreviate(values.get("d")));
     }
     return open;
   }
 
-  /** Enough of what came to recognise it in a log. */
+  /** Shortens a text for an error message. */
   static String abbreviate(String text) {
     return text.length() <= 60 ? text : text.substring(0, 60) + "...";
   }
@@ -79,19 +80,19 @@
     return "1".equals(values.get(name));
   }
 
-  /** A value that is a number, or NaN. */
+  /** The value as a number, or NaN if it is absent or not a number. */
   public double number(String name) {
     String value = values.get(name);
     return value != null && NUMBER.matcher(value).matches() ? Double.parseDouble(value) : Double.NaN;
   }
 
-  /** -1 where {@code d} is no number: such a line is not accepted. */
+  /** The deadline in milliseconds, or -1 where {@code d} is not a valid number; such a line is rejected. */
   public double deadlineMillis() {
     double millis = number("d");
     return millis >= 0 && millis < 1e9 ? millis : -1;
   }
 
-  /** The line with another {@code d}, without the values of these names, with more values behind them, and its end. */
+  /** The line with a new {@code d}, without the removed names, with values appended, and with a line end. */
   public String rewrite(long millis, Set<String> removedNames, String addedValues) {
     StringBuilder line = new StringBuilder(COMMAND_PREFIX).append(id).append(' ').append(key).append(' ');
     for (String pair : text.substring(text.lastIndexOf(' ') + 1).split(",", -1)) {
@@ -103,7 +104,7 @@
     return line.append(addedValues).append("\r\n").toString();
   }
 
-  /** The line with another {@code d} and nothing else changed, with its end. */
+  /** The line with a new {@code d} and otherwise unchanged, with a line end. */
   public String withDeadline(long millis) {
     return text.substring(0, deadlineStart) + millis + text.substring(deadlineEnd) + "\r\n";
   }
--- a/proxy/src/main/java/lemondeal/codec/ProtocolException.java
+++ b/proxy/src/main/java/lemondeal/codec/ProtocolException.java
@@ -1,6 +1,6 @@
 package lemondeal.codec;
 
-/** The other side does not keep to the protocol; the message says how. Ends that connection alone. */
+/** The peer violated the protocol; the message says how. Only that connection is closed. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/proxy/src/main/java/lemondeal/codec/ServerLine.java
+++ b/proxy/src/main/java/lemondeal/codec/ServerLine.java
@@ -3,10 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A line that a server sent: its first word and what follows. */
+/** A line from a server: its command and the arguments behind it. */
 public record ServerLine(Kind kind, String command, String arguments) {
 
-  /** The words with a meaning; anything else is {@link #OTHER}. */
+  /** The known commands; anything else is {@link #OTHER}. */
   public enum Kind { UP, BYE, MOVE, ERR, BUSY, LOAD, PONG, NO, SYNTAX, OTHER }
 
   private static final Map<String, Kind> KINDS_BY_COMMAND = new HashMap<>();
@@ -22,20 +22,21 @@
   public static ServerLine parse(String line) {
     int space = line.indexOf(' ');
     String command = space < 0 ? line : line.substring(0, space);
-    return new ServerLine(KINDS_BY_COMMAND.getOrDefault(command, Kind.OTHER), command, space < 0 ? "" : line.substring(space + 1));
+    return new ServerLine(KINDS_BY_COMMAND.getOrDefault(command, Kind.OTHER), command,
+        space < 0 ? "" : line.substring(space + 1));
   }
 
-  /** Whether it is an {@code ACK}, which has a meaning on connections that can resume and none on others. */
+  /** Whether the line is an {@code ACK}, which has a meaning only on resumable connections. */
   public boolean isAcknowledgement() {
     return kind == Kind.OTHER && command.equals("ACK");
   }
 
-  /** The rest as one number, or NaN. */
+  /** The arguments as one number, or NaN. */
   public double number() {
     return number(arguments);
   }
 
-  /** The rest as a load report's names and figures; what is no figure is passed over. */
+  /** The arguments as the names and values of a load report; values that are not numbers are ignored. */
   public Map<String, Double> loadValues() {
     Map<String, Double> values = new HashMap<>();
     for (String pair : arguments.split(",")) {
--- a/proxy/src/main/java/lemondeal/config/Addresses.java
+++ b/proxy/src/main/java/lemondeal/config/Addresses.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads and writes {@code address:port}. */
+/** Parses and formats {@code address:port}. */
 public final class Addresses {
   private Addresses() {}
 
@@ -14,7 +14,7 @@
     return (address.getAddress() instanceof Inet6Address ? "[" + host + "]" : host) + ":" + address.getPort();
   }
 
-  /** Numeric addresses only: there is no DNS, and a look-up would stop the I/O thread. */
+  /** Parses a numeric address. Host names are rejected: there is no DNS, and a look-up would block the I/O thread. */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
--- a/proxy/src/main/java/lemondeal/config/Config.java
+++ b/proxy/src/main/java/lemondeal/config/Config.java
@@ -15,29 +15,30 @@
 import lemondeal.codec.ProtocolException;
 
 /**
- * What a proxy is told at its start, by the environment and the file that it names.
+ * The configuration of a proxy, from the environment and the file that it names.
  *
- * @param inherited whether the clients' listening socket comes open, as descriptor 0
- * @param admin the second address, or null where there is none
- * @param discoveryInFile where the file itself says that discovery is: a change there counts at a reload
- * @param known the list of servers in discovery's form, as this proxy last had it
- * @param loadLines what a server's LOAD line carries, by what the settings say that servers tell
- * @param machine what this process may use, as at its start
- * @param machineInFile the same as the file gives it now
+ * @param inheritedSocket whether the listening socket for clients is inherited as descriptor 0
+ * @param admin the admin endpoint's address, or null where there is none
+ * @param discoveryInFile discovery's address in the file itself: a change there takes effect at a reload
+ * @param knownServers the server list in discovery's format, as this proxy last had it
+ * @param loadLineMeaning what a server's LOAD line carries, according to the reports that the settings announce
+ * @param machineLimits what this process may use, as read at its start
+ * @param machineLimitsInFile the same as currently in the file
  */
 public record Config(String name, InetSocketAddress listen, boolean inheritedSocket, InetSocketAddress admin,
     InetSocketAddress discovery, String discoveryInFile, long seed, Map<String, Object> knownServers, Settings settings,
-    Names names, LoadLineMeaning loadLineMeaning, MachineLimits machineLimits, MachineLimits machineLimitsInFile, Limits limits) {
+    Names names, LoadLineMeaning loadLineMeaning, MachineLimits machineLimits, MachineLimits machineLimitsInFile,
+    Limits limits) {
 
-  /** Names that stand on sockets where the module has indices. */
+  /** Names used on the wire, for which the decision module uses indices. */
   public record Names(List<String> classes, List<String> zones, List<String> models) {}
 
-  /** What the machine allows: sockets and rings are made for it at the start, and can't be changed under way. */
+  /** The machine's limits. Sockets and ring buffers are sized for them at the start, so they cannot change later. */
   public record MachineLimits(int sockets, int memoryMb) {}
 
   /**
-   * The connection's load, in microseconds of work a second, or the milliseconds that a message takes at its server:
-   * both come as LOAD, and where servers tell both, only the figure itself says which it is.
+   * The meaning of the number in a LOAD line: the connection's load in microseconds of work per second, or the
+   * milliseconds that a message takes at its server. Where servers report both, only the value itself tells them apart.
    */
   public enum LoadLineMeaning {
     LOADS, DELAYS, BOTH;
@@ -50,41 +51,41 @@
   private static final int DEFAULT_SOCKETS = 1024;
   private static final int DEFAULT_MEMORY_MB = 192;
 
-  /** Reads {@code GW_CONFIG}; {@code GW_NAME} and the addresses that the environment gives go before it. */
+  /** Reads the file {@code GW_CONFIG}; {@code GW_NAME} and addresses in the environment take precedence over it. */
   public static Config read(Map<String, String> environment) {
     return read(environment, null, Limits.DEFAULT_RINGS_MB);
   }
 
-  /** The same, where an operator's own file gives rings {@code ringsMb} megabytes at most. */
+  /** The same, where the operator's file limits ring buffers to {@code ringsMb} megabytes. */
   public static Config read(Map<String, String> environment, int ringsMb) {
     return read(environment, null, ringsMb);
   }
 
-  /** Reads the file again, in a running proxy. What can't be used throws, and this configuration stays. */
+  /** Reads the file again in a running proxy. Throws if it cannot be used; this configuration then stays in use. */
   public Config reread(Map<String, String> environment) {
     return read(environment, this, limits.maxRingsMb());
   }
 
-  /** Tells one list of servers from another, so that the list itself need not be kept: 64 bits of its text. */
+  /** A 64-bit fingerprint of the known servers, for comparison without keeping the list itself. */
   public long knownServersFingerprint() {
     CRC32C checksum = new CRC32C();
     checksum.update(knownServers.toString().getBytes(StandardCharsets.UTF_8));
     return (long) knownServers.hashCode() << Integer.SIZE | checksum.getValue();
   }
 
-  /** The same without the list of servers, which is large and of no use once it is taken in. */
+  /** The same without the known servers, which take much memory and are not needed once they are applied. */
   public Config withoutKnownServers() {
     return new Config(name, listen, inheritedSocket, admin, discovery, discoveryInFile, seed, Map.of(), settings, names,
         loadLineMeaning, machineLimits, machineLimitsInFile, limits);
   }
 
-  /** Whether requests are served by the same terms under both: whatever may change while a proxy runs. */
+  /** Whether both serve requests in the same way: compares everything that may change while a proxy runs. */
   public boolean hasSameServiceSettings(Config other) {
     return settings.equals(other.settings) && names.equals(other.names) && loadLineMeaning == other.loadLineMeaning
         && limits.equals(other.limits);
   }
 
-  /** The names of those values that a file read again gives differently, and that a running proxy keeps. */
+  /** The names of values that differ in a reloaded file but need a restart to take effect. */
   public List<String> restartOnlyChanges(Config reloaded) {
     List<String> changes = new ArrayList<>();
     addIfChanged(changes, "name", name, reloaded.name);
@@ -104,7 +105,7 @@
   private static Config read(Map<String, String> environment, Config previous, int ringsMb) {
     String file = environment.get("GW_CONFIG");
     if (file == null || file.isEmpty()) {
-      throw new ConfigException("GW_CONFIG names no file");
+      throw new ConfigException("GW_CONFIG does not name a file");
     }
     try {
       return of(new Section("config", readObject(file)), environment, previous, ringsMb);
@@ -120,7 +121,7 @@
     Section family = settings.section("familyInfo");
     String discoveryInFile = root.string("discovery", "");
     boolean inheritedSocket = inheritedSocket(environment.getOrDefault("GW_ACCEPT_FD", ""));
-    // Whatever the settings leave out takes no longer than the longest request.
+    // Timeouts that the settings leave out default to the longest request deadline.
     long longestRequest = longestDeadline(settings.sections("profiles"));
     MachineLimits machineInFile = machineLimits(root.section("limits"));
     MachineLimits machine = previous == null ? machineInFile : previous.machineLimits;
@@ -131,7 +132,8 @@
         admin(environment.getOrDefault("GW_ADMIN_ADDR", root.string("admin_addr", ""))),
         discovery(environment, discoveryInFile, previous), discoveryInFile,
         seed(root.string("seed", "0")), root.section("known").values(), SettingsReader.read(settings.values()),
-        new Names(names(settings.sections("profiles")), strings(settings.list("azs")), strings(settings.list("flavors"))),
+        new Names(names(settings.sections("profiles")), strings(settings.list("azs")),
+            strings(settings.list("flavors"))),
         LoadLineMeaning.of(family.flag("tellsDelay"), family.flag("tellsLoad")), machine, machineInFile,
         Limits.of(machine.sockets, machine.memoryMb, permissions.wholeNumber("dialTimeout", longestRequest),
             permissions.wholeNumber("keepalive", longestRequest), longestRequest, inheritedSocket, ringsMb));
@@ -144,8 +146,8 @@
   }
 
   /**
-   * Guards against the environment, which can't change while the proxy runs, hiding the address that the file
-   * names anew: what the file says differently than before goes first.
+   * At a reload, an address that changed in the file takes precedence over the environment, which cannot change while
+   * the proxy runs and would otherwise hide the new address.
    */
   private static InetSocketAddress discovery(Map<String, String> environment, String inFile, Config previous) {
     if (previous == null) {
@@ -154,7 +156,7 @@
     return inFile.equals(previous.discoveryInFile) ? previous.discovery : address("discovery", inFile);
   }
 
-  /** The one descriptor from which the JDK can take a listening socket is the first. */
+  /** The JDK can inherit a listening socket only as descriptor 0. */
   private static boolean inheritedSocket(String descriptor) {
     if (!descriptor.isEmpty() && !descriptor.equals("0")) {
       throw new ConfigException("GW_ACCEPT_FD should be 0, found " + descriptor);
--- a/proxy/src/main/java/lemondeal/config/ConfigException.java
+++ b/proxy/src/main/java/lemondeal/config/ConfigException.java
@@ -1,6 +1,6 @@
 package lemondeal.config;
 
-/** The configuration can't be used; the message is one plain line that says why. */
+/** The configuration cannot be used; the message says why in one line. */
 public final class ConfigException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/proxy/src/main/java/lemondeal/config/Section.java
+++ b/proxy/src/main/java/lemondeal/config/Section.java
@@ -5,8 +5,10 @@
 import java.util.Map;
 
 /**
- * One JSON object of the settings or the configuration with typed look-ups; what is absent reads as zero, false
- * or empty.
+ * One JSON object of the settings or the configuration, with typed access to its values. Absent values read as zero,
+ * false or empty.
+ *
+ * @param name the path of the object, for error messages
  */
 record Section(String name, Map<String, Object> values) {
 
@@ -60,7 +62,7 @@
     return value == null ? defaultValue : (String) value;
   }
 
-  /** What is wrong at a key: its place, what was found and what is allowed there. */
+  /** The error for an invalid value: its path, what was found and what is allowed there. */
   ConfigException fault(String key, String found, String allowed) {
     return new ConfigException(name + "." + key + ": found " + found + "; allowed: " + allowed);
   }
--- a/proxy/src/main/java/lemondeal/config/SettingsCheck.java
+++ b/proxy/src/main/java/lemondeal/config/SettingsCheck.java
@@ -5,16 +5,15 @@
 import java.util.Set;
 
 /**
- * Whether a proxy can serve by these settings: what can't be is told in one line with its place and what is allowed
- * there, before anything has begun by it. Keys that are absent read as zero, false or empty; keys that are not known
- * are passed over.
+ * Validates settings before they are used. The first invalid value is reported in one line with its path and what is
+ * allowed there. Absent keys read as zero, false or empty; unknown keys are ignored.
  */
 final class SettingsCheck {
-  /** The longest time that a timer may be set for, on the wire's page: 71 minutes. */
+  /** The longest timer that the protocol allows: 71 minutes. */
   private static final double MAX_TIME_MICROS = 71 * 60e6;
-  /** Counts beyond this are no counts of anything that a proxy could have. */
+  /** Larger than any count that a proxy can have. */
   private static final double MAX_COUNT = 1 << 20;
-  /** Shares are given in decimals, and need not sum to 1 to the last bit. */
+  /** Portions are decimal fractions, whose sum may differ from 1 by a rounding error. */
   private static final double SUM_TOLERANCE = 1e-6;
 
   private static final String TIME_RANGE = "microseconds, 0 to 71 minutes";
@@ -26,12 +25,12 @@
     this.root = root;
   }
 
-  /** Throws on the first thing that can't be served. */
+  /** Throws on the first invalid value. */
   static void check(Section settings) {
     new SettingsCheck(settings).checkAll();
   }
 
-  /** What this machine may use. */
+  /** Validates the machine's limits. */
   static void checkMachine(Section limits) {
     for (String key : List.of("sockets", "memory_mb")) {
       checkIfPresent(limits, key, 1, MAX_COUNT, "a whole number, 1 to " + (int) MAX_COUNT);
@@ -88,7 +87,7 @@
     checkNumbers(root.section("familyInfo"), "messageAim", MAX_TIME_MICROS, TIME_RANGE);
   }
 
-  /** A class's name stands in the first line of a client, and in a figure's name. */
+  /** A class's name is part of a client's first line and of a metric's name. */
   private static void checkClassName(Section section, Set<String> names) {
     String name = section.string("name", "");
     if (!name.matches("[^\\s,=\\p{Cntrl}]+")) {
--- a/proxy/src/main/java/lemondeal/config/SettingsReader.java
+++ b/proxy/src/main/java/lemondeal/config/SettingsReader.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * Translates the settings object, as the simulator's wire and a proxy's configuration both carry it. Keys
- * it does not know are ignored.
+ * Converts the settings object of the simulator's protocol and of a proxy's configuration, which have the same form, to
+ * {@link Settings}. Unknown keys are ignored.
  */
 public final class SettingsReader {
   private final Map<String, Object> object;
@@ -48,7 +48,8 @@
       Object aim = classes.size() < aims.size() ? aims.get(classes.size()) : null;
       classes.add(new RequestClass(effect(section.string("semantics", "at_most_once")),
           scope(section.string("group", "all")), section.wholeNumber("dedupWindow"), section.wholeNumber("aim"),
-          section.wholeNumber("hardLimit"), section.number("gain"), aim instanceof Double micros ? micros.longValue() : 0));
+          section.wholeNumber("hardLimit"), section.number("gain"),
+          aim instanceof Double micros ? micros.longValue() : 0));
     }
     return classes;
   }
@@ -65,9 +66,9 @@
   }
 
   private static Rules rules(Section section, boolean subscribes) {
-    return new Rules(section.wholeNumber("answerSlack"), section.wholeNumber("drainGrace"), section.number("fallMultiple"),
-        section.wholeNumber("overloadFor"), section.number("coldFrom"), section.wholeNumber("warmWithin"),
-        subscribes ? section.wholeNumber("askEvery") : 0);
+    return new Rules(section.wholeNumber("answerSlack"), section.wholeNumber("drainGrace"),
+        section.number("fallMultiple"), section.wholeNumber("overloadFor"), section.number("coldFrom"),
+        section.wholeNumber("warmWithin"), subscribes ? section.wholeNumber("askEvery") : 0);
   }
 
   private static Limits limits(Section section) {
--- a/proxy/src/main/java/lemondeal/log/EventLog.java
+++ b/proxy/src/main/java/lemondeal/log/EventLog.java
@@ -1,24 +1,24 @@
 package lemondeal.log;
 
 /**
- * The program's log. An event has a level, a name that does not change, a line for people, and named fields. A key, a
- * token or a payload is in none of them.
+ * The program's log. An event has a level, a stable name, a human-readable line, and named fields. Keys, tokens and
+ * payloads must not appear in any of them.
  */
 public interface EventLog {
 
-  /** How much an event matters. */
+  /** Severity of an event. */
   enum Level { INFO, WARN, ERROR }
 
   /**
-   * Tells an event.
+   * Logs an event.
    *
-   * @param name lower case, words joined by dashes
-   * @param line for people, without an end
-   * @param fields names and values in turn
+   * @param name in lower case, words joined by dashes
+   * @param line human-readable text, without a line end
+   * @param fields alternating names and values
    */
   void event(Level level, String name, String line, Object... fields);
 
-  /** Tells a failure of the program's own, with where it happened. */
+  /** Logs an internal error with its stack trace. */
   void failure(String line, Throwable failure);
 
   default void info(String name, String line, Object... fields) {
--- a/proxy/src/main/java/lemondeal/log/JsonLog.java
+++ b/proxy/src/main/java/lemondeal/log/JsonLog.java
@@ -12,13 +12,13 @@
 import net.logstash.logback.fieldnames.LogstashFieldNames;
 
 /**
- * One JSON object a line: time, level, event, message, and the event's fields. Logback with the Logstash encoder, which
- * puts fields beside the others; Logback's own JSON encoder keeps them in a list.
+ * Writes one JSON object per line: time, level, event, message, and the event's fields. Uses Logback with the Logstash
+ * encoder, which writes fields at the top level; Logback's own JSON encoder puts them into a list.
  */
 public final class JsonLog implements EventLog {
   private final Logger logger;
 
-  /** {@code proxy}: the proxy's name, in every line. */
+  /** @param proxy the proxy's name, written in every line */
   public JsonLog(OutputStream out, String proxy) {
     LoggerContext context = new LoggerContext();
     context.setMDCAdapter(new LogbackMDCAdapter());
@@ -26,7 +26,7 @@
     encoder.setContext(context);
     encoder.setFieldNames(fieldNames());
     encoder.setTimeZone("UTC");
-    // Quoted by the library that writes it: a name is the platform's, and may hold anything.
+    // Serialized by Jackson, since the platform chooses the name and it may contain any character.
     encoder.setCustomFields(com.fasterxml.jackson.databind.node.JsonNodeFactory.instance.objectNode()
         .put("proxy", proxy).toString());
     encoder.start();
--- a/proxy/src/main/java/lemondeal/log/LogQueue.java
+++ b/proxy/src/main/java/lemondeal/log/LogQueue.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The log between those who tell and the standard error stream, which a thread of its own writes to. Guards all service
- * against a log whose reader has stopped: a write to it never returns, and the I/O thread tells, too. What is told waits
- * here up to a bound; beyond it is dropped, and counted in the log once that is read again.
+ * A bounded queue in front of the standard error stream, which a separate thread writes to. A write to a log whose
+ * reader has stopped never returns, and the I/O thread writes log lines too, so it must not write to the stream
+ * directly. Writes beyond the bound are dropped; their number is logged once the log is read again.
  */
 public final class LogQueue extends OutputStream {
-  /** Some thousand lines: enough for a collector that restarts. */
+  /** A few thousand lines: enough to cover the restart of a log collector. */
   private static final int MAX_QUEUED_BYTES = 256 * 1024;
-  /** How long the end of a program that has not been told to stop waits for the log. */
+  /** How long the JVM waits for the log at an exit without a regular stop. */
   private static final long EXIT_DRAIN_MILLIS = 500;
 
-  /** The one that stands behind {@link System#err}, or null. */
+  /** The queue behind {@link System#err}, or null. */
   private static volatile LogQueue installed;
 
   private final OutputStream log;
@@ -29,16 +29,16 @@
   private final ArrayDeque<byte[]> queuedWrites = new ArrayDeque<>();
   private int queuedBytes;
   private long droppedWrites;
-  /** Whether what was taken from the queue last is still being written. */
+  /** Whether the bytes taken from the queue last are still being written. */
   private boolean writing;
 
-  /** For this log, with so many bytes waiting at most. */
+  /** @param maxBytes maximum number of queued bytes */
   LogQueue(OutputStream log, int maxBytes) {
     this.log = log;
     this.maxBytes = maxBytes;
   }
 
-  /** From now on all that is printed to {@link System#err} goes through a queue. */
+  /** Redirects {@link System#err} through a queue. */
   public static void install() {
     LogQueue queue = new LogQueue(new FileOutputStream(FileDescriptor.err), MAX_QUEUED_BYTES);
     queue.start();
@@ -47,7 +47,7 @@
     Runtime.getRuntime().addShutdownHook(new Thread(() -> queue.drain(EXIT_DRAIN_MILLIS), "log-drain"));
   }
 
-  /** Waits until all that was told is written, or so long; nothing where no queue is installed. */
+  /** Waits until all queued bytes are written, at most this long. Does nothing if no queue is installed. */
   public static void drainInstalled(long millis) {
     LogQueue queue = installed;
     if (queue != null) {
@@ -66,7 +66,7 @@
     write(new byte[] {(byte) b}, 0, 1);
   }
 
-  /** Takes the bytes or drops them; never waits. */
+  /** Queues or drops the bytes; never blocks. */
   @Override
   public synchronized void write(byte[] bytes, int offset, int length) {
     if (length == 0) {
@@ -81,7 +81,7 @@
     notifyAll();
   }
 
-  /** Waits until all that was told is written, or so long. */
+  /** Waits until all queued bytes are written, at most this long. */
   synchronized void drain(long millis) {
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     try {
@@ -104,7 +104,7 @@
         try {
           log.write(next);
         } catch (IOException e) {
-          // As of a full disk: the line is lost, and the next one may not be.
+          // Such as a full disk: this line is lost, but the next one may succeed.
         }
       }
     } catch (InterruptedException e) {
@@ -116,7 +116,7 @@
     writing = false;
     notifyAll();
     if (queuedWrites.isEmpty() && droppedWrites > 0) {
-      byte[] notice = ("lemondeal: " + droppedWrites + " parts of the log were dropped while nobody read it\n")
+      byte[] notice = ("lemondeal: " + droppedWrites + " log writes were dropped because the log was not read\n")
           .getBytes(StandardCharsets.US_ASCII);
       droppedWrites = 0;
       writing = true;
--- a/proxy/src/main/java/lemondeal/log/PlainLog.java
+++ b/proxy/src/main/java/lemondeal/log/PlainLog.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintStream;
 
-/** One line for people an event, as it is. */
+/** Writes the human-readable line of each event unchanged. */
 public final class PlainLog implements EventLog {
   private final PrintStream out;
 
--- a/proxy/src/main/java/lemondeal/net/Dial.java
+++ b/proxy/src/main/java/lemondeal/net/Dial.java
@@ -7,7 +7,7 @@
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 
-/** A connection being opened. Tells its outcome once, on the I/O thread, unless it was called off. */
+/** A connection being opened. Reports its result once, on the I/O thread, unless it was cancelled. */
 public final class Dial {
   private final Net net;
   private final Consumer<Link> onConnected;
@@ -29,14 +29,15 @@
   }
 
   /**
-   * Looks again a moment later. Guards against a pause of the proxy itself, as in its first second on part of a core:
-   * the connection may have come up meanwhile and only not been seen, and its server would be taken for dead.
+   * Waits a little longer before it fails. The proxy itself may have been paused, as in its first second on a
+   * fraction of a core: the connection may be established with its event not processed yet, and its server would be
+   * taken for dead.
    */
   private void onTimeout() {
     timeout = net.timers().after(net.limits().pauseAllowance(), this::fail);
   }
 
-  /** Calls the dial off; nothing is told any more. */
+  /** Cancels the attempt; no callback runs any more. */
   public void cancel() {
     if (!finished) {
       finished = true;
@@ -52,7 +53,7 @@
     }
     try {
       if (finished) {
-        // The connection came up in the moment in which it was called off.
+        // The connection was established while it was being cancelled.
         IoUtils.safeClose(result.get());
         return;
       }
--- a/proxy/src/main/java/lemondeal/net/EvictingSet.java
+++ b/proxy/src/main/java/lemondeal/net/EvictingSet.java
@@ -6,8 +6,8 @@
 import java.util.function.IntSupplier;
 
 /**
- * Holders of a descriptor that have no request. They are bounded apart from all others: when there are too many,
- * the oldest is sent away, so that connections by the hundred that say nothing keep no client out.
+ * A bounded set of connections that have no request. Its bound is separate from that of other connections: a new member
+ * evicts the oldest one, so that hundreds of silent connections do not keep clients out.
  */
 public final class EvictingSet<T> {
   private final IntSupplier maxSize;
@@ -15,7 +15,7 @@
   private final LinkedHashSet<T> members = new LinkedHashSet<>();
   private boolean trimming;
 
-  /** {@code away} ends a member, which has left by then; how many there may be can change. */
+  /** {@code onEvict} closes a member that has been removed already; the bound may change between calls. */
   public EvictingSet(IntSupplier maxSize, Consumer<T> onEvict) {
     this.maxSize = maxSize;
     this.onEvict = onEvict;
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Sends away whom there is no room for any more. Who is sent away may be heard first, and so let others in and lower
-   * the bound: all of that is seen to by the one loop. Guards against a crowd whose lines have all come: each of them,
-   * heard on its way out, sent the next one away from within, until the thread's stack was full.
+   * Evicts the oldest members while the set is too large. The input of an evicted member may be read once more, which
+   * can start a request and lower the bound; a nested call therefore returns at once, and the running loop does its
+   * work. With recursion, a set of members that all had unread lines evicted one another until the stack overflowed.
    */
   public void trim() {
     if (trimming) {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Sends all away that are members now. */
+  /** Closes all current members; {@code close} has to remove its member. */
   public void closeAll(Consumer<T> close) {
     for (T member : List.copyOf(members)) {
       close.accept(member);
--- a/proxy/src/main/java/lemondeal/net/Link.java
+++ b/proxy/src/main/java/lemondeal/net/Link.java
@@ -10,26 +10,26 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * One socket, with the ring buffer of what is still to be written to it. What is read goes straight to the
- * owner, never more than the owner has room for: that is the back-pressure.
+ * One socket, with the ring buffer of bytes still to be written to it. Bytes read go straight to the owner, never more
+ * than its {@link Owner#receiveCapacity}; that is the back-pressure.
  */
 public final class Link {
 
-  /** Hears of a link, on the I/O thread. After {@link #broken} or a close of its own it hears nothing more. */
+  /** Receives a link's events on the I/O thread; none after {@link #connectionLost} or after it closed the link. */
   public interface Owner {
-    /** Bytes that {@link #received} would take now; 0 stops the reading until {@link Link#resume}. */
+    /** Bytes that {@link #received} accepts now; 0 stops reading until {@link Link#resumeReads}. */
     int receiveCapacity();
 
-    /** Takes all of the bytes. */
+    /** Must consume all of the bytes. */
     void received(ByteBuffer bytes);
 
-    /** The other side has ended its sending. */
+    /** The peer has shut down its sending side. */
     void endOfInput();
 
     /** The connection was reset or failed. */
     void connectionLost();
 
-    /** All that was sent has been written. */
+    /** All sent bytes have been written to the socket. */
     void flushed();
   }
 
@@ -37,7 +37,7 @@
   private final StreamConnection connection;
   private final ConduitStreamSourceChannel source;
   private final ConduitStreamSinkChannel sink;
-  /** Taken on first use and given back when it is empty: most links have nothing waiting. */
+  /** Allocated on first use and released when it is empty, since most links have nothing to write. */
   private RingBuffer writeBuffer;
   private Owner owner;
   private boolean closed;
@@ -45,7 +45,7 @@
   private boolean outputShutDown;
   private boolean inputEnded;
   private Timers.Timer lingerTimer;
-  /** Bytes of a lingering side that are still read and dropped. */
+  /** Bytes that are still read and discarded in a lingering close. */
   private int lingerBytesLeft;
 
   Link(Net net, StreamConnection connection) {
@@ -57,15 +57,15 @@
     sink.setWriteListener(channel -> runGuarded(this::onWritable));
   }
 
-  /** Begins to read for this owner. */
+  /** Starts reading for this owner. */
   public void start(Owner newOwner) {
     owner = newOwner;
     resumeReads();
   }
 
   /**
-   * Reads what has come already, before the selector says so. May be called while another link is being read, whose
-   * bytes still stand in the shared buffer.
+   * Reads bytes that have arrived, without waiting for the selector. Uses a buffer of its own, since it may be called
+   * while another link's bytes are in the shared read buffer.
    */
   public void readNow() {
     ByteBuffer bytes = net.ringPool().borrow();
@@ -73,22 +73,23 @@
     net.ringPool().giveBack(bytes);
   }
 
-  /** Room for bytes to be sent. */
+  /** Bytes that {@link #send} accepts now. */
   public int sendCapacity() {
-    return closed || sendingEnded ? Integer.MAX_VALUE : writeBuffer == null ? net.limits().ringBytes() : writeBuffer.free();
+    return closed || sendingEnded ? Integer.MAX_VALUE
+        : writeBuffer == null ? net.limits().ringBytes() : writeBuffer.free();
   }
 
-  /** Whether all that was sent has been written to the socket; also after the close. */
+  /** Whether all sent bytes have been written to the socket; also valid after the close. */
   public boolean isFlushed() {
     return writeBuffer == null || writeBuffer.isEmpty();
   }
 
-  /** Runs what concerns this link: a failure in it ends this connection alone. */
+  /** Runs a task of this link; if it throws, only this connection is closed. */
   public void runGuarded(Runnable task) {
     net.taskGuard().guard(task, this::fail);
   }
 
-  /** Runs the task after a time, as {@link #guarded} does. */
+  /** Runs the task after a delay, guarded as in {@link #runGuarded}. */
   public Timers.Timer after(long micros, Runnable task) {
     return net.timers().after(micros, () -> runGuarded(task));
   }
@@ -97,7 +98,7 @@
     send(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
   }
 
-  /** Sends all of the bytes, for which there must be room. What comes after the end is dropped. */
+  /** Sends all of the bytes, which must fit {@link #sendCapacity}. After {@link #endSending} they are dropped. */
   public void send(ByteBuffer bytes) {
     if (closed || sendingEnded) {
       bytes.position(bytes.limit());
@@ -110,7 +111,7 @@
     flush();
   }
 
-  /** Ends the sending once all is written; the other direction goes on. */
+  /** Shuts down the sending side once all bytes are written; reading continues. */
   public void endSending() {
     if (!closed && !sendingEnded) {
       sendingEnded = true;
@@ -118,18 +119,18 @@
     }
   }
 
-  /** Reads on, after the owner had no room. */
+  /** Resumes reading after the owner had no capacity. */
   public void resumeReads() {
     if (!closed && !inputEnded) {
       source.resumeReads();
-      // Bytes that came while the reading was suspended bring no word of their own from some selectors.
+      // Some selectors raise no event for bytes that arrived while reading was suspended.
       source.wakeupReads();
     }
   }
 
   /**
-   * Ends both directions such that what was sent still arrives: a socket closed with unread bytes is reset,
-   * and the reset overtakes what was written. The owner hears nothing more.
+   * Closes the connection such that sent bytes still arrive (lingering close): a socket closed with unread bytes
+   * sends a reset, which can overtake what was written. The owner gets no more events.
    */
   public void closeGracefully() {
     if (closed) {
@@ -147,12 +148,12 @@
     }
   }
 
-  /** Whether the link will close by itself. */
+  /** Whether a lingering close is in progress, which ends by itself. */
   public boolean isLingering() {
     return lingerTimer != null;
   }
 
-  /** Closes at once. The owner hears nothing more. */
+  /** Closes at once. The owner gets no more events. */
   public void close() {
     if (!closed) {
       closed = true;
@@ -169,8 +170,9 @@
   }
 
   /**
-   * Guards the last answer of a side that lingers no longer: a close over unread bytes would reset it. Who has sent more
-   * than is worth the time is reset on purpose: a side that is stuck in its sending would hear of no other end.
+   * Discards unread bytes at the end of a lingering close, since closing with unread bytes would reset the connection
+   * and lose the last answer. A peer that has sent more than the limit is reset on purpose: while it is blocked in
+   * sending, it would notice no other kind of close.
    */
   private void discardUnread() {
     ByteBuffer bytes = net.ringPool().borrow();
@@ -182,27 +184,27 @@
         connection.setOption(Options.CLOSE_ABORT, true);
       }
     } catch (IOException | IllegalArgumentException e) {
-      // The other side was reset: nothing can reach it any more.
+      // The connection was reset: nothing can reach the peer any more.
     } finally {
       net.ringPool().giveBack(bytes);
     }
   }
 
-  /** Closes with a reset, as the other side of a connection that was reset itself should see it. */
+  /** Closes with a reset, to pass on a reset that was received on the paired connection. */
   public void reset() {
     if (!closed) {
       try {
         connection.setOption(Options.CLOSE_ABORT, true);
       } catch (IOException | IllegalArgumentException e) {
-        // The plain close below is then the nearest thing.
+        // Falls back to the plain close below.
       }
       close();
     }
   }
 
   /**
-   * Reads for one turn. Guards against a side that sends at full speed: read until its socket is empty, it would
-   * keep all others from the one I/O thread. What is left over is told again in the next turn.
+   * Reads a bounded number of bytes per event-loop turn. Reading until the socket is empty would let a peer that
+   * sends at full speed starve all other connections. The selector reports the remaining bytes in the next turn.
    */
   private void onReadable() {
     read(net.readBuffer(Integer.MAX_VALUE));
@@ -268,12 +270,12 @@
         sink.resumeWrites();
       }
     } catch (IOException e) {
-      // Told later: whoever sends must not hear of the failure in the middle of its own work.
+      // Reported in a later task: the caller must not get the failure event in the middle of its own work.
       net.execute(() -> runGuarded(this::onWriteFailed));
     }
   }
 
-  /** What came before the other side went is still taken: it may be the last answer. */
+  /** Reads what arrived before the connection failed: it may be the last answer. */
   private void onWriteFailed() {
     onReadable();
     fail();
@@ -290,8 +292,8 @@
   }
 
   /**
-   * Reads and drops until the other side has ended too, but not without end: a side that goes on sending at full
-   * speed is not worth the time, and has had its answer.
+   * Reads and discards until the peer has closed its side too, up to a number of bytes: a peer that keeps sending at
+   * full speed has had its answer and must not take more time.
    */
   private final class LingeringOwner implements Owner {
     @Override
--- a/proxy/src/main/java/lemondeal/net/LinkPool.java
+++ b/proxy/src/main/java/lemondeal/net/LinkPool.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * Bounds the links that are kept to be used again, each of which holds a descriptor. For a new one the link that has
- * been idle for the longest is given up; where none is idle there is no room.
+ * Limits the number of links that are kept open for reuse, each of which takes a file descriptor. A new link evicts the
+ * one that has been idle for the longest; if none is idle, no further link can be opened.
  */
 public final class LinkPool {
 
-  /** Has a link that is kept. */
+  /** Owns a link that is kept open. */
   public interface Holder {
-    /** Closes the link, which is idle, and with it {@link LinkPool#release releases} its place. */
+    /** Closes the idle link and {@link LinkPool#release releases} it. */
     void evict();
   }
 
@@ -23,7 +23,7 @@
     this.maxLinks = maxLinks;
   }
 
-  /** Takes a place for one more link; false if there is none. */
+  /** Reserves capacity for one more link; returns false if there is none. */
   public boolean acquire() {
     if (linkCount >= maxLinks && !idle.isEmpty()) {
       idle.iterator().next().evict();
@@ -35,17 +35,17 @@
     return true;
   }
 
-  /** The holder's link is not in use now. */
+  /** Marks the holder's link as idle, so that it may be evicted. */
   public void markIdle(Holder holder) {
     idle.add(holder);
   }
 
-  /** The holder's link is in use again. */
+  /** Marks the holder's link as in use. */
   public void markBusy(Holder holder) {
     idle.remove(holder);
   }
 
-  /** Gives the holder's place back, with its link closed. */
+  /** Releases the capacity of the holder's link, which is closed. */
   public void release(Holder holder) {
     idle.remove(holder);
     linkCount--;
--- a/proxy/src/main/java/lemondeal/net/Listener.java
+++ b/proxy/src/main/java/lemondeal/net/Listener.java
@@ -17,16 +17,16 @@
 import org.xnio.nio.OpenListener;
 
 /**
- * A listening socket, whose connections are accepted on the I/O thread. Beyond the limit they wait in the system's
- * queue until others have closed; of that queue nothing is held here, so that {@link #suspend} leaves all that was
- * not told yet to whoever else has the socket.
+ * A listening socket, whose connections are accepted on the I/O thread. Beyond the limit, connections wait in the
+ * kernel's accept queue until others have closed. Nothing is accepted ahead into a queue here, so that after
+ * {@link #suspend} another process that shares the socket gets all connections not reported yet.
  */
 public final class Listener {
   private static final int BACKLOG = 1024;
-  /** Microseconds until accepting is tried again after a failure; doubled by each further one, up to the longest. */
+  /** Microseconds before accepting is retried after a failure; doubled at each further one, up to the maximum. */
   private static final long RETRY_DELAY_FIRST = 10_000;
   private static final long RETRY_DELAY_MAX = 80_000;
-  /** How often the rest of the system's queue is tried for at a close: about a second of failures. */
+  /** Retries to drain the kernel's accept queue at a close: about a second of failures. */
   private static final int BACKLOG_RETRIES = 15;
 
   private final Net net;
@@ -35,7 +35,7 @@
   private final AcceptingChannel<? extends StreamConnection> acceptingChannel;
   private final Set<Link> openLinks = new LinkedHashSet<>();
   private long retryDelay = RETRY_DELAY_FIRST;
-  /** Whether connections are to be accepted, though a retry may be waited for. */
+  /** Whether connections should be accepted; a retry may be pending. */
   private boolean accepting;
 
   Listener(Net net, XnioWorker worker, ServerSocketChannel channel, int maxConnections, Consumer<Link> onAccepted)
@@ -49,7 +49,7 @@
             .set(Options.CONNECTION_LOW_WATER, maxConnections - 1).getMap());
   }
 
-  /** A listening socket of this process's own. */
+  /** Opens a listening socket. */
   public static ServerSocketChannel bind(InetSocketAddress address) throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
@@ -62,40 +62,40 @@
   }
 
   /**
-   * The listening socket that this process inherited as descriptor 0. It must never be closed: the JDK then puts
-   * /dev/null in place of descriptors 0, 1 and 2, and the log would go silent.
+   * The listening socket that this process inherited as descriptor 0. It must never be closed: the JDK would then
+   * replace descriptors 0, 1 and 2 by /dev/null, and the log would be lost.
    */
   public static ServerSocketChannel inherited() throws IOException {
     Channel channel = System.inheritedChannel();
     if (channel instanceof ServerSocketChannel listening) {
       return listening;
     }
-    throw new IOException("descriptor 0 is no listening socket");
+    throw new IOException("descriptor 0 is not a listening socket");
   }
 
   public InetSocketAddress address() {
     return acceptingChannel.getLocalAddress(InetSocketAddress.class);
   }
 
-  /** Accepts from now on. */
+  /** Starts or resumes accepting. */
   public void resume() {
     accepting = true;
     acceptingChannel.resumeAccepts();
   }
 
-  /** Accepts nothing more; the socket stays open. */
+  /** Stops accepting; the socket stays open. */
   public void suspend() {
     accepting = false;
     acceptingChannel.suspendAccepts();
   }
 
   /**
-   * Closes the socket, once all who wait in the system's queue are let in. Guards those who came while this process
-   * was busy: the system resets whoever waits there, though their lines have been taken. No more are let in than that
-   * queue holds: clients that come again as soon as they are turned away would keep it open without end. Where the
-   * system fails to accept for a moment, it is tried again for about a second.
+   * Accepts all connections in the kernel's accept queue, then closes the socket. On a close the kernel resets whatever
+   * is in that queue, although it may have acknowledged those clients' first lines already; they arrived while this
+   * process was busy. At most one queue's length is accepted: clients that reconnect as soon as they are rejected would
+   * otherwise keep the socket open for ever. Failures to accept are retried for about a second.
    *
-   * @param closed run once the socket is closed
+   * @param onClosed run once the socket is closed
    */
   public void acceptBacklogAndClose(Runnable onClosed) {
     acceptBacklogAndClose(onClosed, BACKLOG_RETRIES);
@@ -115,9 +115,8 @@
   }
 
   /**
-   * Ends all that was accepted here and is still open, after a last look at what has come. Guards the answers sent
-   * last: the system resets a connection that its process leaves with unread bytes, and one whose line lay there
-   * would get no answer at all.
+   * Closes all open connections accepted here, after reading what has arrived. A connection closed with unread bytes is
+   * reset by the kernel: its last answer would be lost, and a line that was not read would get no answer at all.
    */
   public void readAndCloseAll() {
     for (Link link : List.copyOf(openLinks)) {
@@ -127,8 +126,8 @@
   }
 
   /**
-   * Lets connections in for one turn, and the others when all that is open has had its own. Guards against clients
-   * that come again as soon as they are turned away: there was always one more, and nothing was read meanwhile.
+   * Accepts a bounded number of connections per event-loop turn, so that open connections are served in between. With
+   * clients that reconnect as soon as they are rejected, an unbounded loop never ran dry and nothing else was read.
    */
   private void acceptBatch() {
     AcceptResult result = AcceptResult.ONE;
@@ -148,14 +147,15 @@
     }
   }
 
-  /** What came of accepting one connection. */
+  /** The result of accepting one connection. */
   private enum AcceptResult { ONE, NONE, FAILED }
 
   private AcceptResult acceptOne() {
     try {
       StreamConnection connection = acceptingChannel.isOpen() ? acceptingChannel.accept() : null;
       if (connection == null) {
-        return acceptingChannel.isOpen() && OpenListener.clearFailure(acceptingChannel) ? AcceptResult.FAILED : AcceptResult.NONE;
+        return acceptingChannel.isOpen() && OpenListener.clearFailure(acceptingChannel) ? AcceptResult.FAILED
+            : AcceptResult.NONE;
       }
       retryDelay = RETRY_DELAY_FIRST;
       Link link = new Link(net, connection);
@@ -164,7 +164,7 @@
       link.runGuarded(() -> onAccepted.accept(link));
       return AcceptResult.ONE;
     } catch (IOException e) {
-      net.taskGuard().report("accepting failed: " + e.getMessage());
+      net.taskGuard().report("accepting a connection failed: " + e.getMessage());
       return AcceptResult.FAILED;
     }
   }
--- a/proxy/src/main/java/lemondeal/net/Net.java
+++ b/proxy/src/main/java/lemondeal/net/Net.java
@@ -21,16 +21,16 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** XNIO with one I/O thread, on which everything runs; opens and accepts links. */
+/** The event loop: XNIO with one I/O thread, on which everything runs. Opens and accepts links. */
 public final class Net {
   private static final int READ_BUFFER_BYTES = 16 * 1024;
   /**
-   * Stands in for the library's pool of task threads, of which nothing here makes use. Its own pool brings up the
-   * JDK's management server, which took a third of the time of a start.
+   * Replaces XNIO's pool of task threads, which is not used here. XNIO's own pool starts the JDK's management server,
+   * which took a third of the start time.
    */
   private static final ExecutorService UNUSED_TASK_POOL = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS,
       new LinkedBlockingQueue<>());
-  /** Stands for a task that will not run. */
+  /** Returned for a task that will not run. */
   private static final XnioIoThread.Key NO_OP_KEY = () -> false;
   private static final OptionMap SOCKET_OPTIONS = OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
 
@@ -43,7 +43,7 @@
   private final EvictingSet<Link> lingeringLinks;
   private final LinkPool probeLinks;
   private Timers timers;
-  /** From then on connections are closed and nothing more is begun: the I/O thread would refuse it. */
+  /** Set at shutdown: no more tasks are queued, since the I/O thread would reject them. */
   private volatile boolean shuttingDown;
 
   public Net(Limits limits, TaskGuard taskGuard) throws IOException {
@@ -61,12 +61,12 @@
     thread = worker.getIoThread();
   }
 
-  /** Must be called before anything is opened. */
+  /** Must be called before any connection is opened. */
   public void setTimers(Timers newTimers) {
     timers = newTimers;
   }
 
-  /** Runs the task on the I/O thread, after what runs there now. */
+  /** Queues the task on the I/O thread, behind the current one. */
   public void execute(Runnable task) {
     if (shuttingDown) {
       return;
@@ -94,35 +94,36 @@
     return thread.executeAfter(() -> taskGuard.guard(task), micros, TimeUnit.MICROSECONDS);
   }
 
-  /** Accepts connections from this socket once the listener is resumed, at most so many at once. */
-  public Listener listen(ServerSocketChannel channel, int maxConnections, Consumer<Link> onAccepted) throws IOException {
+  /** Creates a listener on this socket, which accepts once it is resumed, up to {@code maxConnections} at a time. */
+  public Listener listen(ServerSocketChannel channel, int maxConnections, Consumer<Link> onAccepted)
+      throws IOException {
     return new Listener(this, worker, channel, maxConnections, onAccepted);
   }
 
-  /** Opens a connection; exactly one of the two is told, unless the dial is called off. */
+  /** Opens a connection; exactly one of the two callbacks runs, unless the attempt is cancelled. */
   public Dial dial(InetSocketAddress address, long timeout, Consumer<Link> onConnected, Runnable onFailed) {
     Dial dial = new Dial(this, onConnected, onFailed);
     dial.start(address, timeout);
     return dial;
   }
 
-  /** The places for links that are kept for probes. */
+  /** Limits the links that are kept open for probes. */
   public LinkPool probeLinks() {
     return probeLinks;
   }
 
-  /** Tells in the log what others did that can't be used. */
+  /** Logs a warning about something invalid that a peer did. */
   public void warn(String text) {
     taskGuard.report(text);
   }
 
-  /** Ends the threads, with whatever is still open. */
+  /** Stops the threads and closes whatever is still open. */
   public void shutdown() {
     shuttingDown = true;
     worker.shutdownNow();
   }
 
-  /** Returns when the threads have ended, or after so long. */
+  /** Waits until the threads have ended, at most this long. */
   public void awaitShutdown(long millis) throws InterruptedException {
     worker.awaitTermination(millis, TimeUnit.MILLISECONDS);
   }
@@ -151,7 +152,7 @@
     return limits;
   }
 
-  /** The buffer into which every link reads; its bytes are used up before the next read. */
+  /** The buffer that all links read into; its bytes must be consumed before the next read. */
   ByteBuffer readBuffer(int maxBytes) {
     return readBuffer.clear().limit(Math.min(maxBytes, READ_BUFFER_BYTES));
   }
--- a/proxy/src/main/java/lemondeal/net/RingBuffer.java
+++ b/proxy/src/main/java/lemondeal/net/RingBuffer.java
@@ -14,7 +14,7 @@
     this.bytes = bytes;
   }
 
-  /** Gives the memory back for reuse; whether anything was left unwritten can still be asked. */
+  /** Returns the memory to the pool; {@link #isEmpty} still shows whether any bytes were left unwritten. */
   void release(RingBufferPool pool) {
     pool.giveBack(bytes);
     bytes = null;
@@ -28,7 +28,7 @@
     return size == 0;
   }
 
-  /** Takes all of the bytes; the caller has made sure that there is room. */
+  /** Copies all of the bytes, which must fit {@link #free}. */
   void put(ByteBuffer source) {
     if (source.remaining() > free()) {
       throw new IllegalStateException("no room for " + source.remaining() + " bytes in " + free());
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Writes until the ring is empty or the socket takes no more. */
+  /** Writes until the buffer is empty or the socket accepts no more. */
   void writeTo(StreamSinkChannel sink) throws IOException {
     while (size > 0) {
       bytes.limit(Math.min(bytes.capacity(), head + size)).position(head);
--- a/proxy/src/main/java/lemondeal/net/RingBufferPool.java
+++ b/proxy/src/main/java/lemondeal/net/RingBufferPool.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** Ring buffers off the heap, kept for reuse: such memory is returned late by the collector. */
+/** Pool of off-heap ring buffers: the garbage collector frees direct memory late. */
 public final class RingBufferPool {
   private final int ringBytes;
   private final ArrayDeque<ByteBuffer> freeBuffers = new ArrayDeque<>();
@@ -16,7 +16,7 @@
     return new RingBuffer(borrow());
   }
 
-  /** The memory alone, to be given back. */
+  /** Plain memory from the pool, to be returned with {@link #giveBack}. */
   ByteBuffer borrow() {
     ByteBuffer bytes = freeBuffers.poll();
     return bytes != null ? bytes : ByteBuffer.allocateDirect(ringBytes);
--- a/proxy/src/main/java/lemondeal/net/TaskGuard.java
+++ b/proxy/src/main/java/lemondeal/net/TaskGuard.java
@@ -3,9 +3,9 @@
 import lemondeal.log.EventLog;
 
 /**
- * Where the program's own failures go. Guards against one connection's failure reaching others: what is caught
- * here is told in the log, never swallowed, and whoever ran the task goes on. A moment without memory is such a failure,
- * too: an error that passed through the timer wheel or the queue of decisions once left the process alive and deaf.
+ * Runs tasks and logs what they throw, so that the failure of one connection does not affect others and the caller
+ * continues. OutOfMemoryError and StackOverflowError are caught too: an error that escaped through the timer wheel or
+ * the queue of decisions once left a live process that no longer processed any event.
  */
 public final class TaskGuard {
   private final EventLog log;
@@ -14,7 +14,7 @@
     this.log = log;
   }
 
-  /** Runs the task; if it fails, tells so and runs {@code failed}, which may fail in its turn. */
+  /** Runs the task; if it throws, logs that and runs {@code onFailure}, whose own failure is logged too. */
   public void guard(Runnable task, Runnable onFailure) {
     try {
       task.run();
@@ -28,12 +28,12 @@
     }
   }
 
-  /** Runs a task that belongs to no connection. */
+  /** Runs a task that does not belong to a connection. */
   public void guard(Runnable task) {
     guard(task, () -> { });
   }
 
-  /** Tells of a failure that is not the program's own. */
+  /** Logs a failure that is not a bug of this program. */
   void report(String text) {
     log.warn("net", "lemondeal: " + text);
   }
--- a/proxy/src/main/java/org/xnio/nio/OpenListener.java
+++ b/proxy/src/main/java/org/xnio/nio/OpenListener.java
@@ -9,15 +9,15 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * XNIO's own server on a listening socket that is open already. XNIO binds every listener itself and has no public
- * way to take one that was inherited; its server class does, but only this package may make one. It is also made
- * to accept on the I/O thread: the public way has a thread of its own accept ahead into a queue, and connections
- * in that queue can't be told from the system's when the accepting must end at once.
+ * Runs XNIO's server on a listening socket that is already open. XNIO's public API binds every listener itself and
+ * cannot use an inherited socket; its server class can, but is accessible only in this package. The server is also
+ * configured to accept on the I/O thread: with the public API a separate thread accepts ahead into a queue, and
+ * connections in that queue cannot be told from those in the kernel's queue when accepting has to stop at once.
  */
 public final class OpenListener {
   private OpenListener() {}
 
-  /** The channel must be bound and not blocking. Accepts nothing before it is told to resume. */
+  /** Creates a suspended server on a channel, which must be bound and non-blocking. */
   public static AcceptingChannel<? extends StreamConnection> serve(XnioWorker worker, ServerSocketChannel channel,
       ChannelListener<? super AcceptingChannel<StreamConnection>> ready, OptionMap options) throws IOException {
     NioTcpServer server = new NioTcpServer((NioXnioWorker) worker, channel, options, false);
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Whether the last accept failed, for want of descriptors or memory in the system. XNIO tells that in the log alone, and
-   * then refuses to accept anything for 0.25 s, four times as long after each further failure and up to 30 s. This ends
-   * that pause: whoever calls has a retry of its own. On the I/O thread.
+   * Returns whether the last accept failed because the system ran out of descriptors or memory. XNIO only logs such a
+   * failure and then backs off: it accepts nothing for 0.25 s, four times as long after each further failure, up to
+   * 30 s. This method ends the back-off, since the caller retries by itself. Must be called on the I/O thread.
    */
   public static boolean clearFailure(AcceptingChannel<? extends StreamConnection> server) {
     NioTcpServerHandle handle = ((NioTcpServer) server).getHandle(0);
--- a/proxy/src/test/java/lemondeal/EmbeddingTest.java
+++ b/proxy/src/test/java/lemondeal/EmbeddingTest.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** README's example, compiled and run. */
+/** Compiles and runs the example in README.md. */
 class EmbeddingTest {
   private final List<String> connected = new ArrayList<>();
   private final Settings settings = new TestNode.Options().settings();
--- a/proxy/src/test/java/lemondeal/ExitTest.java
+++ b/proxy/src/test/java/lemondeal/ExitTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How the program's process ends, once its stop is carried out. */
+/** The exit of the process after a completed stop. */
 @Timeout(120)
 class ExitTest {
   private static final int RUNS = 5;
-  /** The virtual machine's own wait is 0.3 s on any machine; the end without it takes some milliseconds. */
+  /** The JVM's own wait for native threads is 0.3 s on any machine; an exit without it takes some milliseconds. */
   private static final long MAX_EXIT_MILLIS = 200;
 
   @TempDir
   Path folder;
 
-  /** A stop uses all of its time but 0.2 s where clients stay; SIGKILL may come right after. */
+  /** With clients that stay, a stop leaves only 0.2 s before a possible SIGKILL, so the exit must not take longer. */
   @Test
   void theProcessExitsAtOnceAfterTheStop() throws Exception {
     String text = Files.readString(Path.of("../example/config.json")).replace("127.0.0.1:8443", "127.0.0.1:0");
@@ -35,9 +35,10 @@
         long stoppedAt = System.nanoTime();
         assertEquals(0, program.exitCode());
         fastestMillis = Math.min(fastestMillis, (System.nanoTime() - stoppedAt) / 1_000_000);
-        assertEquals(List.of(), program.remainingLines(), "nothing is begun any more");
+        assertEquals(List.of(), program.remainingLines(), "nothing is logged after the stop");
       }
     }
-    assertTrue(fastestMillis < MAX_EXIT_MILLIS, fastestMillis + " ms from the stop's end to the process's, at the least of " + RUNS);
+    assertTrue(fastestMillis < MAX_EXIT_MILLIS,
+        fastestMillis + " ms from the end of the stop to the exit, the fastest of " + RUNS);
   }
 }
--- a/proxy/src/test/java/lemondeal/HangupEcho.java
+++ b/proxy/src/test/java/lemondeal/HangupEcho.java
@@ -1,9 +1,9 @@
 package lemondeal;
 
-/** A program that counts the SIGHUPs that it hears on standard output, until standard input ends. */
+/** Prints a line for each SIGHUP, with a count, until standard input ends. */
 final class HangupEcho {
   static final String READY = "ready";
-  static final String RECEIVED = "heard ";
+  static final String RECEIVED = "received ";
   private static int count;
 
   private HangupEcho() {}
--- a/proxy/src/test/java/lemondeal/InheritedSocketTest.java
+++ b/proxy/src/test/java/lemondeal/InheritedSocketTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program with its clients' socket as descriptor 0, as the platform starts it. No JVM can hand that down. */
+/**
+ * Starts the program with its listening socket as descriptor 0, as the platform does. A JVM cannot pass a socket to a
+ * child process, so a Perl script does.
+ */
 @Timeout(60)
 class InheritedSocketTest {
   private static final String LISTEN_AND_EXEC = "socket(S, AF_INET, SOCK_STREAM, 0)"
@@ -34,7 +37,7 @@
   @TempDir
   Path folder;
 
-  /** With one server in the list from before, since no discovery answers. It ends soon, whatever comes. */
+  /** Starts with one known server, since no discovery answers. The process is killed after a timeout. */
   private Process start() throws IOException {
     String example = Files.readString(Path.of("../example/config.json"));
     Path file = Files.writeString(folder.resolve("config.json"),
@@ -43,7 +46,7 @@
     command.addAll(List.of("perl", "-MSocket", "-e", LISTEN_AND_EXEC, ProgramCommands.java(), "-cp",
         ProgramCommands.classPath(), "lemondeal.Main", "serve"));
     ProcessBuilder builder = new ProcessBuilder(command);
-    // An address that cannot be bound: it must not be tried.
+    // GW_LISTEN cannot be bound here: the program must not try to.
     builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_LISTEN", "192.0.2.1:1",
         "GW_DISCOVERY", "127.0.0.1:1", "GW_ACCEPT_FD", "0", "GW_ADMIN_ADDR", "127.0.0.1:0"));
     Process program = builder.start();
@@ -57,7 +60,7 @@
         return line;
       }
     }
-    throw new AssertionError("the log ends without " + part);
+    throw new AssertionError("the log ended without " + part);
   }
 
   private static String send(int port, String line) throws IOException {
@@ -71,7 +74,7 @@
     return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
   }
 
-  /** When the JDK's inherited channel is closed, it silences the log: descriptors 0 to 2 become /dev/null. */
+  /** Closing the JDK's inherited channel would replace descriptors 0 to 2 by /dev/null, and the log would be lost. */
   @Test
   void servesOnTheInheritedSocketAndKeepsItsLog() throws Exception {
     Process program = start();
@@ -81,7 +84,7 @@
       await(log, "ready");
       assertEquals("200 yes", send(admin, "ready"));
       assertEquals("PONG", send(clients, "PING"));
-      // Not by the process itself: that would close its log here.
+      // Through the handle: Process.destroy() would close the log's stream in this test.
       program.toHandle().destroy();
       await(log, "stopping");
       await(log, "stopped");
--- a/proxy/src/test/java/lemondeal/LargeServerListTest.java
+++ b/proxy/src/test/java/lemondeal/LargeServerListTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program with the deploy file's flags, and the longest list that the users' pages know, however it is written. */
+/** The largest server list that the specification allows, in any formatting, with the deploy file's JVM flags. */
 @Timeout(60)
 class LargeServerListTest {
-  /** STANDING: fleets with up to sixteen times the servers, 3,200 at most. */
+  /** STANDING: fleets with up to sixteen times the servers, at most 3,200. */
   private static final int SERVERS = 3_200;
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -40,11 +40,12 @@
     String entries = IntStream.range(0, SERVERS).mapToObj(i -> lineBreak + indent.repeat(2) + "{" + List.of(
         "\"instanceId\": \"s-%08x\"".formatted(i * 2_654_435_761L & 0xffffffffL),
         "\"hostPort\": \"10.144.%d.%d:18443\"".formatted(i / 250, i % 250 + 1), "\"zone\": \"a\"",
-        "\"machineType\": \"toy\"", "\"cell\": " + i / 8, "\"lifecycle\": \"in_service\"", "\"weight\": 1.25", "\"note\": \"" + padding + "\"",
+        "\"machineType\": \"toy\"", "\"cell\": " + i / 8, "\"lifecycle\": \"in_service\"",
+        "\"weight\": 1.25", "\"note\": \"" + padding + "\"",
         "\"startedAtMs\": 1796206017000").stream().map(field -> fieldIndent + field).collect(Collectors.joining(","))
         + lineBreak + indent.repeat(2) + "}").collect(Collectors.joining(","));
-    return "{" + lineBreak + indent + "\"generation\": 7," + lineBreak + indent + "\"reset\": true," + lineBreak + indent
-        + "\"instances\": [" + entries + lineBreak + indent + "]" + lineBreak + "}\n";
+    return "{" + lineBreak + indent + "\"generation\": 7," + lineBreak + indent + "\"reset\": true," + lineBreak
+        + indent + "\"instances\": [" + entries + lineBreak + indent + "]" + lineBreak + "}\n";
   }
 
   private static void serveDiscovery(ServerSocket discovery, String list) {
@@ -67,7 +68,7 @@
     assertEquals(List.of(), errorsUntilReady(serverList(indent)));
   }
 
-  /** Whatever else a platform tells of each server. */
+  /** Entries may have additional fields. */
   @Test
   void aListWithLongEntriesIsAccepted() throws Exception {
     assertEquals(List.of(), errorsUntilReady(serverList("", "x".repeat(900))));
@@ -81,12 +82,13 @@
     }
   }
 
-  /** No server is known before, so that it is ready only with the list. */
+  /** No server is known at the start, so the proxy becomes ready only with the list. */
   private List<String> errorsUntilReady(String list) throws Exception {
     try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         RunningProgram program = start(discovery, list)) {
       program.awaitLine("lemondeal: ready");
-      return program.seenLines().stream().filter(line -> line.contains("failed inside") || line.contains("can't be")).toList();
+      return program.seenLines().stream()
+          .filter(line -> line.contains("failed inside") || line.contains("can't be")).toList();
     }
   }
 
--- a/proxy/src/test/java/lemondeal/ManyReloadsTest.java
+++ b/proxy/src/test/java/lemondeal/ManyReloadsTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** New settings in a row, in the memory that the deploy file gives, while clients of each of them stay. */
+/** Many settings reloads within the deploy file's memory limits, while clients of all earlier settings stay. */
 @Timeout(90)
 class ManyReloadsTest {
-  /** STANDING: fleets with up to sixteen times the servers, 3,200 at most. */
+  /** STANDING: fleets with up to sixteen times the servers, at most 3,200. */
   private static final int SERVERS = 3_200;
   private static final int RELOADS = 30;
   private static final String SETTINGS_APPLIED = "new settings serve what comes from now on";
@@ -35,18 +35,20 @@
   private final List<Socket> openSockets = new ArrayList<>();
 
   private static String list(int port) {
-    return IntStream.range(0, SERVERS).mapToObj(i -> "{\"instanceId\":\"s-%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"a\","
-        .formatted(i, port) + "\"machineType\":\"toy\",\"cell\":0,\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":0}")
+    return IntStream.range(0, SERVERS)
+        .mapToObj(i -> "{\"instanceId\":\"s-%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"a\",".formatted(i, port)
+            + "\"machineType\":\"toy\",\"cell\":0,\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":0}")
         .collect(Collectors.joining(","));
   }
 
-  /** Takes everybody up, and keeps the connection. */
+  /** Answers UP to every client and keeps the connection open. */
   private void serve(ServerSocket server) {
     try {
       while (true) {
         Socket accepted = server.accept();
         openSockets.add(accepted);
-        BufferedReader in = new BufferedReader(new InputStreamReader(accepted.getInputStream(), StandardCharsets.ISO_8859_1));
+        BufferedReader in = new BufferedReader(
+            new InputStreamReader(accepted.getInputStream(), StandardCharsets.ISO_8859_1));
         if (in.readLine() != null) {
           accepted.getOutputStream().write("UP r1\r\n".getBytes(StandardCharsets.ISO_8859_1));
         }
@@ -56,7 +58,7 @@
     }
   }
 
-  /** A client whose request was taken up by its server, and who stays. */
+  /** Opens a client whose request has been answered with UP, and which stays connected. */
   private BufferedReader openClient(int port, int number) throws IOException {
     Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
     openSockets.add(client);
@@ -68,7 +70,7 @@
     return in;
   }
 
-  /** The platform may write the list anew each time, with changes or without. */
+  /** The platform may rewrite the server list in the file at each reload, with or without changes. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void memorySufficesWhileClientsOfAllOldSettingsStay(boolean listChanges) throws Exception {
@@ -80,7 +82,8 @@
           .replace("127.0.0.1:8500", "127.0.0.1:1")
           .replace("\"instances\": []", "\"instances\": [" + list(server.getLocalPort()) + "]");
       Path config = Files.writeString(folder.resolve("config.json"), text);
-      try (RunningProgram program = new RunningProgram(ProgramCommands.deployed(), Map.of("GW_CONFIG", config.toString()))) {
+      try (RunningProgram program =
+          new RunningProgram(ProgramCommands.deployed(), Map.of("GW_CONFIG", config.toString()))) {
         int port = program.awaitListening().port();
         List<BufferedReader> clients = new ArrayList<>();
         for (int i = 0; i < RELOADS; i++) {
--- a/proxy/src/test/java/lemondeal/ProgramCommands.java
+++ b/proxy/src/test/java/lemondeal/ProgramCommands.java
@@ -9,14 +9,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Command lines with which tests start the program, from the classes under test and not from its jar. */
+/** Command lines by which tests start the program from the compiled classes instead of its jar. */
 public final class ProgramCommands {
   /**
-   * Starts what follows with the default action of each signal that the program hears. A signal that the test's own
-   * starter ignores, as {@code nohup} does, would be ignored in each of its child processes too.
+   * Prefix that runs a command with the default disposition of the signals that the program handles. A signal that the
+   * parent process of the tests ignores, as under {@code nohup}, would be ignored in child processes too.
    */
   public static final List<String> DEFAULT_SIGNALS = List.of("env", "--default-signal=HUP,INT,TERM");
-  /** Starts what follows as a supervisor does that ignores these signals itself. */
+  /** Prefix that runs a command with these signals ignored, as under a supervisor that ignores them. */
   public static final List<String> IGNORED_SIGNALS =
       List.of("sh", "-c", "trap '' HUP INT TERM; exec \"$@\"", "sh");
 
@@ -26,32 +26,32 @@
 
   private ProgramCommands() {}
 
-  /** {@code serve} without any flag of the JVM, hearing its signals. */
+  /** {@code serve} without JVM flags, with default signal dispositions. */
   public static List<String> serve() {
     List<String> command = new ArrayList<>(DEFAULT_SIGNALS);
     command.addAll(serveWithInheritedSignals());
     return command;
   }
 
-  /** {@code serve} without any flag of the JVM, with the signals that its starter ignores. */
+  /** {@code serve} without JVM flags, with inherited signal dispositions. */
   public static List<String> serveWithInheritedSignals() {
     return List.of(java(), "-cp", classPath(), "lemondeal.Main", "serve");
   }
 
-  /** The main method of this class, hearing its signals. */
+  /** The main method of this class, with default signal dispositions. */
   public static List<String> java(Class<?> main) {
     List<String> command = new ArrayList<>(DEFAULT_SIGNALS);
     command.addAll(List.of(java(), "-cp", classPath(), main.getName()));
     return command;
   }
 
-  /** The deploy file's flags of the JVM. */
+  /** The JVM flags in the deploy file. */
   public static List<String> deployedFlags() throws IOException {
     String line = deployedRunLine();
     return List.of(line.substring(line.indexOf(JAVA_WORD) + JAVA_WORD.length(), line.indexOf(JAR_OPTION)).split(" "));
   }
 
-  /** The deploy file's whole {@code run}, for a shell. */
+  /** The deploy file's whole {@code run} command, for a shell. */
   public static List<String> deployed() throws IOException {
     String line = deployedRunLine();
     String start = line.substring(RUN_KEY.length(), line.indexOf(JAVA_WORD));
@@ -64,12 +64,12 @@
         .filter(each -> each.startsWith(RUN_KEY)).findFirst().orElseThrow();
   }
 
-  /** The JVM's own program. */
+  /** The {@code java} executable of this JVM. */
   public static String java() {
     return Path.of(System.getProperty("java.home"), "bin", "java").toString();
   }
 
-  /** The class path under test, good in any folder. */
+  /** The tests' class path with absolute paths. */
   public static String classPath() {
     return Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
         .map(each -> Path.of(each).toAbsolutePath().toString()).collect(Collectors.joining(File.pathSeparator));
--- a/proxy/src/test/java/lemondeal/ReloadTest.java
+++ b/proxy/src/test/java/lemondeal/ReloadTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A configuration file that is replaced under a running proxy. */
+/** Changes of the configuration file while a proxy runs. */
 @Timeout(30)
 class ReloadTest {
   private static final int INITIAL_PORT = 8500;
@@ -56,7 +56,7 @@
     return config.discovery().getPort();
   }
 
-  /** The environment names the address of the start, and would hide every later one. */
+  /** The address in the environment is the one at the start and would hide all later ones. */
   @Test
   void aChangedAddressInTheFileOverridesTheEnvironment() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
@@ -67,7 +67,7 @@
         assertEquals(port, nextPort());
       }
       reload.request();
-      assertEquals(8502, nextPort(), "a file that has not changed changes nothing");
+      assertEquals(8502, nextPort(), "an unchanged file changes nothing");
     }
   }
 
@@ -86,7 +86,7 @@
     }
   }
 
-  /** What can't be served is the same line at a start, with which the program ends, and at a reload, which it outlives. */
+  /** Invalid settings give the same message at a start, which fails, and at a reload, which keeps the old ones. */
   @Test
   void invalidSettingsFailAStartAndAreRejectedByAReload() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
@@ -109,7 +109,7 @@
     }
   }
 
-  /** What only the next start can change is named, and kept until then. */
+  /** Changes that need a restart are named in the log and have no effect until then. */
   @Test
   void changesThatNeedARestartAreLogged() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
@@ -119,14 +119,14 @@
           .replace("8c1f30d27a5be964", "1").replace("\"aim\": 500000", "\"aim\": 400000"));
       reload.request();
       String line = logLines.poll(10, TimeUnit.SECONDS);
-      assertTrue(line.endsWith("; seed, limits count from the next start"), line);
+      assertTrue(line.endsWith("; seed, limits take effect at the next start"), line);
       Config config = reloaded.poll(10, TimeUnit.SECONDS);
       assertEquals(1024, config.machineLimits().sockets());
-      assertEquals(400_000, config.settings().classes().get(0).latencyTarget(), "the settings are taken over");
+      assertEquals(400_000, config.settings().classes().get(0).latencyTarget(), "the settings are applied");
     }
   }
 
-  /** A JVM that has no handler ends on SIGHUP. */
+  /** A JVM without a handler exits on SIGHUP. */
   @Test
   void everyHangupIsHandled() throws Exception {
     try (RunningProgram program = new RunningProgram(ProgramCommands.java(HangupEcho.class), Map.of())) {
--- a/proxy/src/test/java/lemondeal/RunningProgram.java
+++ b/proxy/src/test/java/lemondeal/RunningProgram.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The program in a process of its own, whose log is read line by line; killed when its time is up. */
+/** The program in a separate process, whose log is read line by line; killed after a timeout. */
 final class RunningProgram implements AutoCloseable {
   private static final int TIMEOUT_SECONDS = 30;
   private static final String LISTENING = "lemondeal: listening on ";
@@ -24,17 +24,17 @@
   private final List<String> seenLines = new ArrayList<>();
   private int port;
 
-  /** Starts it with these variables beside those of the test; what it says on either stream is its log. */
+  /** Starts it with these variables added to the tests' environment; standard output and error are its log. */
   RunningProgram(List<String> command, Map<String, String> environment) throws IOException {
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().putAll(environment);
     process = builder.start();
-    // A read of the log takes no interrupt: its end comes with the process's.
+    // A blocked read of the log cannot be interrupted; it ends when the process is killed.
     CompletableFuture.delayedExecutor(TIMEOUT_SECONDS, TimeUnit.SECONDS).execute(process::destroyForcibly);
     log = process.inputReader(StandardCharsets.UTF_8);
   }
 
-  /** The next line of the log with this in it. */
+  /** Waits for the next line of the log that contains this. */
   String awaitLine(String part) throws IOException {
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       seenLines.add(line);
@@ -42,10 +42,10 @@
         return line;
       }
     }
-    throw new AssertionError("it ended before it said '" + part + "': " + seenLines);
+    throw new AssertionError("the program ended before it logged '" + part + "': " + seenLines);
   }
 
-  /** What the log still has to say, to its end. */
+  /** The rest of the log, to its end. */
   List<String> remainingLines() throws IOException {
     return log.lines().toList();
   }
@@ -60,7 +60,7 @@
     return port;
   }
 
-  /** The lines of the log up to the one awaited last. */
+  /** The lines of the log up to the last awaited one. */
   List<String> seenLines() {
     return seenLines;
   }
@@ -69,7 +69,7 @@
     assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
-  /** The bits of the signals that the system ignores for it, as {@code /proc} tells them. */
+  /** The mask of signals that the process ignores, from {@code /proc}. */
   long ignoredSignals() throws IOException {
     String row = Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
         .filter(line -> line.startsWith("SigIgn:")).findFirst().orElseThrow();
--- a/proxy/src/test/java/lemondeal/SettingsReloadTest.java
+++ b/proxy/src/test/java/lemondeal/SettingsReloadTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole program, told by SIGHUP to go from one deployment's settings to another's. */
+/** A SIGHUP switches the running program from one deployment's settings to another's. */
 @Timeout(60)
 class SettingsReloadTest {
   @TempDir
   Path folder;
 
-  /** What a client of this class is answered; there is no server, so that one of a known class is throttled. */
+  /** The answer to a client of this class. There is no server, so a client of a known class is throttled. */
   private static String answer(int port, String requestClass) throws IOException {
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
       client.getOutputStream().write(("OPEN 00000000000000" + (requestClass.length() + 10)
--- a/proxy/src/test/java/lemondeal/SharedStoreTest.java
+++ b/proxy/src/test/java/lemondeal/SharedStoreTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many proxies whose set-ups all need one store, and all clients come at once: the store works on what was given up too,
- * so that tries without pause keep it full of work that nobody waits for any more.
+ * Many proxies whose connection set-ups all need one store, and all clients arrive at once. The store also processes
+ * abandoned calls, so retries without backoff keep it busy with work that no client waits for any more.
  */
 class SharedStoreTest {
   private static final long SECOND = TestNode.SECOND;
@@ -70,7 +70,7 @@
     return Integer.parseInt(id.substring(0, id.indexOf('/')));
   }
 
-  /** The store takes calls one after another, and does not know who has stopped waiting. */
+  /** The store processes calls one at a time and does not know which of them have timed out. */
   private void callStore(int node, int client, Send send) {
     storeFreeAt = Math.max(now, storeFreeAt) + storeCallMicros;
     long startedAt = now;
@@ -85,7 +85,7 @@
     });
   }
 
-  /** Runs for so long, with the nodes' wake-ups every few milliseconds. */
+  /** Runs the simulation for this time, with wake-ups of the nodes every few milliseconds. */
   private void run(long micros) {
     long end = now + micros;
     schedule(now, () -> tick(end));
@@ -122,7 +122,7 @@
       schedule(now + random.nextLong(SECOND / 2), () -> arrive(arriving));
     }
     run(20 * SECOND);
-    // The store alone needs 10 to 11 s for them all.
-    assertTrue(established >= clients / 2, established + " of " + clients + " came up");
+    // The store alone needs 10 to 11 s for all clients.
+    assertTrue(established >= clients / 2, established + " of " + clients + " clients were established");
   }
 }
--- a/proxy/src/test/java/lemondeal/SideBySideTest.java
+++ b/proxy/src/test/java/lemondeal/SideBySideTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two programs started in one folder with the flags of the deploy file, for two deployments. */
+/** Two programs for two deployments, started in one folder with the deploy file's flags. */
 @Timeout(60)
 class SideBySideTest {
   private static final String LISTENING = "lemondeal: listening on ";
@@ -26,7 +26,7 @@
   @TempDir
   Path folder;
 
-  /** What the deploy file runs, with this test's classes in place of the jar. */
+  /** The deploy file's command, with the compiled classes instead of the jar. */
   private static List<String> command() throws IOException {
     List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
     command.add(ProgramCommands.java());
@@ -50,7 +50,7 @@
     while (line != null && !line.startsWith(LISTENING)) {
       line = output.readLine();
     }
-    assertNotNull(line, "it ended before it listened");
+    assertNotNull(line, "the program ended before it listened");
   }
 
   /** Regular files that the process holds open for writing. */
@@ -64,7 +64,7 @@
             paths.add(file.toRealPath().toString());
           }
         } catch (NoSuchFileException e) {
-          // Closed since the folder was listed, as a jar after its classes: it is not held open. Any other failure counts.
+          // Closed since the folder was listed, such as a jar whose classes are loaded. Other failures are reported.
           assertTrue(program.isAlive(), "the program ended");
         }
       }
--- a/proxy/src/test/java/lemondeal/StartSignalsTest.java
+++ b/proxy/src/test/java/lemondeal/StartSignalsTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts by a supervisor that ignores signals: whoever starts a program so has them ignored there too. */
+/** Starts under a supervisor that ignores signals, which child processes inherit. */
 @Timeout(60)
 class StartSignalsTest {
-  /** HUP, INT and TERM in a mask of the system's, in which signal n is bit n - 1. */
+  /** HUP, INT and TERM in a signal mask, in which signal n is bit n - 1. */
   private static final long HANDLED_MASK = 1L << 0 | 1L << 1 | 1L << 14;
 
   @TempDir
--- a/proxy/src/test/java/lemondeal/codec/ParsersTest.java
+++ b/proxy/src/test/java/lemondeal/codec/ParsersTest.java
@@ -16,11 +16,11 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Random cuts of valid messages, and random garbage, against every parser. */
+/** Feeds each parser valid messages split at random, and randomly damaged ones. */
 class ParsersTest {
   private static final int MAX_LINE_BYTES = 4096;
 
-  /** Collects what an HTTP answer brings. */
+  /** Collects the parts of an HTTP response. */
   private static final class CollectedResponse implements HttpParser.Sink {
     final List<String> lines = new ArrayList<>();
     int status;
@@ -99,10 +99,11 @@
     assertEquals(String.format(line, after) + "\r\n", open.withDeadline(after));
   }
 
-  /** What Java reads as a number and no server does: the client must get its error here. */
+  /** Java parses these as numbers, but servers do not: the proxy must reject them. */
   @Example
   void nonDecimalDeadlinesAndMalformedIdsAreRejected() {
-    for (String deadline : List.of("0x1p3", "5d", "5f", "1e3", "NaN", "Infinity", "-1", "+1", " 1", "1.", "", "9".repeat(15))) {
+    for (String deadline : List.of("0x1p3", "5d", "5f", "1e3", "NaN", "Infinity", "-1", "+1", " 1", "1.", "",
+        "9".repeat(15))) {
       String line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=" + deadline;
       assertThrows(ProtocolException.class, () -> OpenLine.parse(line), deadline);
     }
--- a/proxy/src/test/java/lemondeal/codec/SplitInput.java
+++ b/proxy/src/test/java/lemondeal/codec/SplitInput.java
@@ -4,17 +4,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 
-/** Feeds a parser as a socket would: in pieces cut anywhere. Shared by all tests of parsers. */
+/** Feeds a parser as a socket would, in pieces split at random. Shared by all parser tests. */
 public final class SplitInput {
 
-  /** What takes bytes as they come. */
+  /** An incremental parser. */
   public interface Parser {
     void parse(ByteBuffer bytes) throws ProtocolException;
   }
 
   private SplitInput() {}
 
-  /** Feeds the text in pieces cut by the seed; every byte must be taken. */
+  /** Feeds the text in random pieces; the parser must consume every byte. */
   public static void feed(String text, long seed, Parser parser) throws ProtocolException {
     byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
     Random random = new Random(seed);
@@ -23,13 +23,13 @@
       ByteBuffer piece = ByteBuffer.wrap(bytes, from, length);
       parser.parse(piece);
       if (piece.hasRemaining()) {
-        throw new AssertionError("bytes are left over");
+        throw new AssertionError("the parser left bytes unconsumed");
       }
       from += length;
     }
   }
 
-  /** Feeds a valid text damaged at random places; whatever else than refusal comes of it is a failure. */
+  /** Feeds a valid text with random damage. The parser may throw only a ProtocolException with a message. */
   public static void feedDamaged(String text, long seed, Parser parser) {
     Random random = new Random(seed);
     StringBuilder damaged = new StringBuilder(text);
@@ -43,7 +43,7 @@
       });
     } catch (ProtocolException e) {
       if (e.getMessage().isEmpty()) {
-        throw new AssertionError("a refusal should say why", e);
+        throw new AssertionError("a ProtocolException needs a message", e);
       }
     }
   }
--- a/proxy/src/test/java/lemondeal/config/ConfigEquivalenceTest.java
+++ b/proxy/src/test/java/lemondeal/config/ConfigEquivalenceTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Configurations that say the same in other words are the same configuration. */
+/** Equivalent configuration files give equal configurations. */
 class ConfigEquivalenceTest {
   private static final Path EXAMPLE = Path.of("../example/config.json");
 
@@ -33,7 +33,7 @@
     assertEquals(read(text), read(ShuffledJson.of(text, new Random(seed))));
   }
 
-  /** The order of classes is said: places in the list are what the module knows them by. */
+  /** The order of classes matters, since the decision module refers to them by index; their names do not. */
   @Example
   void renamedClassesAndZonesChangeOnlyNames() throws IOException {
     String text = Files.readString(EXAMPLE);
--- a/proxy/src/test/java/lemondeal/config/ConfigTest.java
+++ b/proxy/src/test/java/lemondeal/config/ConfigTest.java
@@ -34,7 +34,7 @@
     assertEquals(List.of("chat"), config.names().classes());
     assertEquals(150_000, config.limits().connectTimeout());
     assertEquals(Config.LoadLineMeaning.DELAYS, config.loadLineMeaning());
-    assertTrue(2 * config.limits().maxClients() < 1024, "clients and servers fit the descriptors");
+    assertTrue(2 * config.limits().maxClients() < 1024, "client and server links fit the descriptors");
   }
 
   @Test
@@ -43,7 +43,7 @@
     assertEquals(99, config.listen().getPort());
   }
 
-  /** Each kind of bad configuration is told in one plain line. */
+  /** Every kind of invalid configuration is reported in one line. */
   @Test
   void badConfigurationIsReportedInOneLine() throws IOException {
     String good = Files.readString(EXAMPLE);
@@ -56,55 +56,57 @@
     assertThrows(ConfigException.class, () -> Config.read(Map.of()));
   }
 
-  /** A stop must be over before the proxy is killed: 0.7 s after the longest deadline, counted as 3 s at most. */
+  /** A stop must end before the proxy is killed, 0.7 s after the longest deadline or 3 s, whichever is less. */
   @Test
   void aStopEndsInTimeAndMovesClientsLate() {
     for (long deadline : new long[] {1_000_000, 2_000_000, 3_000_000, 4_800_000}) {
       Limits limits = Limits.of(1024, 192, 150_000, 5_000_000, deadline);
       long moveEnd = limits.drainAcceptTime() + limits.drainHoldTime() + limits.drainMoveTime();
-      assertTrue(moveEnd + limits.lingerTimeout() < limits.drainTimeout(), "moved after " + moveEnd);
+      assertTrue(moveEnd + limits.lingerTimeout() < limits.drainTimeout(), "last client moved after " + moveEnd);
       assertTrue(limits.drainTimeout() <= Math.min(deadline, 3_000_000) + 500_000);
     }
-    assertTrue(Limits.of(1024, 192, 150_000, 5_000_000, 4_800_000).drainHoldTime() > 500_000, "served meanwhile");
+    assertTrue(Limits.of(1024, 192, 150_000, 5_000_000, 4_800_000).drainHoldTime() > 500_000, "served before the move");
   }
 
-  /** Usual clients may hold a third of the descriptors, and every one of theirs needs another to its server. */
+  /** Regular clients may hold a third of the descriptors, and each needs a second one for its server link. */
   @Test
   void aThirdOfTheDescriptorsCanHoldClientsWithinTheLimit() {
     for (int sockets : new int[] {256, 384, 612, 1024}) {
       Limits limits = Limits.of(sockets, 144, 150_000, 5_000_000, 2_000_000);
       assertTrue(limits.maxClients() >= sockets / 3, "clients " + limits.maxClients() + " of " + sockets);
       assertTrue(limits.maxAccepted() >= 2 * limits.maxClients() + limits.maxPending() + limits.maxLingering());
-      assertTrue(limits.maxAccepted() <= sockets - 40, "room for files, probes and lists");
+      assertTrue(limits.maxAccepted() <= sockets - 40, "descriptors are left for files, probes and discovery");
     }
   }
 
-  /** Two processes side by side once could hold twice the descriptors of one machine. */
+  /** Two processes on one machine could together use twice its descriptors. */
   @Test
   void twoProcessesTogetherFitOneMachine() {
     for (int sockets : new int[] {592, 716, 1024}) {
       Limits limits = Limits.of(sockets, 208, 150_000, 5_000_000, 2_000_000, true, Limits.DEFAULT_RINGS_MB);
-      assertTrue(limits.maxClients() >= sockets / 3, "either may have them all: " + limits.maxClients());
+      assertTrue(limits.maxClients() >= sockets / 3, "one process can hold all clients: " + limits.maxClients());
       int idle = 2 * (limits.maxPending(limits.maxClients() - sockets / 6) + limits.maxLingering());
-      assertTrue(2 * sockets / 3 + idle + 2 * 48 <= sockets, idle + " without a request, of " + sockets);
+      assertTrue(2 * sockets / 3 + idle + 2 * 48 <= sockets, idle + " connections without a request, of " + sockets);
     }
   }
 
   /**
-   * What a process holds beside clients, counted anew: 13 files and 3 to spare; the second address's listener, its
-   * callers and one more; a watch and a fetch, each beside the one that it replaces; two that are being closed.
+   * Descriptors of a process that are not for clients, computed independently: 13 files and 3 in reserve; the admin
+   * endpoint's listener, its connections and one more; a watch and a fetch of discovery, each with its replacement; two
+   * that are being closed; and links for probes.
    */
   private static int fixedDescriptors(Limits limits) {
     return 13 + 3 + 1 + limits.maxAdminConnections() + 1 + 4 + 2 + limits.maxProbeLinks();
   }
 
-  /** Descriptors of clients with a request and without one, at the worst, while so many have a request. */
+  /** Maximum number of descriptors of clients with and without a request, while this many have a request. */
   private static int clientDescriptors(Limits limits, int activeClients) {
     int acceptSlack = 6;
-    return 2 * activeClients + limits.maxPending(limits.maxClients() - activeClients) + limits.maxLingering() + acceptSlack;
+    return 2 * activeClients + limits.maxPending(limits.maxClients() - activeClients) + limits.maxLingering()
+        + acceptSlack;
   }
 
-  /** Idle clients may fill all that is left, and there is still room for discovery, probes and the second address. */
+  /** Idle clients may use all remaining capacity without taking it from discovery, probes and the admin endpoint. */
   @Property(tries = 2000, seed = "41")
   void descriptorsSufficeForAnyNumberOfActiveClients(@ForAll @IntRange(min = 128, max = 20_000) int sockets,
       @ForAll @IntRange(min = 64, max = 4096) int memoryMb, @ForAll @IntRange(max = 100) int percentActive) {
@@ -112,21 +114,22 @@
     int activeClients = limits.maxClients() * percentActive / 100;
     assertTrue(fixedDescriptors(limits) + clientDescriptors(limits, activeClients) <= sockets,
         fixedDescriptors(limits) + " and " + clientDescriptors(limits, activeClients) + " of " + sockets);
-    assertTrue(fixedDescriptors(limits) + limits.maxAccepted() <= sockets, "no more are accepted than there is room for");
+    assertTrue(fixedDescriptors(limits) + limits.maxAccepted() <= sockets, "accepted connections fit the descriptors");
   }
 
-  /** Two processes, whose clients together hold a third of the descriptors, however they are dealt out. */
+  /** Two processes whose clients together hold a third of the descriptors, split between them in any ratio. */
   @Property(tries = 2000, seed = "42")
   void twoProcessesFitForAnySplitOfClients(@ForAll @IntRange(min = 160, max = 20_000) int sockets,
       @ForAll @IntRange(min = 64, max = 4096) int memoryMb, @ForAll @IntRange(max = 100) int percentInFirst) {
     Limits limits = Limits.of(sockets, memoryMb, 150_000, 5_000_000, 2_000_000, true, Limits.DEFAULT_RINGS_MB);
     int allClients = Math.min(sockets / 3, limits.maxClients());
     int firstClients = allClients * percentInFirst / 100;
-    int descriptors = 2 * fixedDescriptors(limits) + clientDescriptors(limits, firstClients) + clientDescriptors(limits, allClients - firstClients);
+    int descriptors = 2 * fixedDescriptors(limits) + clientDescriptors(limits, firstClients)
+        + clientDescriptors(limits, allClients - firstClients);
     assertTrue(descriptors <= sockets, descriptors + " of " + sockets);
   }
 
-  /** Each server of a fleet may have its probe link on the largest machine, and a few of them on the smallest. */
+  /** The largest machine allows a probe link to each server of a fleet, the smallest only a few. */
   @Test
   void probeLinksGrowWithTheDescriptors() {
     assertEquals(16, Limits.of(128, 192, 150_000, 5_000_000, 2_000_000).maxProbeLinks());
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Each client holds a ring a direction: rings bound clients where descriptors don't, by the operator's bound or by an
-   * eighth of the memory, whichever is less.
+   * Each client needs a ring buffer per direction. Where descriptors are plentiful, ring memory limits the clients: the
+   * operator's limit or an eighth of the memory, whichever is less.
    */
   @Test
   void ringMemoryLimitsClients() {
@@ -144,8 +147,8 @@
         Limits limits = Limits.of(100_000, memoryMb, 150_000, 5_000_000, 2_000_000, false, ringsMb);
         long ringBytes = 2L * limits.maxClients() * limits.ringBytes();
         long allowedBytes = (long) Math.min(ringsMb, memoryMb / 8) << 20;
-        assertTrue(ringBytes <= allowedBytes && ringBytes > allowedBytes - 2 * limits.ringBytes(), ringsMb + " MB of rings, " + memoryMb
-            + " MB in all: " + limits.maxClients() + " clients");
+        assertTrue(ringBytes <= allowedBytes && ringBytes > allowedBytes - 2 * limits.ringBytes(),
+            ringsMb + " MB of rings, " + memoryMb + " MB in all: " + limits.maxClients() + " clients");
       }
     }
   }
--- a/proxy/src/test/java/lemondeal/config/SettingsCheckTest.java
+++ b/proxy/src/test/java/lemondeal/config/SettingsCheckTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings that can't be served: one line that names the file, the place and what is allowed there. */
+/** Invalid settings are reported in one line that names the file, the path and what is allowed there. */
 class SettingsCheckTest {
   private static final Path EXAMPLE = Path.of("../example/config.json");
   private static final String CLASS = "{\"name\": \"chat\", \"semantics\": \"idempotent\", \"aim\": 500000, "
@@ -31,7 +31,7 @@
     return e.getMessage();
   }
 
-  /** The example with one thing in it replaced; it must be there. */
+  /** The example with a part of its text replaced, which it must contain. */
   private static String exampleWith(String original, String replacement) throws IOException {
     String good = Files.readString(EXAMPLE);
     assertTrue(good.contains(original), original);
@@ -111,7 +111,7 @@
     assertEquals(2, Config.read(Map.of("GW_CONFIG", file.toString())).settings().tenants().size());
   }
 
-  /** Deployments of other kinds of service may leave keys out, and name some that are not known. */
+  /** Deployments of other kinds of service may omit keys and have unknown ones. */
   @Test
   void absentAndUnknownKeysAreAccepted() throws IOException {
     for (String key : new String[] {"prices", "loadReport", "weightSource", "flavors", "familyInfo"}) {
--- a/proxy/src/test/java/lemondeal/log/LogQueueTest.java
+++ b/proxy/src/test/java/lemondeal/log/LogQueueTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A log whose reader stands still, or whose disk is full. */
+/** A log whose reader has stopped, or whose disk is full. */
 @Timeout(20)
 class LogQueueTest {
   private static final long TIMEOUT_MILLIS = 10_000;
 
-  /** Takes nothing until it is read, and then everything. */
+  /** Blocks all writes until it is unblocked. */
   private static final class BlockedLog extends OutputStream {
     private final CountDownLatch writeStarted = new CountDownLatch(1);
     private final CountDownLatch unblocked = new CountDownLatch(1);
@@ -25,7 +25,7 @@
 
     @Override
     public void write(int b) {
-      throw new IllegalStateException("whole lines are written at once");
+      throw new IllegalStateException("lines must be written as a whole");
     }
 
     @Override
@@ -59,13 +59,14 @@
     write(queue, "\n");
     log.unblocked.countDown();
     queue.drain(TIMEOUT_MILLIS);
-    assertEquals("a\nb\ncc\n\nlemondeal: 2 parts of the log were dropped while nobody read it\n", log.written.toString());
+    assertEquals("a\nb\ncc\n\nlemondeal: 2 log writes were dropped because the log was not read\n",
+        log.written.toString());
     write(queue, "f\n");
     queue.drain(TIMEOUT_MILLIS);
-    assertTrue(log.written.toString().endsWith("it\nf\n"), "told once");
+    assertTrue(log.written.toString().endsWith("read\nf\n"), "reported once");
   }
 
-  /** The end of the program may not hang on its log. */
+  /** The exit of the program must not hang on its log. */
   @Test
   void drainOfABlockedLogTimesOut() throws Exception {
     BlockedLog log = new BlockedLog();
--- a/proxy/src/test/java/lemondeal/net/EvictingSetTest.java
+++ b/proxy/src/test/java/lemondeal/net/EvictingSetTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Whoever is sent away may change the set and its bound meanwhile. */
+/** Evictions during which the set and its bound change. */
 class EvictingSetTest {
   private int maxSize;
   private int depth;
@@ -27,7 +27,7 @@
     IntStream.range(0, members).forEach(set::add);
   }
 
-  /** A client link made of one that is sent away takes a slot, and so the bound falls by two. */
+  /** An evicted connection can become a client link, which takes a slot and lowers the bound by two. */
   @Test
   void trimDuringEvictionDoesNotRecurse() {
     maxSize = 100_000;
@@ -53,7 +53,7 @@
     };
     set.add(3);
     assertEquals(1, maxDepth);
-    assertEquals(List.of(0, 1, 2, 3, 11), evicted, "the oldest first");
+    assertEquals(List.of(0, 1, 2, 3, 11), evicted, "the oldest is evicted first");
   }
 
   @Test
--- a/proxy/src/test/java/lemondeal/net/LinkPoolTest.java
+++ b/proxy/src/test/java/lemondeal/net/LinkPoolTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Places for links that are kept. */
+/** Limits on links that are kept open. */
 class LinkPoolTest {
   private final LinkPool pool = new LinkPool(2);
   private final List<String> evicted = new ArrayList<>();
--- a/proxy/src/test/java/lemondeal/net/LinkTest.java
+++ b/proxy/src/test/java/lemondeal/net/LinkTest.java
@@ -32,7 +32,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** Links on loopback, with peers that send more than is good. */
+/** Links on loopback, with peers that flood, reset or connect in crowds. */
 @Timeout(30)
 class LinkTest {
   private final Limits limits = Limits.of(1024, 192, 500_000, 5_000_000, 2_000_000);
@@ -41,7 +41,7 @@
   private Net net;
   private Listener listener;
 
-  /** Counts what comes before the I/O thread turns to its next task. */
+  /** Counts the bytes received in each turn of the event loop. */
   private final class CountingOwner implements Link.Owner {
     final BlockingQueue<Integer> bytesPerTurn = new LinkedBlockingQueue<>();
     private int bytesInTurn;
@@ -101,7 +101,7 @@
     return accepted.poll(10, TimeUnit.SECONDS);
   }
 
-  /** A side at full speed was once read until its socket was empty, however long that took. */
+  /** A peer sending at full speed was once read until its socket was empty, however long that took. */
   @Test
   void oneTurnReadsABoundedNumberOfBytes() throws Exception {
     try (SocketChannel peer = SocketChannel.open(listener.address())) {
@@ -111,19 +111,19 @@
       for (int count = peer.write(bytes); count > 0; count = peer.write(bytes.clear())) {
         sent += count;
       }
-      assertTrue(sent > 2L * limits.readBytesPerTurn(), "the system takes enough: " + sent);
+      assertTrue(sent > 2L * limits.readBytesPerTurn(), "bytes buffered by the system: " + sent);
       CountingOwner owner = new CountingOwner();
       Link link = nextAccepted();
       net.execute(() -> link.start(owner));
       for (long receivedBytes = 0; receivedBytes < sent; ) {
         int turnBytes = owner.bytesPerTurn.poll(10, TimeUnit.SECONDS);
-        assertTrue(turnBytes > 0 && turnBytes <= limits.readBytesPerTurn(), "one turn read " + turnBytes);
+        assertTrue(turnBytes > 0 && turnBytes <= limits.readBytesPerTurn(), "bytes read in one turn: " + turnBytes);
         receivedBytes += turnBytes;
       }
     }
   }
 
-  /** Clients that came again at once kept the I/O thread accepting: open connections were not read meanwhile. */
+  /** Clients that reconnect at once kept the I/O thread accepting, and open connections were not read. */
   @Test
   void oneTurnAcceptsABoundedNumberOfConnections() throws Exception {
     int count = 4 * limits.acceptsPerTurn();
@@ -139,7 +139,7 @@
       allConnected.countDown();
       assertTrue(firstTurn.poll(10, TimeUnit.SECONDS) <= limits.acceptsPerTurn());
       for (int i = 0; i < count; i++) {
-        assertNotNull(nextAccepted(), "all are accepted in the end");
+        assertNotNull(nextAccepted(), "all are accepted eventually");
       }
     } finally {
       for (SocketChannel peer : peers) {
@@ -148,7 +148,7 @@
     }
   }
 
-  /** A ring for each accepted connection was memory for whoever says nothing. */
+  /** A ring buffer for each accepted connection would take memory for silent clients too. */
   @Test
   void aLinkWithNothingToSendHoldsNoRingBuffer() throws Exception {
     BufferPoolMXBean direct = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Notes what it hears, in order. */
+  /** Records events in order. */
   private class RecordingOwner implements Link.Owner {
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
@@ -202,7 +202,7 @@
     }
   }
 
-  /** Returns when the link is read for this owner, and was looked at once. */
+  /** Starts the link for this owner and waits until it has been read once. */
   private void startAndAwaitFirstRead(Link link, Link.Owner owner) throws IOException {
     net.runAndWait(() -> {
       link.start(owner);
@@ -218,7 +218,7 @@
     peer.close();
   }
 
-  /** A server's last line, and its reset: a write that found the reset first once had the line dropped. */
+  /** A server sends its last line and a reset: when a write saw the reset first, the line was dropped. */
   @Test
   void aFailedWriteDoesNotDropReceivedBytes() throws Exception {
     RecordingOwner owner = new RecordingOwner();
@@ -228,7 +228,7 @@
       net.runAndWait(() -> {
         peer.write(ByteBuffer.wrap("BYE".getBytes(StandardCharsets.ISO_8859_1)));
         reset(peer);
-        // Nothing is read before this: it is the I/O thread that writes.
+        // This runs on the I/O thread, so nothing has been read before the write.
         link.send("x");
         return null;
       });
@@ -241,7 +241,7 @@
     }
   }
 
-  /** What was left unwritten is known when the connection breaks, though the link is closed by then. */
+  /** After a lost connection the closed link still shows whether all bytes were written. */
   @Test
   void aLostConnectionKnowsWhetherAllWasWritten() throws Exception {
     RecordingOwner owner = new RecordingOwner();
@@ -258,13 +258,13 @@
       reset(peer);
       assertEquals("broken", owner.next());
       net.runAndWait(() -> {
-        assertFalse(link.isFlushed(), "a part was never written");
+        assertFalse(link.isFlushed(), "some bytes were not written");
         return null;
       });
     }
   }
 
-  /** A look at one link while another is being read left the other with bytes that were not its own. */
+  /** A read of one link within a read of another overwrote the other link's bytes in the shared buffer. */
   @Test
   void aNestedReadLeavesTheBytesOfTheOuterReadIntact() throws Exception {
     RecordingOwner secondOwner = new RecordingOwner();
@@ -293,7 +293,7 @@
     }
   }
 
-  /** Time stands still: no deadline comes. */
+  /** Timers that never expire. */
   private static final class StoppedTimers implements Timers {
     @Override
     public long now() {
@@ -306,7 +306,7 @@
     }
   }
 
-  /** Small writes that the system held back went down with a reset. */
+  /** Without TCP_NODELAY the system delayed small writes, which a reset then discarded. */
   @Test
   void everySocketHasTcpNoDelay() throws Exception {
     try (ServerSocketChannel server = Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
