--- a/proxy/src/main/java/lemondeal/config/Limits.java
+++ b/proxy/src/main/java/lemondeal/config/Limits.java
@@ -23,7 +23,7 @@
  * @param readBytesPerTurn bytes read from one connection before other connections are served
  * @param maxLingerBytes bytes read at most from a connection in a lingering close
  * @param maxClients concurrent client links with a request; further ones are throttled
- * @param maxRingsMb megabytes that ring buffers may take, in addition to their limit as a share of the memory
+ * @param maxRingsMb megabytes that ring buffers may take at most; a share of the memory is a second upper limit
  * @param sharedMachine whether another process may be running on the same machine, within the same limits
  * @param maxPending concurrent connections that have not sent their first line while all client links are in use;
  *     see {@link #maxPending(int)}
@@ -32,20 +32,20 @@
  * @param acceptsPerTurn connections accepted before open connections are served
  * @param maxAdminConnections connections to the admin endpoint, also after their reply; a further one evicts the oldest
  * @param maxAdminLineBytes longest command to the admin endpoint
- * @param adminTimeout a connection to the admin endpoint without a complete command by then is closed
- * @param firstListTimeout if discovery has sent no list by then, the proxy starts to serve from the known servers
+ * @param adminTimeout a connection to the admin endpoint is closed if its command is incomplete after this time
+ * @param firstListTimeout without a list from discovery after this time, the proxy starts with the known servers
  * @param timerTick tick of the timer wheel
  * @param wheelSlots slots of the timer wheel
  * @param connectTimeout connecting to a server fails after this time
  * @param clientDeadlineMargin subtracted from a client's deadline before the decision module gets it
- * @param firstLineTimeout a client that has not sent its first line by then is disconnected: the protocol requires an
- *     end within 3 s of its connecting
- * @param serverSilenceTimeout a server with a line unanswered for this long is taken to answer nothing any more
+ * @param firstLineTimeout a client that has not sent its first line after this time is disconnected: the protocol
+ *     requires an end within 3 s of its connecting
+ * @param serverSilenceTimeout a server with a line unanswered for this long is considered unresponsive
  * @param slowAnswerDelay a line unanswered for this long is reported as a message delay
  * @param pauseAllowance added to timeouts, so that a pause of the proxy itself is not taken for a delay of the peer
  * @param maxUnanswered lines to a server whose answers are awaited at the same time
  * @param lingerTimeout duration of a lingering close, in which written bytes still arrive
- * @param moveTimeout a move that has found no end of a line by then is made regardless
+ * @param moveTimeout a move that has not found the end of a line after this time is made regardless
  * @param delayReportInterval minimum time between two delay reports on one server
  * @param delayReportShare delays above this share of the shortest message aim are reported
  * @param probeTimeout timeout for the answer to a probe
@@ -100,7 +100,7 @@
   private static final int RING_BYTES = 8192;
   /** STANDING: at most 3,200 servers. Discovery's entries have about 170 bytes; the rest allows for longer names. */
   private static final int MAX_LIST_BYTES = 3_200 * 1_280;
-  /** Ring buffers may take the memory divided by this. */
+  /** Ring buffers may use the memory divided by this. */
   private static final int RING_MEMORY_DIVISOR = 8;
   /**
    * What the platform's JVM flags leave for ring buffers: 16 MB of direct memory, less what XNIO and the JDK use. The
@@ -108,14 +108,14 @@
    */
   public static final int DEFAULT_RINGS_MB = 12;
 
-  /** A stop may take the longest deadline, at most this, plus {@link #DRAIN_EXTRA}. */
+  /** A stop may take as long as the longest deadline, capped at this, plus {@link #DRAIN_EXTRA}. */
   private static final long MAX_DRAIN_DEADLINE = 3 * SECOND;
   private static final long DRAIN_EXTRA = 500 * MILLI;
   private static final long DRAIN_ACCEPT_TIME = 450 * MILLI;
   private static final long LINGER_TIMEOUT = 500 * MILLI;
   /**
-   * PROTOCOL: a connection on which nothing comes back must be ended or moved within 7 s. Clients send a line every 2
-   * s, so the first unanswered line may come 2 s late, and 1 s is reserved for a pause of the proxy.
+   * PROTOCOL: a connection on which nothing comes back must be ended or moved within 7 s. Clients send a line every
+   * 2 s, so the first unanswered line may come 2 s late, and 1 s is reserved for a pause of the proxy.
    */
   private static final long SERVER_SILENCE_TIMEOUT = 7 * SECOND - 2 * SECOND - SECOND;
   /** Reserved at a stop, so that the last client moved can still reach the end of its line. */
--- a/proxy/src/main/java/lemondeal/config/SettingsCheck.java
+++ b/proxy/src/main/java/lemondeal/config/SettingsCheck.java
@@ -131,7 +131,7 @@
     checkIfPresent(permissions, "cpuUsPerS", 0, Double.MAX_VALUE, "a number from 0 on");
   }
 
-  // ---- Kinds of checks -----------------------------------------------------------------------
+  // ---- Checks of single values ---------------------------------------------------------------
 
   private static void checkIfPresent(Section section, String key, double min, double max, String allowed) {
     if (section.values().get(key) != null) {
--- a/proxy/src/main/java/lemondeal/net/Link.java
+++ b/proxy/src/main/java/lemondeal/net/Link.java
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Reads bytes that have arrived, without waiting for the selector. Uses a buffer of its own, since it may be called
+   * Reads bytes that have arrived, without waiting for the selector. Uses a separate buffer, since it may be called
    * while another link's bytes are in the shared read buffer.
    */
   public void readNow() {
@@ -270,7 +270,7 @@
         sink.resumeWrites();
       }
     } catch (IOException e) {
-      // Reported in a later task: the caller must not get the failure event in the middle of its own work.
+      // Reported in a later task: the caller must not get the failure event while it is still sending.
       net.execute(() -> runGuarded(this::onWriteFailed));
     }
   }
--- a/proxy/src/test/java/lemondeal/config/ConfigTest.java
+++ b/proxy/src/test/java/lemondeal/config/ConfigTest.java
@@ -56,7 +56,7 @@
     assertThrows(ConfigException.class, () -> Config.read(Map.of()));
   }
 
-  /** A stop must end before the proxy is killed, 0.7 s after the longest deadline or 3 s, whichever is less. */
+  /** The proxy is killed 0.7 s after the longest deadline, which counts as 3 s at most; a stop must end before. */
   @Test
   void aStopEndsInTimeAndMovesClientsLate() {
     for (long deadline : new long[] {1_000_000, 2_000_000, 3_000_000, 4_800_000}) {
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Two processes on one machine could together use twice its descriptors. */
+  /** Without common limits, two processes on one machine could use twice its descriptors. */
   @Test
   void twoProcessesTogetherFitOneMachine() {
     for (int sockets : new int[] {592, 716, 1024}) {
