--- a/proxy/src/main/java/lemondeal/Serve.java
+++ b/proxy/src/main/java/lemondeal/Serve.java
@@ -73,9 +73,9 @@
       if (!environment.getOrDefault("GW_TRACE", "").isEmpty()) {
         proxy.traceRequests();
       }
-      ConfigReloader reload = new ConfigReloader(config, environment, proxy::reconfigure, log,
+      ConfigReloader reloader = new ConfigReloader(config, environment, proxy::reconfigure, log,
           features == null ? () -> { } : features::reload);
-      Signals.onHangup(reload::request);
+      Signals.onHangup(reloader::request);
       warnOfIgnoredSignals(log);
       Serve serve = new Serve(proxy, features, log);
       if (serve.addShutdownHook()) {
@@ -140,8 +140,8 @@
     String address = Addresses.format(proxy.localAddress());
     log.info("listening", "lemondeal: listening on " + address, "address", address);
     if (proxy.adminAddress() != null) {
-      String second = Addresses.format(proxy.adminAddress());
-      log.info("second-address", "lemondeal: second address " + second, "address", second);
+      String adminAddress = Addresses.format(proxy.adminAddress());
+      log.info("second-address", "lemondeal: second address " + adminAddress, "address", adminAddress);
     }
   }
 
--- a/proxy/src/main/java/lemondeal/config/SettingsReader.java
+++ b/proxy/src/main/java/lemondeal/config/SettingsReader.java
@@ -36,7 +36,7 @@
     return new Settings((int) root.wholeNumber("slotNo"), (int) root.wholeNumber("balancers"),
         (int) root.wholeNumber("locality"), classes(root, family), tenants(root, family),
         rules(root.section("rules"), subscribes), limits(root.section("permissions")), prices(root.section("prices")),
-        weights(root.string("weightSource", "off")), subscribes, family.flag("groups"),
+        weightMeaning(root.string("weightSource", "off")), subscribes, family.flag("groups"),
         family.string("mode", "").equals("pass"), !via.equals("off"),
         root.string("worthBy", "request").equals("work"), root.number("overShareWorth"));
   }
@@ -46,8 +46,8 @@
     List<RequestClass> classes = new ArrayList<>();
     for (Section section : root.sections("profiles")) {
       Object aim = classes.size() < aims.size() ? aims.get(classes.size()) : null;
-      classes.add(new RequestClass(effect(section.string("semantics", "at_most_once")),
-          scope(section.string("group", "all")), section.wholeNumber("dedupWindow"), section.wholeNumber("aim"),
+      classes.add(new RequestClass(idempotency(section.string("semantics", "at_most_once")),
+          dedupScope(section.string("group", "all")), section.wholeNumber("dedupWindow"), section.wholeNumber("aim"),
           section.wholeNumber("hardLimit"), section.number("gain"),
           aim instanceof Double micros ? micros.longValue() : 0));
     }
@@ -82,7 +82,7 @@
         section.number("peer"), section.number("moves"));
   }
 
-  private static Idempotency effect(String value) {
+  private static Idempotency idempotency(String value) {
     return switch (value) {
       case "idempotent" -> Idempotency.SAFE;
       case "deduplicated" -> Idempotency.KEYED;
@@ -91,7 +91,7 @@
     };
   }
 
-  private static DedupScope scope(String value) {
+  private static DedupScope dedupScope(String value) {
     return switch (value) {
       case "all" -> DedupScope.ALL;
       case "zone" -> DedupScope.ZONE;
@@ -100,7 +100,7 @@
     };
   }
 
-  private static WeightMeaning weights(String value) {
+  private static WeightMeaning weightMeaning(String value) {
     return switch (value) {
       case "off" -> WeightMeaning.NONE;
       case "nominal" -> WeightMeaning.NOMINAL;
--- a/proxy/src/main/java/lemondeal/net/Link.java
+++ b/proxy/src/main/java/lemondeal/net/Link.java
@@ -105,7 +105,7 @@
       return;
     }
     if (writeBuffer == null) {
-      writeBuffer = net.ringPool().take();
+      writeBuffer = net.ringPool().allocate();
     }
     writeBuffer.put(bytes);
     flush();
--- a/proxy/src/main/java/lemondeal/net/RingBufferPool.java
+++ b/proxy/src/main/java/lemondeal/net/RingBufferPool.java
@@ -12,7 +12,7 @@
     this.ringBytes = ringBytes;
   }
 
-  RingBuffer take() {
+  RingBuffer allocate() {
     return new RingBuffer(borrow());
   }
 
--- a/proxy/src/test/java/lemondeal/ReloadTest.java
+++ b/proxy/src/test/java/lemondeal/ReloadTest.java
@@ -46,7 +46,7 @@
     return Map.of("GW_CONFIG", file.toString(), "GW_DISCOVERY", "127.0.0.1:" + INITIAL_PORT);
   }
 
-  private ConfigReloader reload(Map<String, String> environment) {
+  private ConfigReloader newReloader(Map<String, String> environment) {
     return new ConfigReloader(Config.read(environment), environment, reloaded::add, new PlainLog(log), () -> { });
   }
 
@@ -60,13 +60,13 @@
   @Test
   void aChangedAddressInTheFileOverridesTheEnvironment() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       for (int port : new int[] {8501, 8502}) {
         write(port);
-        reload.request();
+        reloader.request();
         assertEquals(port, nextPort());
       }
-      reload.request();
+      reloader.request();
       assertEquals(8502, nextPort(), "an unchanged file changes nothing");
     }
   }
@@ -74,14 +74,14 @@
   @Test
   void aBadFileIsLoggedInOneLineAndTheOldConfigurationStays() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       Files.writeString(Path.of(environment.get("GW_CONFIG")), "{\"name\":");
-      reload.request();
+      reloader.request();
       String line = logLines.poll(10, TimeUnit.SECONDS);
       assertTrue(line != null && line.contains("stays as it was") && !line.contains("\n"), line);
       assertTrue(reloaded.isEmpty());
       write(8501);
-      reload.request();
+      reloader.request();
       assertEquals(8501, nextPort());
     }
   }
@@ -91,7 +91,7 @@
   void invalidSettingsFailAStartAndAreRejectedByAReload() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
     Path file = Path.of(environment.get("GW_CONFIG"));
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       String good = Files.readString(file);
       for (String bad : new String[] {good.replace("\"overloadFor\": 2000000", "\"overloadFor\": 0"),
           good.replace("idempotent", "sometimes"), good.replace("\"profiles\"", "\"classes\"")}) {
@@ -99,12 +99,12 @@
         Files.writeString(file, bad);
         assertEquals(2, Serve.run(environment, null));
         String message = assertThrows(ConfigException.class, () -> Config.read(environment)).getMessage();
-        reload.request();
+        reloader.request();
         assertEquals("lemondeal: the configuration stays as it was: " + message, logLines.poll(10, TimeUnit.SECONDS));
       }
       assertTrue(reloaded.isEmpty());
       write(8501);
-      reload.request();
+      reloader.request();
       assertEquals(8501, nextPort());
     }
   }
@@ -114,10 +114,10 @@
   void changesThatNeedARestartAreLogged() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
     Path file = Path.of(environment.get("GW_CONFIG"));
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       Files.writeString(file, Files.readString(file).replace("\"sockets\": 1024", "\"sockets\": 512")
           .replace("8c1f30d27a5be964", "1").replace("\"aim\": 500000", "\"aim\": 400000"));
-      reload.request();
+      reloader.request();
       String line = logLines.poll(10, TimeUnit.SECONDS);
       assertTrue(line.endsWith("; seed, limits take effect at the next start"), line);
       Config config = reloaded.poll(10, TimeUnit.SECONDS);
--- a/proxy/src/test/java/lemondeal/StartSignalsTest.java
+++ b/proxy/src/test/java/lemondeal/StartSignalsTest.java
@@ -33,15 +33,15 @@
     environment = Map.of("GW_CONFIG", config.toString(), "GW_DISCOVERY", "127.0.0.1:1");
   }
 
-  private RunningProgram startIgnoring(List<String> command) throws IOException {
-    List<String> all = new ArrayList<>(ProgramCommands.IGNORED_SIGNALS);
-    all.addAll(command);
-    return new RunningProgram(all, environment);
+  private RunningProgram startWithSignalsIgnored(List<String> command) throws IOException {
+    List<String> fullCommand = new ArrayList<>(ProgramCommands.IGNORED_SIGNALS);
+    fullCommand.addAll(command);
+    return new RunningProgram(fullCommand, environment);
   }
 
   @Test
   void theDeployedCommandHandlesSignalsThatItsParentIgnores() throws Exception {
-    try (RunningProgram program = startIgnoring(ProgramCommands.deployed())) {
+    try (RunningProgram program = startWithSignalsIgnored(ProgramCommands.deployed())) {
       program.awaitListening();
       assertEquals(0, program.ignoredSignals() & HANDLED_MASK);
       program.signal("HUP");
@@ -53,7 +53,7 @@
 
   @Test
   void ignoredSignalsAreLoggedAtTheStart() throws Exception {
-    try (RunningProgram program = startIgnoring(ProgramCommands.serveWithInheritedSignals())) {
+    try (RunningProgram program = startWithSignalsIgnored(ProgramCommands.serveWithInheritedSignals())) {
       program.awaitListening();
       List<String> warnings = program.seenLines().stream().filter(line -> line.contains("SIGHUP")).toList();
       assertEquals(1, warnings.size(), program.seenLines()::toString);
