--- a/proxy/src/main/java/lemondeal/config/SettingsReader.java
+++ b/proxy/src/main/java/lemondeal/config/SettingsReader.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * Translates the settings object, as the simulator's wire and a proxy's configuration both carry it. Keys
- * it does not know are ignored.
+ * Converts the settings object of the simulator's protocol and of a proxy's configuration, which have the same form, to
+ * {@link Settings}. Unknown keys are ignored.
  */
 public final class SettingsReader {
   private final Map<String, Object> object;
@@ -36,7 +36,7 @@
     return new Settings((int) root.wholeNumber("slotNo"), (int) root.wholeNumber("balancers"),
         (int) root.wholeNumber("locality"), classes(root, family), tenants(root, family),
         rules(root.section("rules"), subscribes), limits(root.section("permissions")), prices(root.section("prices")),
-        weights(root.string("weightSource", "off")), subscribes, family.flag("groups"),
+        weightMeaning(root.string("weightSource", "off")), subscribes, family.flag("groups"),
         family.string("mode", "").equals("pass"), !via.equals("off"),
         root.string("worthBy", "request").equals("work"), root.number("overShareWorth"));
   }
@@ -46,9 +46,10 @@
     List<RequestClass> classes = new ArrayList<>();
     for (Section section : root.sections("profiles")) {
       Object aim = classes.size() < aims.size() ? aims.get(classes.size()) : null;
-      classes.add(new RequestClass(effect(section.string("semantics", "at_most_once")),
-          scope(section.string("group", "all")), section.wholeNumber("dedupWindow"), section.wholeNumber("aim"),
-          section.wholeNumber("hardLimit"), section.number("gain"), aim instanceof Double micros ? micros.longValue() : 0));
+      classes.add(new RequestClass(idempotency(section.string("semantics", "at_most_once")),
+          dedupScope(section.string("group", "all")), section.wholeNumber("dedupWindow"), section.wholeNumber("aim"),
+          section.wholeNumber("hardLimit"), section.number("gain"),
+          aim instanceof Double micros ? micros.longValue() : 0));
     }
     return classes;
   }
@@ -65,9 +66,9 @@
   }
 
   private static Rules rules(Section section, boolean subscribes) {
-    return new Rules(section.wholeNumber("answerSlack"), section.wholeNumber("drainGrace"), section.number("fallMultiple"),
-        section.wholeNumber("overloadFor"), section.number("coldFrom"), section.wholeNumber("warmWithin"),
-        subscribes ? section.wholeNumber("askEvery") : 0);
+    return new Rules(section.wholeNumber("answerSlack"), section.wholeNumber("drainGrace"),
+        section.number("fallMultiple"), section.wholeNumber("overloadFor"), section.number("coldFrom"),
+        section.wholeNumber("warmWithin"), subscribes ? section.wholeNumber("askEvery") : 0);
   }
 
   private static Limits limits(Section section) {
@@ -81,7 +82,7 @@
         section.number("peer"), section.number("moves"));
   }
 
-  private static Idempotency effect(String value) {
+  private static Idempotency idempotency(String value) {
     return switch (value) {
       case "idempotent" -> Idempotency.SAFE;
       case "deduplicated" -> Idempotency.KEYED;
@@ -90,7 +91,7 @@
     };
   }
 
-  private static DedupScope scope(String value) {
+  private static DedupScope dedupScope(String value) {
     return switch (value) {
       case "all" -> DedupScope.ALL;
       case "zone" -> DedupScope.ZONE;
@@ -99,7 +100,7 @@
     };
   }
 
-  private static WeightMeaning weights(String value) {
+  private static WeightMeaning weightMeaning(String value) {
     return switch (value) {
       case "off" -> WeightMeaning.NONE;
       case "nominal" -> WeightMeaning.NOMINAL;
--- a/proxy/src/test/java/lemondeal/ReloadTest.java
+++ b/proxy/src/test/java/lemondeal/ReloadTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A configuration file that is replaced under a running proxy. */
+/** Changes of the configuration file while a proxy runs. */
 @Timeout(30)
 class ReloadTest {
   private static final int INITIAL_PORT = 8500;
@@ -46,7 +46,7 @@
     return Map.of("GW_CONFIG", file.toString(), "GW_DISCOVERY", "127.0.0.1:" + INITIAL_PORT);
   }
 
-  private ConfigReloader reload(Map<String, String> environment) {
+  private ConfigReloader newReloader(Map<String, String> environment) {
     return new ConfigReloader(Config.read(environment), environment, reloaded::add, new PlainLog(log), () -> { });
   }
 
@@ -56,42 +56,42 @@
     return config.discovery().getPort();
   }
 
-  /** The environment names the address of the start, and would hide every later one. */
+  /** The address in the environment is the one at the start and would hide all later ones. */
   @Test
   void aChangedAddressInTheFileOverridesTheEnvironment() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       for (int port : new int[] {8501, 8502}) {
         write(port);
-        reload.request();
+        reloader.request();
         assertEquals(port, nextPort());
       }
-      reload.request();
-      assertEquals(8502, nextPort(), "a file that has not changed changes nothing");
+      reloader.request();
+      assertEquals(8502, nextPort(), "an unchanged file changes nothing");
     }
   }
 
   @Test
   void aBadFileIsLoggedInOneLineAndTheOldConfigurationStays() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       Files.writeString(Path.of(environment.get("GW_CONFIG")), "{\"name\":");
-      reload.request();
+      reloader.request();
       String line = logLines.poll(10, TimeUnit.SECONDS);
       assertTrue(line != null && line.contains("stays as it was") && !line.contains("\n"), line);
       assertTrue(reloaded.isEmpty());
       write(8501);
-      reload.request();
+      reloader.request();
       assertEquals(8501, nextPort());
     }
   }
 
-  /** What can't be served is the same line at a start, with which the program ends, and at a reload, which it outlives. */
+  /** Invalid settings give the same message at a start, which fails, and at a reload, which keeps the old ones. */
   @Test
   void invalidSettingsFailAStartAndAreRejectedByAReload() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
     Path file = Path.of(environment.get("GW_CONFIG"));
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       String good = Files.readString(file);
       for (String bad : new String[] {good.replace("\"overloadFor\": 2000000", "\"overloadFor\": 0"),
           good.replace("idempotent", "sometimes"), good.replace("\"profiles\"", "\"classes\"")}) {
@@ -99,34 +99,34 @@
         Files.writeString(file, bad);
         assertEquals(2, Serve.run(environment, null));
         String message = assertThrows(ConfigException.class, () -> Config.read(environment)).getMessage();
-        reload.request();
+        reloader.request();
         assertEquals("lemondeal: the configuration stays as it was: " + message, logLines.poll(10, TimeUnit.SECONDS));
       }
       assertTrue(reloaded.isEmpty());
       write(8501);
-      reload.request();
+      reloader.request();
       assertEquals(8501, nextPort());
     }
   }
 
-  /** What only the next start can change is named, and kept until then. */
+  /** Changes that need a restart are named in the log and have no effect until then. */
   @Test
   void changesThatNeedARestartAreLogged() throws Exception {
     Map<String, String> environment = write(INITIAL_PORT);
     Path file = Path.of(environment.get("GW_CONFIG"));
-    try (ConfigReloader reload = reload(environment)) {
+    try (ConfigReloader reloader = newReloader(environment)) {
       Files.writeString(file, Files.readString(file).replace("\"sockets\": 1024", "\"sockets\": 512")
           .replace("8c1f30d27a5be964", "1").replace("\"aim\": 500000", "\"aim\": 400000"));
-      reload.request();
+      reloader.request();
       String line = logLines.poll(10, TimeUnit.SECONDS);
-      assertTrue(line.endsWith("; seed, limits count from the next start"), line);
+      assertTrue(line.endsWith("; seed, limits take effect at the next start"), line);
       Config config = reloaded.poll(10, TimeUnit.SECONDS);
       assertEquals(1024, config.machineLimits().sockets());
-      assertEquals(400_000, config.settings().classes().get(0).latencyTarget(), "the settings are taken over");
+      assertEquals(400_000, config.settings().classes().get(0).latencyTarget(), "the settings are applied");
     }
   }
 
-  /** A JVM that has no handler ends on SIGHUP. */
+  /** A JVM without a handler exits on SIGHUP. */
   @Test
   void everyHangupIsHandled() throws Exception {
     try (RunningProgram program = new RunningProgram(ProgramCommands.java(HangupEcho.class), Map.of())) {
--- a/proxy/src/test/java/lemondeal/StartSignalsTest.java
+++ b/proxy/src/test/java/lemondeal/StartSignalsTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts by a supervisor that ignores signals: whoever starts a program so has them ignored there too. */
+/** Starts under a supervisor that ignores signals, which child processes inherit. */
 @Timeout(60)
 class StartSignalsTest {
-  /** HUP, INT and TERM in a mask of the system's, in which signal n is bit n - 1. */
+  /** HUP, INT and TERM in a signal mask, in which signal n is bit n - 1. */
   private static final long HANDLED_MASK = 1L << 0 | 1L << 1 | 1L << 14;
 
   @TempDir
@@ -33,15 +33,15 @@
     environment = Map.of("GW_CONFIG", config.toString(), "GW_DISCOVERY", "127.0.0.1:1");
   }
 
-  private RunningProgram startIgnoring(List<String> command) throws IOException {
-    List<String> all = new ArrayList<>(ProgramCommands.IGNORED_SIGNALS);
-    all.addAll(command);
-    return new RunningProgram(all, environment);
+  private RunningProgram startWithSignalsIgnored(List<String> command) throws IOException {
+    List<String> fullCommand = new ArrayList<>(ProgramCommands.IGNORED_SIGNALS);
+    fullCommand.addAll(command);
+    return new RunningProgram(fullCommand, environment);
   }
 
   @Test
   void theDeployedCommandHandlesSignalsThatItsParentIgnores() throws Exception {
-    try (RunningProgram program = startIgnoring(ProgramCommands.deployed())) {
+    try (RunningProgram program = startWithSignalsIgnored(ProgramCommands.deployed())) {
       program.awaitListening();
       assertEquals(0, program.ignoredSignals() & HANDLED_MASK);
       program.signal("HUP");
@@ -53,7 +53,7 @@
 
   @Test
   void ignoredSignalsAreLoggedAtTheStart() throws Exception {
-    try (RunningProgram program = startIgnoring(ProgramCommands.serveWithInheritedSignals())) {
+    try (RunningProgram program = startWithSignalsIgnored(ProgramCommands.serveWithInheritedSignals())) {
       program.awaitListening();
       List<String> warnings = program.seenLines().stream().filter(line -> line.contains("SIGHUP")).toList();
       assertEquals(1, warnings.size(), program.seenLines()::toString);
