--- a/proxy/src/main/java/lemondeal/PoolRouter.java
+++ b/proxy/src/main/java/lemondeal/PoolRouter.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * Several fleets of servers behind one {@link Balancer}, where classes have servers of their own: a module for each
- * fleet, and each request decided by its class's. Knows which fleet a request and a server belong to and decides nothing
- * itself. As pure as what it is made of. An id of a server belongs to one fleet alone.
+ * Several server pools behind one {@link Balancer}, where classes have separate servers: one decision module for each
+ * pool. Routes each event to the module of its request's class or of its server, and decides nothing itself. It has no
+ * other inputs than the modules. The id of a server is unique over all pools.
  */
 public final class PoolRouter implements Balancer {
 
-  /** Where a request is decided, until nothing of it can come any more. */
+  /** The pool of a request, kept until no further event of the request can come. */
   private static final class Route {
     private final int pool;
     private boolean attemptInFlight;
@@ -30,15 +30,15 @@
   private final Map<String, Integer> poolByServer = new HashMap<>();
 
   /**
-   * @param modules one a fleet
-   * @param fleetOf the place in {@code modules} of each class, by the class's number
+   * @param modules one for each pool
+   * @param poolByClass index in {@code modules}, by class number
    */
   public PoolRouter(List<Balancer> modules, int[] poolByClass) {
     this.modules = List.copyOf(modules);
     this.poolByClass = poolByClass.clone();
   }
 
-  /** Requests that are known now: for a test that none is kept. */
+  /** Number of requests that are tracked; for a test that none leaks. */
   int trackedRequests() {
     return routes.size();
   }
@@ -53,7 +53,7 @@
       return all;
     }
     if (event instanceof Wake e) {
-      // See #outOf: a wake's token tells whose it is.
+      // The token holds the pool, see #translate.
       int pool = (int) Math.floorMod(e.token(), (long) modules.size());
       return dispatch(pool, now, new Wake(Math.floorDiv(e.token(), (long) modules.size())));
     }
@@ -66,13 +66,13 @@
     }
     List<Action> actions = dispatch(pool, now, event);
     if (event instanceof ClientGone e) {
-      // An attempt of it may still be out, and its end is the module's to hear.
+      // If an attempt is still in flight, the route is kept: the module needs the attempt's end.
       requestAnswered(e.id());
     }
     return actions;
   }
 
-  /** Whose event it is; below 0 where its request and its server are both forgotten, and nothing is to be learnt. */
+  /** The pool of an event; negative if neither its request nor its server is known any more. */
   private int poolOfEvent(Event event) {
     if (event instanceof Arrived e) {
       return track(e.request(), false);
@@ -95,7 +95,7 @@
     } else if (event instanceof ClientGone e) {
       return findPool(e.id(), "");
     }
-    throw new IllegalArgumentException("an event without a fleet: " + event);
+    throw new IllegalArgumentException("event without a server pool: " + event);
   }
 
   private int track(Request request, boolean attemptInFlight) {
@@ -135,7 +135,7 @@
     return translated;
   }
 
-  /** The fleet's action as the caller is to see it; what it says of a request is noted. */
+  /** The action as the caller sees it: wake-up tokens get the pool. Also updates the request's route. */
   private Action translate(int pool, Action action) {
     if (action instanceof WakeAfter a) {
       return new WakeAfter(a.delay(), Math.addExact(Math.multiplyExact(a.token(), (long) modules.size()), pool));
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Before the module hears of it: it may send the next attempt in that very call. */
+  /** Called before the module gets the event: it may send the next attempt in the same call. */
   private void attemptEnded(Ended event) {
     Route route = routes.get(event.id());
     if (route != null) {
@@ -172,7 +172,7 @@
     }
   }
 
-  /** All fleets together; listed once every one of them is. */
+  /** Sum over all pools; a list counts as received once every pool has one. */
   @Override
   public ServerSummary serverSummary(long now) {
     boolean listReceived = true;
--- a/proxy/src/main/java/lemondeal/benchlink/JsonArrayReader.java
+++ b/proxy/src/main/java/lemondeal/benchlink/JsonArrayReader.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import lemondeal.codec.Json;
 
-/** Reads the values of one array in sequence; null and missing values read alike. */
+/** Reads the values of one JSON array in sequence; null counts as missing. */
 final class JsonArrayReader {
   private final JsonParser parser;
   private String context = "";
@@ -16,7 +16,7 @@
     this.parser = parser;
   }
 
-  /** Starts on an array whose opening bracket the parser stands on. */
+  /** Begins an array; the parser is at its opening bracket. */
   void begin(String name) {
     context = name;
     ended = false;
@@ -26,7 +26,7 @@
     context = name;
   }
 
-  /** Moves to the next value; false if it is null or the array is over. */
+  /** Advances to the next value; false if it is null or the array has ended. */
   private boolean next() throws IOException {
     if (ended) {
       return false;
@@ -37,12 +37,12 @@
       return false;
     }
     if (token == null) {
-      throw new WireException("input ends inside " + context);
+      throw new WireException("unexpected end of input in " + context);
     }
     return token != JsonToken.VALUE_NULL;
   }
 
-  /** Passes over whatever stands behind the known values. */
+  /** Skips any further values of the array. */
   void skipRemaining() throws IOException {
     while (!ended) {
       if (next()) {
@@ -80,7 +80,7 @@
 
   private long currentWholeNumber(String field) throws IOException {
     expect(parser.currentToken() == JsonToken.VALUE_NUMBER_INT, field, "a whole number");
-    // Seeds and tokens may use all 64 bits; what lies beyond a signed long wraps.
+    // Seeds and tokens may use all 64 bits; values beyond a signed long wrap.
     return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
         ? parser.getBigIntegerValue().longValue() : parser.getLongValue();
   }
@@ -101,7 +101,7 @@
     return parser.getBooleanValue();
   }
 
-  /** Steps into the array that is the next value; false if it is absent. */
+  /** Enters the array that is the next value; false if it is absent. */
   boolean enterArray(String field) throws IOException {
     if (!next()) {
       return false;
@@ -110,7 +110,7 @@
     return true;
   }
 
-  /** Steps to the next array inside the one entered; false at its end. */
+  /** Advances to the next array inside the entered one; false at its end. */
   boolean nextArray(String field) throws IOException {
     JsonToken token = parser.nextToken();
     if (token == JsonToken.END_ARRAY) {
@@ -120,7 +120,7 @@
     return true;
   }
 
-  /** An object of any depth as maps, lists, strings, numbers and booleans; null if absent. */
+  /** An object, with nested values as maps, lists, strings, numbers and booleans; null if absent. */
   Map<String, Object> objectOrNull(String field) throws IOException {
     if (!next()) {
       return null;
--- a/proxy/src/main/java/lemondeal/benchlink/SimulatorHost.java
+++ b/proxy/src/main/java/lemondeal/benchlink/SimulatorHost.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Hosts instances of the module by name and speaks the simulator's wire on the standard streams. */
+/** Hosts named instances of the decision module and speaks the simulator's protocol on standard input and output. */
 public final class SimulatorHost {
   private final Supplier<Balancer> moduleFactory;
   private final Map<String, Balancer> instances = new HashMap<>();
@@ -24,12 +24,12 @@
     this.moduleFactory = moduleFactory;
   }
 
-  /** Serves the standard streams until the input ends; returns the exit code. */
+  /** Serves standard input and output until the input ends; returns the exit code. */
   public static int host() throws IOException {
     return new SimulatorHost(DecisionModule::new).run(System.in, System.out, System.err);
   }
 
-  /** Answers batches until the input ends; returns the exit code. */
+  /** Replies to batches until the input ends; returns the exit code. */
   int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
     BufferedReader reader = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), 1 << 16);
     long lineNumber = 0;
--- a/proxy/src/main/java/lemondeal/benchlink/WireException.java
+++ b/proxy/src/main/java/lemondeal/benchlink/WireException.java
@@ -1,6 +1,6 @@
 package lemondeal.benchlink;
 
-/** The input does not follow the wire; the message says what is wrong and where. */
+/** Input that violates the wire protocol; the message says what is wrong and where. */
 final class WireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/proxy/src/main/java/lemondeal/benchlink/WireReader.java
+++ b/proxy/src/main/java/lemondeal/benchlink/WireReader.java
@@ -30,10 +30,10 @@
 import lemondeal.config.ConfigException;
 import lemondeal.config.SettingsReader;
 
-/** Reads one batch of the wire, a line of JSON, into the module's events. */
+/** Parses one batch, a line of JSON, into events of the module. */
 final class WireReader {
 
-  /** An event with the instance it is for; {@code event} is null where the instance was killed. */
+  /** An event and the instance that it is for; {@code event} is null if the instance is to be removed. */
   record AddressedEvent(String instance, Event event) {}
 
   record Batch(long time, List<AddressedEvent> events) {}
@@ -80,7 +80,7 @@
       throw new WireException("batch: " + (time == null ? "time" : "input") + " is missing");
     }
     if (parser.nextToken() != null) {
-      throw new WireException("something follows the batch on its line");
+      throw new WireException("unexpected data after the batch");
     }
     return new Batch(time, events);
   }
--- a/proxy/src/main/java/lemondeal/benchlink/WireWriter.java
+++ b/proxy/src/main/java/lemondeal/benchlink/WireWriter.java
@@ -18,7 +18,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Collects the actions of one batch as a reply; nothing is given out before the reply is whole. */
+/** Builds the reply to one batch in memory; it is only available as a whole. */
 final class WireWriter {
   private static final JsonFactory JSON = new JsonFactory();
 
@@ -46,7 +46,7 @@
   }
 
   void write(String instance, Action action) throws IOException {
-    // A chain of tests rather than a switch: pattern switches are only a preview in Java 17.
+    // Uses instanceof rather than a switch: pattern switches are only a preview in Java 17.
     if (action instanceof Send a) {
       beginAction("RELAY", instance, a.id());
       generator.writeNumber(a.timeout());
--- a/proxy/src/main/java/lemondeal/module/ConnectionMover.java
+++ b/proxy/src/main/java/lemondeal/module/ConnectionMover.java
@@ -2,7 +2,7 @@
 
 import lemondeal.Balancer.Move;
 
-/** Sends open connections away from their server; each is told once. */
+/** Asks clients to move their open connections to another server, each at most once. */
 record ConnectionMover(NodeState node) {
 
   void move(RequestState request) {
@@ -12,7 +12,7 @@
     }
   }
 
-  /** Sends all clients away from a server that answers neither them nor this node. */
+  /** Moves all clients from a server that answers neither them nor this node. */
   void moveAllFrom(Server server) {
     node.log(server, "silent: its clients move");
     for (RequestState request : server.openConnections) {
--- a/proxy/src/main/java/lemondeal/module/DecisionModule.java
+++ b/proxy/src/main/java/lemondeal/module/DecisionModule.java
@@ -1,12 +1,13 @@
 package lemondeal.module;
 
-// The interface of this module (settings, events, actions) is the file Balancer.java in the folder above.
+// The interface of this module (settings, events, actions) is in Balancer.java in the parent directory.
 
 import java.util.ArrayList;
 import java.util.List;
 import lemondeal.Balancer;
 
-/** The decision module of one node: wires its parts, which the package lists, and hands them each event. */
+/** The decision module of one node: creates its parts, listed in package-info, and dispatches events to
+ * them. */
 public final class DecisionModule implements Balancer {
   private final NodeState node = new NodeState();
   private final ConnectionMover mover = new ConnectionMover(node);
@@ -18,8 +19,8 @@
   private final ZoneAdmission zoneAdmission = new ZoneAdmission(node, mover);
   private final SetupLimiter setupLimiter = new SetupLimiter(node);
   private final Ranking ranking = new Ranking(node, load, health, serverShedding, slowStart, zoneAdmission);
-  private final RequestLifecycle requestLifecycle = new RequestLifecycle(node, load, health, groupShedding, slowStart, setupLimiter, ranking,
-      zoneAdmission);
+  private final RequestLifecycle requestLifecycle = new RequestLifecycle(node, load, health, groupShedding,
+      slowStart, setupLimiter, ranking, zoneAdmission);
   private final Membership membership = new Membership(node);
 
   @Override
--- a/proxy/src/main/java/lemondeal/module/GroupShedding.java
+++ b/proxy/src/main/java/lemondeal/module/GroupShedding.java
@@ -2,15 +2,19 @@
 
 import lemondeal.Balancer.Log;
 
-/** In a common overload every node turns the same groups away: with all let in, messages are late for all. */
+/** Load shedding by group when most servers are overloaded: every node refuses the same groups. With all
+ * groups admitted, messages would be late for all. */
 final class GroupShedding {
-  private static final double STEP_NEAR_TARGET = 0.1; // step of the share turned away, near the aim
-  private static final double STEP_FAR_OVER_TARGET = 0.4; // far past it: leaving fast measured better than exactly
-  private static final long STEP_INTERVAL = 900_000; // notes come once a second
-  private static final double MAX_CLASS_SHARE = 0.9; // of any class: some are always let in, to learn from
-  private static final double MAX_SHARE = 3; // of the class worth least; past 1 it grows for others
-  private static final long SHARE_HALF_LIFE = 8_000_000; // slower than it grows, and a burst passes
-  private static final double CLASS_LOAD_GAIN = 0.05; // of the newest load in its class's mean
+  private static final double STEP_NEAR_TARGET = 0.1; // of the share of groups to shed
+  // Measured: it is better to shed fast than to shed exactly as much as needed.
+  private static final double STEP_FAR_OVER_TARGET = 0.4;
+  private static final long STEP_INTERVAL = 900_000; // just under the second between two notes
+  // Some groups of each class are always admitted, to keep measuring the latency.
+  private static final double MAX_CLASS_SHARE = 0.9;
+  // Share for the class of lowest worth; beyond 1 it grows for the other classes only.
+  private static final double MAX_SHARE = 3;
+  private static final long SHARE_HALF_LIFE = 8_000_000; // decays slower than it grows; bursts are short
+  private static final double CLASS_LOAD_GAIN = 0.05; // weight of the newest load in its class's mean
 
   private final NodeState node;
   private final ConnectionMover mover;
@@ -33,7 +37,8 @@
     if (node.now - shedShareAt < STEP_INTERVAL) {
       return;
     }
-    shedShare = Math.min(MAX_SHARE, currentShare() + (farOverTarget ? STEP_FAR_OVER_TARGET : STEP_NEAR_TARGET));
+    shedShare = Math.min(MAX_SHARE,
+        currentShare() + (farOverTarget ? STEP_FAR_OVER_TARGET : STEP_NEAR_TARGET));
     shedShareAt = node.now;
     if (node.now - loggedAt >= NodeState.LOG_INTERVAL) {
       loggedAt = node.now;
@@ -58,16 +63,17 @@
         < Math.min(MAX_CLASS_SHARE, currentShare() * shareFactor(request));
   }
 
-  /** 1 for the class whose work is worth least, less for others: they are turned away later. */
+  /** 1 for the class whose work has the lowest worth, less for others: they are shed later. */
   private double shareFactor(RequestState request) {
     double lowestWorth = Double.POSITIVE_INFINITY;
     for (int classIndex = 0; classIndex < meanClassLoad.length; classIndex++) {
       lowestWorth = Math.min(lowestWorth, worthPerWork(classIndex));
     }
-    return request.requestClass == null || !(lowestWorth > 0) ? 1 : lowestWorth / worthPerWork(request.details.requestClass());
+    return request.requestClass == null || !(lowestWorth > 0) ? 1
+        : lowestWorth / worthPerWork(request.details.requestClass());
   }
 
-  /** Worth of a class for a unit of work, as far as its load is known here. */
+  /** Worth of a class per unit of work, if its load is known to this node. */
   private double worthPerWork(int classIndex) {
     double worth = node.settings.classes().get(classIndex).worth();
     boolean asGiven = node.settings.worthIsPerWork() || classesWithLoad < meanClassLoad.length;
@@ -78,7 +84,8 @@
     if (request != null && request.requestClass != null && load > 0 && load < Double.POSITIVE_INFINITY) {
       int classIndex = request.details.requestClass();
       classesWithLoad += meanClassLoad[classIndex] == 0 ? 1 : 0;
-      meanClassLoad[classIndex] = meanClassLoad[classIndex] == 0 ? load : meanClassLoad[classIndex] + CLASS_LOAD_GAIN * (load - meanClassLoad[classIndex]);
+      meanClassLoad[classIndex] = meanClassLoad[classIndex] == 0 ? load
+          : meanClassLoad[classIndex] + CLASS_LOAD_GAIN * (load - meanClassLoad[classIndex]);
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/module/Health.java
+++ b/proxy/src/main/java/lemondeal/module/Health.java
@@ -3,26 +3,33 @@
 import java.util.Arrays;
 import lemondeal.Balancer.Outcome;
 
-/** Which servers fail, and for how long they are passed over. */
+/** Passive health checks: ejects servers that fail, with exponential back-off and a half-open state. */
 record Health(NodeState node, ConnectionMover mover, LoadEstimator load, ServerShedding serverShedding) {
-  private static final long FAILURE_EJECTION_TIME = 1_000_000; // first pass-over; doubles with each further failure
-  private static final long REFUSAL_EJECTION_TIME = 250_000; // the same after a refusal: it lives and is full now
-  private static final int MAX_EJECTION_DOUBLINGS = 4; // to 16 s, near the longest that lists take to notice death
-  private static final int MAX_HALF_OPEN_PERMITS = 16; // let in after a pause at once; one success more lets all in
-  private static final double ERROR_RATE_GAIN = 0.25; // weight of the newest set-up: about four count
-  private static final double HIGH_ERROR_RATE = 0.3; // share from which one success does not clear it
+  // Time of the first ejection; doubles with each further failure.
+  private static final long FAILURE_EJECTION_TIME = 1_000_000;
+  // Time of the first ejection after a refusal: the server is alive but full.
+  private static final long REFUSAL_EJECTION_TIME = 250_000;
+  // Up to 16 s, about the longest time until lists show that a server is dead.
+  private static final int MAX_EJECTION_DOUBLINGS = 4;
+  // Most set-ups at once in the half-open state; a further success removes the limit.
+  private static final int MAX_HALF_OPEN_PERMITS = 16;
+  private static final double ERROR_RATE_GAIN = 0.25; // weight of the newest set-up: averages about four
+  private static final double HIGH_ERROR_RATE = 0.3; // above it, one success does not end the ejection
   private static final long UNANSWERED_WINDOW = 3_000_000; // about the time between two lines of a client
-  private static final int LOSS_THRESHOLD = 3; // so many within the window tell death from shedding
+  // Number of resets within the window that indicate a dead server rather than load shedding.
+  private static final int LOSS_THRESHOLD = 3;
   private static final long LOSS_WINDOW = 500_000;
 
-  /** Whether all ready servers are passed over: then the fault is not theirs. One that works proves that the
-   * others don't: with half as the limit, attempts were spent on dead ones beside sound ones with room. */
+  /** Whether all ready servers are ejected: then the fault is likely not theirs. A single working server
+   * shows that it is: with a threshold of half, attempts were wasted on dead servers while working ones had
+   * capacity. */
   boolean allServersEjected() {
     return Arrays.stream(node.listedServers).noneMatch(s -> s.isAvailable(node.now));
   }
 
-  /** Passed over, or half-open: once its pause is over a server gets one set-up until one succeeds, and then
-   * twice as many each time. All of its keys once came back at once, to time out together. */
+  /** Ejected, or half-open without permits: after an ejection a server gets one set-up until one succeeds,
+   * and after each success twice as many. Without this all of its keys once returned together and timed
+   * out. */
   boolean isEjected(Server server) {
     return node.now < server.ejectedUntil || server.halfOpenPermits <= 0;
   }
@@ -32,10 +39,11 @@
     server.ejectedUntil = Math.max(server.ejectedUntil, node.now + ejectionTime);
     server.consecutiveFailures++;
     server.halfOpenPermits = server.nextHalfOpenPermits = 1;
-    node.log(server, "passed over " + ejectionTime / 1000 + " ms: " + reason + ", strike " + server.consecutiveFailures);
+    node.log(server, "passed over " + ejectionTime / 1000 + " ms: " + reason + ", strike "
+        + server.consecutiveFailures);
   }
 
-  /** Learns from how a set-up ended. */
+  /** Updates the server's health by the outcome of a set-up. */
   void setupEnded(Server server, Outcome outcome) {
     switch (outcome) {
       case NO_CONNECTION, TIMED_OUT, RESET -> markUnreachable(server, "set-up " + outcome);
@@ -45,17 +53,19 @@
         eject(server, FAILURE_EJECTION_TIME, "answers with errors");
       }
       case SERVED -> setupSucceeded(server);
-      default -> server.halfOpenPermits = Math.max(1, server.halfOpenPermits); // it says nothing: another may try
+      // No information: allow another set-up.
+      default -> server.halfOpenPermits = Math.max(1, server.halfOpenPermits);
     }
   }
 
-  /** A success ends probation, but not that of a server which fails a large share of its set-ups. */
+  /** A success ends the ejection and resets the failure count, unless a large share of the set-ups fails. */
   private void setupSucceeded(Server server) {
     server.markReachable();
     server.errorRate -= ERROR_RATE_GAIN * server.errorRate;
     server.consecutiveFailures = server.errorRate > HIGH_ERROR_RATE ? server.consecutiveFailures / 2 : 0;
     server.ejectedUntil = server.consecutiveFailures == 0 ? NodeState.NEVER : server.ejectedUntil;
-    server.halfOpenPermits = server.nextHalfOpenPermits = server.nextHalfOpenPermits < MAX_HALF_OPEN_PERMITS ? 2 * server.nextHalfOpenPermits : Integer.MAX_VALUE;
+    server.halfOpenPermits = server.nextHalfOpenPermits = server.nextHalfOpenPermits < MAX_HALF_OPEN_PERMITS
+        ? 2 * server.nextHalfOpenPermits : Integer.MAX_VALUE;
   }
 
   void probeEnded(Server server, Outcome outcome) {
@@ -75,7 +85,8 @@
     }
   }
 
-  /** Asks a server that left a line unanswered: one that holds few of its connections else knows late. */
+  /** Probes a server that left a line unanswered: with few connections there, a node would otherwise detect a
+   * failure late. */
   void unanswered(Server server) {
     server.unansweredAt = node.now;
     if (node.now - server.unreachableAt < UNANSWERED_WINDOW) {
@@ -85,9 +96,10 @@
     }
   }
 
-  /** Several connections reset within a moment mean that the server died, long before the list says so, or
-   * cuts off what is too much for it. Where none reports its load, that is hot: a set-up that succeeds ends
-   * the pass-over and proves nothing, and clients once came back when one stood, to be cut off with it. */
+  /** Several connections reset within a short time mean that the server died, long before the list shows it,
+   * or that it drops excess load. Without load reports this also counts as high latency: a successful set-up
+   * ends the ejection but does not prove capacity, and after one all clients once returned and were reset
+   * again. */
   void connectionLost(Server server) {
     if (node.now - server.lossWindowStart > LOSS_WINDOW) {
       server.lossWindowStart = node.now;
--- a/proxy/src/main/java/lemondeal/module/Membership.java
+++ b/proxy/src/main/java/lemondeal/module/Membership.java
@@ -3,22 +3,27 @@
 import java.util.*;
 import lemondeal.Balancer.*;
 
-/** Takes the servers' list, and asks for it where it does not come unasked. */
+/** Applies server lists, and subscribes to them where discovery requires it. */
 final class Membership {
-  private static final long FIRST_CALL_SPREAD_PER_NODE = 10_000; // of first calls, for each node of the tier
-  private static final long FIRST_BACKOFF = 300_000; // mean of the first pause after a failed call; doubles
-  private static final long MAX_BACKOFF = 600_000; // calls discovery in its first second back
-  private static final long QUEUED_CALL_TIME = 300_000; // a call that failed so late waited for its turn in vain
-  private static final long OVERLOAD_BACKOFF_PER_NODE = 30_000; // mean pause then: 33 calls a second of all
+  private static final long FIRST_CALL_SPREAD_PER_NODE = 10_000; // per node of the tier
+  // Mean of the first back-off after a failed call; doubles.
+  private static final long FIRST_BACKOFF = 300_000;
+  // Short enough that each node calls within a second after discovery recovers.
+  private static final long MAX_BACKOFF = 600_000;
+  // A call that takes this long to fail has waited in discovery's queue.
+  private static final long QUEUED_CALL_TIME = 300_000;
+  // Mean back-off after such a call: 33 calls per second from all nodes together.
+  private static final long OVERLOAD_BACKOFF_PER_NODE = 30_000;
   private static final long MAX_OVERLOAD_BACKOFF = 3_000_000;
-  private static final long MAX_UNANSWERED_TIME = 5_000_000; // no answer came: its changes count after 6 s
+  // An unanswered call is repeated after this: changes must take effect within 6 s.
+  private static final long MAX_UNANSWERED_TIME = 5_000_000;
   static final long SUBSCRIBE_TOKEN = 0;
 
   private final NodeState node;
   private boolean subscribed;
-  boolean listReceived; // whether discovery has told a list since the start
+  boolean listReceived; // whether discovery has delivered a list since the start
   private int failedCalls;
-  private int failedQueuedCalls; // calls since the last list
+  private int failedQueuedCalls; // since the last list
   private long lastCallAt;
   private long nextCallAt;
 
@@ -29,7 +34,8 @@
   void start() {
     if (node.settings.mustSubscribe()) {
       long spread = FIRST_CALL_SPREAD_PER_NODE * node.settings.nodeCount();
-      scheduleCall(1 + node.random.nextLong(Math.max(1, Math.min(spread, node.settings.rules().drainGrace() / 2))));
+      scheduleCall(1 + node.random.nextLong(
+          Math.max(1, Math.min(spread, node.settings.rules().drainGrace() / 2))));
     }
   }
 
@@ -47,12 +53,14 @@
     node.actions.add(new WakeAfter(Math.max(1, delay), SUBSCRIBE_TOKEN));
   }
 
-  /** Calls again after a pause that doubles and is drawn: nodes turned away must not return together. A
-   * discovery that is down is cheap to call; one that is overrun may never come out of it by itself. */
+  /** Calls again after an exponential back-off with jitter: refused nodes must not return together. Calls to
+   * a discovery that is down are cheap; an overloaded one may never recover by itself, so they back off
+   * longer. */
   private void retryWithBackoff() {
     boolean wasQueued = !subscribed && node.now - lastCallAt >= QUEUED_CALL_TIME;
     subscribed = false;
-    long overloadBackoff = Math.min(MAX_OVERLOAD_BACKOFF, OVERLOAD_BACKOFF_PER_NODE * node.settings.nodeCount());
+    long overloadBackoff = Math.min(MAX_OVERLOAD_BACKOFF,
+        OVERLOAD_BACKOFF_PER_NODE * node.settings.nodeCount());
     long maxBackoff = wasQueued ? Math.max(MAX_BACKOFF, overloadBackoff) : MAX_BACKOFF;
     long backoff = wasQueued ? MAX_BACKOFF << Math.min(failedQueuedCalls++, 8)
         : FIRST_BACKOFF << Math.min(failedCalls++, 8);
@@ -86,9 +94,10 @@
     server.zone = entry.zone();
     server.cell = entry.cell();
     boolean draining = entry.state() != ServerState.READY;
-    server.drainingSince = !draining ? NodeState.NEVER : server.drainingSince == NodeState.NEVER ? node.now : server.drainingSince;
+    server.drainingSince = !draining ? NodeState.NEVER
+        : server.drainingSince == NodeState.NEVER ? node.now : server.drainingSince;
     server.state = entry.state();
-    // Zero is taken at its word (last in every ranking); what is no weight at all counts as 1.
+    // Weight 0 is valid (last in every ranking); an invalid weight counts as 1.
     boolean valid = entry.weight() >= 0 && entry.weight() < Double.POSITIVE_INFINITY;
     server.weight = valid ? entry.weight() : 1;
     if (entry.startedAt() != server.startedAt) {
--- a/proxy/src/main/java/lemondeal/module/NodeState.java
+++ b/proxy/src/main/java/lemondeal/module/NodeState.java
@@ -3,10 +3,10 @@
 import java.util.*;
 import lemondeal.Balancer.*;
 
-/** What all parts share: the moment of the event at hand, what is to be done, the servers and requests. */
+/** State shared by all parts: time of the current event, resulting actions, servers and requests. */
 final class NodeState {
-  static final long NEVER = Long.MIN_VALUE / 4; // before any clock reading, which may be of any value
-  static final long LOG_INTERVAL = 10_000_000; // pause between two log lines on one server
+  static final long NEVER = Long.MIN_VALUE / 4; // earlier than any clock reading; clocks may start anywhere
+  static final long LOG_INTERVAL = 10_000_000; // least time between two log lines about one server
 
   Settings settings;
   SplittableRandom random;
@@ -15,11 +15,12 @@
   long startedAt;
   List<Action> actions;
   final Map<String, Server> servers = new HashMap<>();
-  Server[] listedServers = new Server[0]; // those listed, by name: no choice rests on a map's order
-  int zoneCount; // that the listed servers are in
+  Server[] listedServers = new Server[0]; // sorted by name: no decision depends on a map's order
+  int zoneCount; // number of zones that have listed servers
   final Map<String, RequestState> requests = new LinkedHashMap<>();
-  final Map<Long, RequestState> waitingRequests = new HashMap<>(); // those that wait, by token of the wake-up
-  long nextWakeUpToken = 16; // smaller ones are for other things
+  // By token of their wake-up.
+  final Map<Long, RequestState> waitingRequests = new HashMap<>();
+  long nextWakeUpToken = 16; // smaller tokens are reserved
 
   void start(Start event) {
     settings = event.settings();
@@ -27,7 +28,8 @@
     random = new SplittableRandom(event.seed());
     double shortest = Double.POSITIVE_INFINITY;
     for (RequestClass requestClass : settings.classes()) {
-      shortest = requestClass.messageLatencyTarget() > 0 ? Math.min(shortest, requestClass.messageLatencyTarget() / 1e3) : shortest;
+      shortest = requestClass.messageLatencyTarget() > 0
+          ? Math.min(shortest, requestClass.messageLatencyTarget() / 1e3) : shortest;
     }
     shortestLatencyTargetMillis = shortest;
   }
@@ -36,7 +38,7 @@
     return servers.computeIfAbsent(name, Server::new);
   }
 
-  /** What on-call staff read: which exception acts on which server, and why; seldom for each server. */
+  /** Logs for on-call staff which exception applies to a server and why; rate-limited for each server. */
   void log(Server server, String text) {
     if (now - server.loggedAt >= LOG_INTERVAL) {
       server.loggedAt = now;
--- a/proxy/src/main/java/lemondeal/module/Rendezvous.java
+++ b/proxy/src/main/java/lemondeal/module/Rendezvous.java
@@ -1,10 +1,10 @@
 package lemondeal.module;
 
-/** The hashes and the score of weighted rendezvous hashing: the same at every node, whatever it has seen. */
+/** Hashes and scores of weighted rendezvous hashing: the same at every node, without shared state. */
 final class Rendezvous {
   private Rendezvous() {}
 
-  /** FNV-1a over the characters, then a finalizer, so that near-alike ids get unrelated hashes. */
+  /** FNV-1a over the characters, then a finalizer, so that similar ids get unrelated hashes. */
   static long hash(String text) {
     long h = 0xcbf29ce484222325L;
     for (int i = 0; i < text.length(); i++) {
@@ -20,13 +20,13 @@
     return h ^ (h >>> 31);
   }
 
-  /** A hash as a number between 0 and 1, neither of them, for its logarithm. Of 52 bits: with 53 the largest
-   * hash would round to 1. */
+  /** Maps a hash to the open interval (0, 1), so that its logarithm is finite and not 0. Uses 52 bits: with
+   * 53 bits the largest hash would round to 1. */
   static double toUnitInterval(long h) {
     return ((h >>> 12) + 0.5) * 0x1.0p-52;
   }
 
-  /** The design's score, -w / log(Hash(O, S) / Hmax). */
+  /** The score of the design, -w / log(Hash(O, S) / Hmax). */
   static double score(long keyHash, long serverHash, double weight) {
     return -weight / StrictMath.log(toUnitInterval(mix(keyHash ^ serverHash)));
   }
--- a/proxy/src/main/java/lemondeal/module/RequestLifecycle.java
+++ b/proxy/src/main/java/lemondeal/module/RequestLifecycle.java
@@ -3,11 +3,12 @@
 import java.util.List;
 import lemondeal.Balancer.*;
 
-/** The life of a request: its attempts, its waits and its final answer. */
-record RequestLifecycle(NodeState node, LoadEstimator load, Health health, GroupShedding groupShedding, SlowStart slowStart, SetupLimiter setupLimiter,
-    Ranking ranking, ZoneAdmission zoneAdmission) {
-  private static final long HOLD_INTERVAL = 100_000; // before a held request looks again for a server
-  private static final long ANSWER_MARGIN = 30_000; // before the client leaves; a few ticks of any node
+/** Handles a request from its arrival: its attempts, its waits and its final answer. */
+record RequestLifecycle(NodeState node, LoadEstimator load, Health health, GroupShedding groupShedding,
+    SlowStart slowStart, SetupLimiter setupLimiter, Ranking ranking, ZoneAdmission zoneAdmission) {
+  private static final long HOLD_INTERVAL = 100_000; // between two placements of a held request
+  // Time of the final answer before the client's deadline: a few timer ticks of any node.
+  private static final long ANSWER_MARGIN = 30_000;
 
   void arrived(Request details) {
     RequestState request = new RequestState(details, node.settings);
@@ -33,7 +34,8 @@
     long timeLeft = request.details.due() - node.now;
     if (timeLeft <= ANSWER_MARGIN
         || (groupShedding.isShed(request) && !request.details.midFlow() && !ranking.hasCapacityAgain(request))
-        || request.triedServers.size() >= node.settings.limits().maxAttempts() || request.remainingRepeatTime(node.now) <= 0
+        || request.triedServers.size() >= node.settings.limits().maxAttempts()
+        || request.remainingRepeatTime(node.now) <= 0
         || timeLeft < setupLimiter.expectedTime(request)) {
       giveUp(request);
       return;
@@ -81,7 +83,8 @@
   private void hold(RequestState request, long timeLeft) {
     request.wakeUpToken = node.nextWakeUpToken++;
     node.waitingRequests.put(request.wakeUpToken, request);
-    node.actions.add(new WakeAfter(Math.max(1, Math.min(HOLD_INTERVAL, timeLeft - ANSWER_MARGIN)), request.wakeUpToken));
+    node.actions.add(new WakeAfter(Math.max(1, Math.min(HOLD_INTERVAL, timeLeft - ANSWER_MARGIN)),
+        request.wakeUpToken));
   }
 
   private void giveUp(RequestState request) {
@@ -95,10 +98,11 @@
     setupLimiter.queue.remove(request);
   }
 
-  /** When coming again makes sense: the client is told, rather than held so that it does not come. */
+  /** Time after which a retry may succeed. The client gets it instead of being held until its deadline. */
   private long retryAfter(RequestState request) {
     Limits limits = node.settings.limits();
-    long delay = groupShedding.isShed(request) ? limits.maxRetryAfter() : Math.max(HOLD_INTERVAL, ranking.timeUntilCapacity(request));
+    long delay = groupShedding.isShed(request) ? limits.maxRetryAfter()
+        : Math.max(HOLD_INTERVAL, ranking.timeUntilCapacity(request));
     return !limits.mayAdviseRetryAfter() ? 0
         : Math.min(limits.maxRetryAfter(), Math.max(delay, setupLimiter.backoffUntil - node.now));
   }
@@ -165,7 +169,7 @@
     }
   }
 
-  /** Only the newest wake-up of a request counts: each look sets one, and they would add up. */
+  /** Only a request's latest wake-up counts: each check schedules one, and they would accumulate. */
   void wakeUp(long token) {
     RequestState request = node.waitingRequests.remove(token);
     if (request != null && request.wakeUpToken == token) {
@@ -173,7 +177,7 @@
     }
   }
 
-  /** Goes on with those that wait for a set-up, as far as may start by now. */
+  /** Starts queued set-ups as far as the limit allows. */
   void drainQueue() {
     while (!setupLimiter.queue.isEmpty() && setupLimiter.mayStart()) {
       RequestState request = setupLimiter.queue.poll();
--- a/proxy/src/main/java/lemondeal/module/RequestState.java
+++ b/proxy/src/main/java/lemondeal/module/RequestState.java
@@ -5,36 +5,38 @@
 import java.util.*;
 import lemondeal.Balancer.*;
 
-/** One request, from its arrival to its final answer or its connection's end; which repeats it allows. */
+/** State of one request from its arrival to its final answer or the end of its connection, and the rules for
+ * its retries. */
 final class RequestState {
   final Request details;
-  final RequestClass requestClass; // null for a class that this node was never told of
+  final RequestClass requestClass; // null if the class is not in the settings
   final long groupHash;
   final long clientHash;
-  final double loadHint; // that it usually asks for, by its hint; 0 without one
+  final double loadHint; // expected load, by the request's hint; 0 without one
   final List<Server> triedServers = new ArrayList<>(2);
   boolean attemptInFlight;
   boolean established;
-  Server boundServer; // of the first attempt that may have run or is out: binds later ones
-  long boundAt; // when that was sent
+  Server boundServer; // of the first attempt that may have run or is in flight; limits retries
+  long boundAt; // when that attempt was sent
   boolean mayHaveRun;
   int probeCount;
   boolean queued;
-  long wakeUpToken; // token of its newest wake-up
+  long wakeUpToken; // of its latest wake-up
   boolean moveSent;
-  boolean clientLeft; // the client has left; only the outcome of the attempt that is out is awaited
+  boolean clientLeft; // only the outcome of the attempt in flight is awaited
 
   RequestState(Request details, Settings settings) {
     this.details = details;
     this.loadHint = details.cost() > 0 && details.cost() < Double.POSITIVE_INFINITY ? details.cost() : 0;
     int classIndex = details.requestClass();
-    this.requestClass = classIndex >= 0 && classIndex < settings.classes().size() ? settings.classes().get(classIndex) : null;
+    this.requestClass = classIndex >= 0 && classIndex < settings.classes().size()
+        ? settings.classes().get(classIndex) : null;
     String key = settings.groupsShareWork() && details.group() != null ? details.group() : details.key();
     this.groupHash = hash(key != null ? key : details.id());
     this.clientHash = hash(details.key() != null ? details.key() : details.id());
   }
 
-  /** An attempt begins there, or began before this node did. */
+  /** An attempt starts at the server, or started there before this node did. */
   void attemptStarted(Server server, long now) {
     triedServers.add(server);
     server.hintedLoad += loadHint;
@@ -45,12 +47,13 @@
     }
   }
 
-  /** The server of its latest attempt. */
+  /** The server of the latest attempt. */
   Server currentServer() {
     return triedServers.get(triedServers.size() - 1);
   }
 
-  /** Its client's place among a server's: shares are cut by it, so that who comes again finds the same. */
+  /** Hash of client and server in (0, 1). Shares of a server's clients are selected by it, so that a client
+   * that returns gets the same decision. */
   double clientUnitHash(Server server) {
     return Rendezvous.toUnitInterval(Rendezvous.mix(clientHash + server.hash));
   }
@@ -59,21 +62,22 @@
     return requestClass == null ? Idempotency.UNSAFE : requestClass.idempotency();
   }
 
-  /** Guards the rule that no effect happens twice: for how long a server may still get the next attempt. */
+  /** How long the next attempt may still be sent. Ensures that no request takes effect twice. */
   long remainingRepeatTime(long now) {
     return !mayHaveRun || idempotency() == Idempotency.SAFE ? Long.MAX_VALUE
         : idempotency() == Idempotency.KEYED ? boundAt + requestClass.dedupWindow() - now : 0;
   }
 
-  /** A refusal promises that trying again is harmless. */
+  /** A refusal promises the client that a retry is safe. */
   boolean mayRefuse() {
     return !mayHaveRun || idempotency() == Idempotency.SAFE
         || (idempotency() == Idempotency.KEYED && requestClass.dedupScope() == DedupScope.ALL);
   }
 
-  /** A keyed request that may have run goes only to servers that drop its repeats. */
+  /** A keyed request that may have run is retried only on servers that deduplicate it. */
   boolean mayRetryOn(Server server) {
     return !mayHaveRun || idempotency() != Idempotency.KEYED || requestClass.dedupScope() == DedupScope.ALL
-        || (server.zone == boundServer.zone && (requestClass.dedupScope() == DedupScope.ZONE || server.cell == boundServer.cell));
+        || (server.zone == boundServer.zone
+            && (requestClass.dedupScope() == DedupScope.ZONE || server.cell == boundServer.cell));
   }
 }
--- a/proxy/src/main/java/lemondeal/module/Server.java
+++ b/proxy/src/main/java/lemondeal/module/Server.java
@@ -5,7 +5,7 @@
 import java.util.*;
 import lemondeal.Balancer.ServerState;
 
-/** One server of the list, with what this node has learnt of it. */
+/** One server, with what this node knows of it. */
 final class Server {
   final String name;
   final long hash;
@@ -17,28 +17,28 @@
   long startedAt;
   int consecutiveFailures;
   long ejectedUntil = NEVER;
-  int halfOpenPermits = Integer.MAX_VALUE; // set-ups let in before word of one comes back; after a failure few
-  int nextHalfOpenPermits = halfOpenPermits; // let in after that
+  int halfOpenPermits = Integer.MAX_VALUE; // set-ups allowed before one of them ends; few after a failure
+  int nextHalfOpenPermits = halfOpenPermits; // allowed after that
   double errorRate;
   int lostConnections;
   long lossWindowStart = NEVER;
-  long unansweredAt = NEVER; // when a line there last went unanswered
-  long unreachableAt = NEVER; // when it last could not be reached
+  long unansweredAt = NEVER; // when a line sent there last went unanswered
+  long unreachableAt = NEVER; // when an attempt or probe last failed to reach it
   long coldWindow = -1;
   int coldSends;
-  double shedShare; // share of its clients that pass over it because it was hot, as of shedAt
+  double shedShare; // share of its clients that skip it because of its latency, at shedShareAt
   long shedShareAt = NEVER;
   long highLatencyUntil = NEVER;
   long overTargetUntil = NEVER;
-  double latencyRatio; // times the shortest aim that a message took there by the last note
+  double latencyRatio; // last reported message latency over the shortest target
   long loggedAt = NEVER;
   double reportedDemand = Double.NaN;
   long reportedAt = NEVER;
-  double reportedConnections; // connections that it held by its last report
-  int sendsSinceReport; // by this node since that report
+  double reportedConnections; // open connections by its last report
+  int sendsSinceReport; // sends of this node since that report
   long probedAt = NEVER;
   boolean probeInFlight;
-  double hintedLoad; // that this node's clients there ask for, by their hints
+  double hintedLoad; // load of this node's attempts there, by their hints
   final Set<RequestState> openConnections = new LinkedHashSet<>();
   final List<RequestState> awaitingProbe = new ArrayList<>(0);
 
@@ -47,7 +47,7 @@
     this.hash = Rendezvous.hash(name);
   }
 
-  /** Whether it is ready and did not fail lately. */
+  /** Whether it is ready and not ejected. */
   boolean isAvailable(long now) {
     return state == ServerState.READY && now >= ejectedUntil;
   }
@@ -57,7 +57,7 @@
     unreachableAt = NEVER;
   }
 
-  /** What was learnt of the process before says nothing of the one that started now. */
+  /** Resets what was learnt of the previous process: it says nothing about the new one. */
   void restarted(long startedAt) {
     this.startedAt = startedAt;
     consecutiveFailures = 0;
--- a/proxy/src/main/java/lemondeal/module/ServerShedding.java
+++ b/proxy/src/main/java/lemondeal/module/ServerShedding.java
@@ -2,19 +2,22 @@
 
 import lemondeal.Balancer.MessageDelay;
 
-/** A server whose messages come late sheds a share of its clients, the same ones at every node. */
+/** Moves a share of the clients from a server whose messages are slow, the same clients at every node. */
 record ServerShedding(NodeState node, ConnectionMover mover, GroupShedding groupShedding) {
-  private static final double HIGH_LATENCY_RATIO = 0.5; // share of the shortest aim from which a server nears its limit
-  private static final long HIGH_LATENCY_TIME = 2_000_000; // after the word that it is hot: notes come once a second
-  private static final double STEP_NEAR_TARGET = 0.05; // share of its clients that leave at one step: near the aim
-  private static final double STEP_OVER_TARGET = 0.1; // past it
-  private static final double STEP_FAR_OVER_TARGET = 0.2; // far past it
-  private static final double STEP_HOPELESS = 0.5; // hopelessly late: whoever stays is served no more
+  // Share of the shortest latency target from which a server counts as near its limit.
+  private static final double HIGH_LATENCY_RATIO = 0.5;
+  private static final long HIGH_LATENCY_TIME = 2_000_000; // after a delay note; notes come once a second
+  private static final double STEP_NEAR_TARGET = 0.05; // share of its clients that one step moves
+  private static final double STEP_OVER_TARGET = 0.1;
+  private static final double STEP_FAR_OVER_TARGET = 0.2;
+  private static final double STEP_HOPELESS = 0.5; // clients that stay get no useful service
   private static final double MAX_SHARE = 0.8;
-  private static final double FAR_OVER_TARGET_RATIO = 5; // times the aim from which servers are far behind
-  private static final double HOPELESS_RATIO = 16; // times the aim from which nobody stays: none is served
-  private static final long STEP_INTERVAL = 900_000; // what left must show first; just under that of notes
-  private static final long SHARE_HALF_LIFE = 15_000_000; // of the share, once it is cool
+  private static final double FAR_OVER_TARGET_RATIO = 5; // latency over target that counts as far over
+  // Latency over target from which all clients may move: none is served in time.
+  private static final double HOPELESS_RATIO = 16;
+  // A step must take effect before the next one; just under the interval of notes.
+  private static final long STEP_INTERVAL = 900_000;
+  private static final long SHARE_HALF_LIFE = 15_000_000; // once the latency is normal
 
   boolean isShed(Server server, RequestState request) {
     return server.shedShare > 0 && request.clientUnitHash(server) < currentShare(server);
@@ -32,7 +35,7 @@
       return;
     }
     if (ratio < HIGH_LATENCY_RATIO) {
-      server.highLatencyUntil = NodeState.NEVER; // its word that it has recovered: it must not be left out any longer
+      server.highLatencyUntil = NodeState.NEVER; // it has recovered and may get clients again at once
       server.overTargetUntil = NodeState.NEVER;
       return;
     }
@@ -46,7 +49,8 @@
     }
   }
 
-  /** It cuts clients off: half of those left to it go elsewhere, the others come once it has rested. */
+  /** After the server reset connections: sheds half of its remaining clients; the others return after the
+   * high-latency time. */
   void shedAfterResets(Server server) {
     server.highLatencyUntil = node.now + HIGH_LATENCY_TIME;
     server.shedShare = Math.min(MAX_SHARE, currentShare(server) + STEP_HOPELESS * (1 - currentShare(server)));
@@ -54,9 +58,11 @@
   }
 
   private void increaseShare(Server server, double ratio, double millis) {
-    double step = ratio < 1 ? STEP_NEAR_TARGET : ratio < 2 ? STEP_OVER_TARGET : ratio < FAR_OVER_TARGET_RATIO ? STEP_FAR_OVER_TARGET : STEP_HOPELESS;
+    double step = ratio < 1 ? STEP_NEAR_TARGET : ratio < 2 ? STEP_OVER_TARGET
+        : ratio < FAR_OVER_TARGET_RATIO ? STEP_FAR_OVER_TARGET : STEP_HOPELESS;
     double previousShare = currentShare(server);
-    server.shedShare = Math.min(ratio < HOPELESS_RATIO ? MAX_SHARE : 1, previousShare + step * (1 - previousShare));
+    server.shedShare = Math.min(ratio < HOPELESS_RATIO ? MAX_SHARE : 1,
+        previousShare + step * (1 - previousShare));
     server.shedShareAt = node.now;
     node.log(server, "hot, a message takes " + Math.round(millis) + " ms: sheds share "
         + Math.round(100 * server.shedShare) + "%");
@@ -67,8 +73,9 @@
     }
   }
 
-  /** Whether most servers that work are late by so many aims: moves would only add work. Not only those heard
-   * of count: of a large fleet that is two or three, and one late one of them is no common overload. */
+  /** Whether most available servers are over the target with at least this latency ratio: then moving clients
+   * would only add work. Servers without delay notes are counted, too: in a large fleet a node has notes from
+   * two or three, and one late server among those is no common overload. */
   private boolean mostServersOver(double ratio) {
     int availableCount = 0;
     int overCount = 0;
--- a/proxy/src/main/java/lemondeal/module/ServerTotals.java
+++ b/proxy/src/main/java/lemondeal/module/ServerTotals.java
@@ -3,9 +3,9 @@
 import lemondeal.Balancer.ServerState;
 
 /**
- * Sums over all servers that one placement needs for each of its candidates. Each is made on first use and
- * kept for the placement: made anew for each candidate, a placement's cost grew with the square of the number
- * of servers. Nothing that a sum rests on changes while one server is chosen.
+ * Sums over all servers that one placement needs for each of its candidates. Each is computed on first use
+ * and cached for the placement: when computed for each candidate, the cost of a placement grew with the
+ * square of the number of servers. The inputs of the sums do not change during a placement.
  */
 final class ServerTotals {
   private static final double UNKNOWN = Double.NaN;
@@ -20,7 +20,7 @@
     this.node = node;
   }
 
-  /** Weight of the servers that work. */
+  /** Weight of the available servers. */
   double availableWeight() {
     if (Double.isNaN(availableWeight)) {
       double sum = 0;
@@ -32,7 +32,7 @@
     return availableWeight;
   }
 
-  /** Load that this node's clients ask for at all servers and that this request would add, by their hints. */
+  /** Hinted load of this node's attempts at all servers, including that of this request. */
   double hintedLoad(RequestState request) {
     if (Double.isNaN(hintedLoad)) {
       double sum = request.loadHint;
@@ -44,7 +44,7 @@
     return hintedLoad;
   }
 
-  /** Weight of the servers that take new clients by the list. */
+  /** Weight of the servers that are ready by the list. */
   double readyWeight() {
     if (Double.isNaN(readyWeight)) {
       double sum = 0;
@@ -56,7 +56,7 @@
     return readyWeight;
   }
 
-  /** Weight, as warm as each is, of the servers that take clients now. */
+  /** Weight, times its present capacity share, of each server that accepts clients now. */
   double acceptingWeight(LoadEstimator load, SlowStart slowStart) {
     if (Double.isNaN(acceptingWeight)) {
       double sum = 0;
--- a/proxy/src/main/java/lemondeal/module/SetupLimiter.java
+++ b/proxy/src/main/java/lemondeal/module/SetupLimiter.java
@@ -3,20 +3,21 @@
 import java.util.ArrayDeque;
 import lemondeal.Balancer.Outcome;
 
-/** How many set-ups are out at once, and how long one takes: guards the store or fleet behind them all. */
+/** Adaptive limit (AIMD) on connection set-ups in flight, and estimate of their duration. Protects the store
+ * or servers that all set-ups depend on. */
 final class SetupLimiter {
-  private static final double SLOW_RATIO = 4; // times the usual: all then wait for something shared
-  private static final double RECENT_TIME_GAIN = 0.3; // weight of the newest in the present time
-  private static final double USUAL_TIME_GAIN = 0.02; // and in the usual one
-  private static final long RECENT_TIME_HALF_LIFE = 2_000_000; // of the present time, once nothing is learnt
-  private static final double MAX_DEADLINE_SHARE = 0.7; // share of the deadline that it holds back at most
-  private static final double FALLBACK_TIMEOUT_SHARE = 0.6; // share of the time left, where a fallback still fits
-  private static final double INITIAL_LIMIT = 4; // out at once before one fails; sound ones are short
+  private static final double SLOW_RATIO = 4; // times the usual time: all wait for a shared resource
+  private static final double RECENT_TIME_GAIN = 0.3; // weight of the newest sample in the recent time
+  private static final double USUAL_TIME_GAIN = 0.02; // the same in the usual time
+  private static final long RECENT_TIME_HALF_LIFE = 2_000_000; // without new samples
+  private static final double MAX_DEADLINE_SHARE = 0.7; // of the deadline: cap of the expected time
+  private static final double FALLBACK_TIMEOUT_SHARE = 0.6; // of the time left, where a fallback still fits
+  private static final double INITIAL_LIMIT = 4; // until one fails; successful set-ups are short
   private static final double MAX_LIMIT = 32;
-  private static final double LIMIT_DECREASE_FACTOR = 0.7; // factor after one failed late or by error
-  private static final long FIRST_BACKOFF = 50_000; // once all fail one by one; doubles
+  private static final double LIMIT_DECREASE_FACTOR = 0.7; // after a timeout, an error or a slow success
+  private static final long FIRST_BACKOFF = 50_000; // when even single set-ups fail; doubles
   private static final long MAX_BACKOFF = 1_000_000;
-  private static final long TIMEOUT_BACKOFF_PER_NODE = 20_000; // once they time out, for each node; doubles
+  private static final long TIMEOUT_BACKOFF_PER_NODE = 20_000; // after repeated timeouts, per node; doubles
   private static final int MAX_TIMEOUT_BACKOFF_DOUBLINGS = 3;
 
   private final NodeState node;
@@ -24,12 +25,13 @@
   int inFlight;
   long backoffUntil = NodeState.NEVER;
   private int failuresAtMinimum;
-  private int timeoutCount; // time-outs in a row, each at another server, with one out at once; fewer as some come up
-  private Server lastTimeoutServer; // the last of those
+  // Timeouts in a row at a limit of one, each at another server; halved by each success.
+  private int timeoutCount;
+  private Server lastTimeoutServer;
   private double recentTime;
   private double usualTime;
   private long recentTimeAt = NodeState.NEVER;
-  final ArrayDeque<RequestState> queue = new ArrayDeque<>(); // of those that wait for a set-up
+  final ArrayDeque<RequestState> queue = new ArrayDeque<>(); // requests that wait for a set-up
 
   SetupLimiter(NodeState node) {
     this.node = node;
@@ -52,13 +54,14 @@
     }
     if (outcome == Outcome.TIMED_OUT) {
       recordTime(elapsed);
-      timeoutCount = Math.min(MAX_TIMEOUT_BACKOFF_DOUBLINGS + 2, limit == 1 && server != lastTimeoutServer ? timeoutCount + 1 : timeoutCount);
+      timeoutCount = Math.min(MAX_TIMEOUT_BACKOFF_DOUBLINGS + 2,
+          limit == 1 && server != lastTimeoutServer ? timeoutCount + 1 : timeoutCount);
       lastTimeoutServer = server;
       backOffAfterTimeouts();
     }
   }
 
-  /** The more fail, the fewer a node has out at once. */
+  /** Additive increase on success, multiplicative decrease on failure. */
   private void adjustLimit(boolean success) {
     if (success) {
       limit = timeoutCount > 1 ? limit : Math.min(MAX_LIMIT, limit + 1 / limit);
@@ -75,8 +78,9 @@
     }
   }
 
-  /** What is behind set-ups serves all nodes and works on what was given up, too: the more nodes, the longer
-   * each leaves it alone. One try at a time at each of a hundred kept it full of those for seconds. */
+  /** The resource behind set-ups serves all nodes and also works on abandoned set-ups, so each node backs off
+   * longer the more nodes there are. One set-up at a time from each of a hundred nodes kept it busy with
+   * abandoned ones for seconds. */
   private void backOffAfterTimeouts() {
     long backoff = TIMEOUT_BACKOFF_PER_NODE * node.settings.nodeCount() << Math.max(0, timeoutCount - 2);
     if (timeoutCount > 1 && backoff > MAX_BACKOFF / 2) {
@@ -90,7 +94,7 @@
     recentTimeAt = node.now;
   }
 
-  /** Time of a set-up at present. One that cannot end in time would only fill the queue of what is behind. */
+  /** Expected time of a set-up now. One that cannot end in time would only fill the backend's queue. */
   double expectedTime(RequestState request) {
     if (request.requestClass == null) {
       return 0;
@@ -99,12 +103,15 @@
     return Math.min(recentTime * decay, request.requestClass.deadline() * MAX_DEADLINE_SHARE);
   }
 
-  /** Leaves time for a fallback, but not little: set-ups given up early stay in queues and keep them full. A
-   * repeat has until its window ends: its dial may be slow, and what reaches the server later counts anew. */
+  /** Leaves time for a fallback, but does not time out early: abandoned set-ups stay in queues and keep them
+   * full. A retry times out when its deduplication window ends: its dial may be slow, and the server would
+   * execute again what reaches it later. */
   long timeout(RequestState request, long timeLeft) {
-    boolean useAllTimeLeft = request.triedServers.size() >= node.settings.limits().maxAttempts() || request.requestClass == null
-        || timeLeft <= 2 * request.requestClass.latencyTarget() || timeLeft * FALLBACK_TIMEOUT_SHARE < expectedTime(request);
+    boolean useAllTimeLeft = request.triedServers.size() >= node.settings.limits().maxAttempts()
+        || request.requestClass == null || timeLeft <= 2 * request.requestClass.latencyTarget()
+        || timeLeft * FALLBACK_TIMEOUT_SHARE < expectedTime(request);
     long repeatTime = request.remainingRepeatTime(node.now);
-    return useAllTimeLeft && repeatTime >= timeLeft ? 0 : (long) Math.min(repeatTime, useAllTimeLeft ? timeLeft : timeLeft * FALLBACK_TIMEOUT_SHARE);
+    return useAllTimeLeft && repeatTime >= timeLeft ? 0
+        : (long) Math.min(repeatTime, useAllTimeLeft ? timeLeft : timeLeft * FALLBACK_TIMEOUT_SHARE);
   }
 }
--- a/proxy/src/main/java/lemondeal/module/SlowStart.java
+++ b/proxy/src/main/java/lemondeal/module/SlowStart.java
@@ -4,9 +4,9 @@
 
 import lemondeal.Balancer.*;
 
-/** Keeps what the fleet sends together to a server started lately within what that can take. */
+/** Slow start: bounds what all nodes together send to a recently started server by its capacity. */
 final class SlowStart {
-  private static final double ASSUMED_EXTRA_SENDS = 0.5; // sends reckoned beside those of the last window: it saw few
+  private static final double ASSUMED_EXTRA_SENDS = 0.5; // beside the recent sends of a node, which are few
 
   private final NodeState node;
   private final LoadEstimator load;
@@ -34,9 +34,10 @@
     decayedSendsAt = node.now;
   }
 
-  /** Sends of this node in the last window, by a count that fades. */
+  /** Sends of this node in about the last window, as an exponentially decaying count. */
   private double recentSends() {
-    double elapsedWindows = (double) (node.now - decayedSendsAt) / Math.max(1, node.settings.rules().overloadWindow());
+    double elapsedWindows = (double) (node.now - decayedSendsAt)
+        / Math.max(1, node.settings.rules().overloadWindow());
     return decayedSends * StrictMath.exp(-elapsedWindows);
   }
 
@@ -44,7 +45,7 @@
     return server.startedAt == 0 ? Long.MAX_VALUE : Math.max(0, node.now - server.startedAt);
   }
 
-  /** Share of its capacity that a server has for certain: grows evenly from the cold share to all. */
+  /** Share of its capacity that a server certainly has: grows linearly from the cold share to 1. */
   double capacityShare(Server server) {
     long age = age(server);
     Rules rules = node.settings.rules();
@@ -55,13 +56,15 @@
     return startShare + (1 - startShare) * age / rules.warmUpTime();
   }
 
-  /** Slow start: of a server's keys, the share of clients that it has the capacity for by now. Cut by
-   * client, not by a lower weight: a whole group of clients would push over what is still cold. */
+  /** Whether the client is outside the share of the server's clients that it has the capacity for so far. The
+   * share is selected by client, not by a lower weight: a whole group of clients would overload a cold
+   * server. */
   boolean holdsBack(Server server, RequestState request) {
-    return age(server) < node.settings.rules().warmUpTime() && request.clientUnitHash(server) < 1 - capacityShare(server);
+    return age(server) < node.settings.rules().warmUpTime()
+        && request.clientUnitHash(server) < 1 - capacityShare(server);
   }
 
-  /** Whether this node may send to the server now without eating into the other nodes' cold budget. */
+  /** Whether this node may send to the server now without using the other nodes' part of the budget. */
   boolean admits(Server server, ServerTotals totals) {
     if (age(server) >= node.settings.rules().warmUpTime()) {
       return true;
@@ -78,42 +81,49 @@
     }
   }
 
-  /** This node's sends to a cold server in the present window. The fleet's budget is dealt out send by send,
-   * from a node that changes with the window: the shares sum to it without a word among the nodes. While few
-   * requests come most shares lapse, and where servers report a node may use one out of turn: what others
-   * sent is in the report. Without, a hundred nodes with a call each would overspend it. None in the
-   * window in which this node began. */
+  /** This node's sends to a cold server in the present window. The budget of all nodes is allotted send by
+   * send in rotation, starting at a node that changes with the window: the allowances sum to the budget
+   * without communication. With few requests most allowances go unused, so where servers report their load a
+   * node without an allowance may send one request: the report shows what others sent. Without reports, a
+   * hundred nodes with one send each would exceed the budget. No sends in the window in which this node
+   * started. */
   private int sendAllowance(Server server, ServerTotals totals) {
     Rules rules = node.settings.rules();
-    double budget = rules.overloadMultiple() * capacityShare(server) * fillRate(server, totals) * rules.overloadWindow() / 1e6;
+    double budget = rules.overloadMultiple() * capacityShare(server) * fillRate(server, totals)
+        * rules.overloadWindow() / 1e6;
     long rotation = mix(server.hash ^ mix(server.startedAt + server.coldWindow));
     long fleetSends = (long) (budget + toUnitInterval(mix(rotation)));
     int nodeCount = Math.max(1, node.settings.nodeCount());
     long position = Math.floorMod(node.settings.nodeIndex() + rotation, (long) nodeCount);
     long allowance = Math.max(0, (fleetSends - position + nodeCount - 1) / nodeCount);
-    boolean mayExceedAllowance = loadReportsAvailable() && fleetSends > 0 && allowance == 0 && !wouldOverspend(server, budget, totals);
-    boolean nodeJustStarted = server.startedAt < node.startedAt && node.now - node.startedAt < rules.overloadWindow();
+    boolean mayExceedAllowance = loadReportsAvailable() && fleetSends > 0 && allowance == 0
+        && !wouldOverspend(server, budget, totals);
+    boolean nodeJustStarted = server.startedAt < node.startedAt
+        && node.now - node.startedAt < rules.overloadWindow();
     return nodeJustStarted ? 0 : mayExceedAllowance ? 1 : (int) Math.min(Integer.MAX_VALUE, allowance);
   }
 
-  /** Whether a server's own word on its load can be had before a request is sent there. */
+  /** Whether a server's load report can be obtained before a request is sent there. */
   private boolean loadReportsAvailable() {
     return node.settings.probesReportLoad() && node.settings.limits().mayProbe();
   }
 
-  /** New connections a second that fill a server of this weight over its warm-up, judged low: from the most
-   * connections that this node held, which a node just restarted has not seen. */
+  /** New connections per second that fill a server of this weight over its warm-up. A low estimate, from the
+   * peak of this node's open connections, which is small after a restart. */
   private double fillRate(Server server, ServerTotals totals) {
     double connectionsPerSecond = peakOpenConnections / (node.settings.rules().warmUpTime() / 1e6);
     double totalWeight = totals.readyWeight();
-    return totalWeight > 0 ? connectionsPerSecond * node.settings.nodeCount() * server.weight / totalWeight : 0;
+    return totalWeight > 0
+        ? connectionsPerSecond * node.settings.nodeCount() * server.weight / totalWeight : 0;
   }
 
-  /** Whether the nodes together would overspend the budget if all sent as this one does lately. Counts only
-   * servers that take clients now: with the others passed over, a cold one would get the herd. */
+  /** Whether the nodes together would exceed the budget if all sent at this node's recent rate. Counts
+   * only servers that accept clients now: while the others are skipped, a cold one would get all of the
+   * traffic. */
   private boolean wouldOverspend(Server server, double budget, ServerTotals totals) {
     double acceptingWeight = totals.acceptingWeight(load, this);
-    double share = acceptingWeight > 0 ? Math.min(1, server.weight * capacityShare(server) / acceptingWeight) : 1;
+    double share = acceptingWeight > 0
+        ? Math.min(1, server.weight * capacityShare(server) / acceptingWeight) : 1;
     return node.settings.nodeCount() * (ASSUMED_EXTRA_SENDS + recentSends()) * share > budget;
   }
 }
--- a/proxy/src/main/java/lemondeal/module/ZoneAdmission.java
+++ b/proxy/src/main/java/lemondeal/module/ZoneAdmission.java
@@ -5,8 +5,8 @@
 import java.util.*;
 import lemondeal.Balancer.ZoneOpen;
 
-/** How far zones are open, where the fleet decides that together. Which keys may enter is cut by key, so that
- * a zone that opens again gets back the keys that it had; the order within a zone is left alone. */
+/** How far each zone is open, as the proxies decide together. Admission is by key, so that a zone that opens
+ * again regains the keys that it had; the ranking within a zone does not change. */
 final class ZoneAdmission {
   private final NodeState node;
   private final ConnectionMover mover;
@@ -30,24 +30,29 @@
 
   boolean admits(Server server, RequestState request) {
     ZoneOpen restriction = restrictions.isEmpty() ? null : restrictions.get(server.zone);
-    return restriction == null || (restriction.maxSends() > 0 && toUnitInterval(mix(request.groupHash ^ mix(server.zone))) < restriction.keyShare());
+    return restriction == null || (restriction.maxSends() > 0
+        && toUnitInterval(mix(request.groupHash ^ mix(server.zone))) < restriction.keyShare());
   }
 
-  /** Whether any zone is not open to all. */
+  /** Whether any zone is not fully open. */
   boolean anyRestricted() {
     return !restrictions.isEmpty();
   }
 
   void recordSend(Server server) {
-    restrictions.computeIfPresent(server.zone, (zone, restriction) -> restriction.maxSends() == ZoneOpen.UNLIMITED ? restriction
-        : new ZoneOpen(zone, restriction.keyShare(), restriction.maxSends() - 1, 0));
+    restrictions.computeIfPresent(server.zone,
+        (zone, restriction) -> restriction.maxSends() == ZoneOpen.UNLIMITED ? restriction
+            : new ZoneOpen(zone, restriction.keyShare(), restriction.maxSends() - 1, 0));
   }
 
-  /** Those of the class worth most go first: what the others take may not be enough for all. */
+  /** Moves connections of the class of highest worth first: the other zones may not have capacity for all. */
   private void moveConnections(ZoneOpen restriction) {
     node.requests.values().stream()
-        .filter(request -> request.established && !request.moveSent && request.currentServer().zone == restriction.zone() && !admits(request.currentServer(), request))
-        .sorted(Comparator.comparingDouble(request -> request.requestClass == null ? 0 : -request.requestClass.worth()))
+        .filter(request -> request.established && !request.moveSent
+            && request.currentServer().zone == restriction.zone()
+            && !admits(request.currentServer(), request))
+        .sorted(Comparator.comparingDouble(
+            request -> request.requestClass == null ? 0 : -request.requestClass.worth()))
         .limit(restriction.connectionsToMove()).toList().forEach(mover::move);
   }
 }
--- a/proxy/src/main/java/lemondeal/module/package-info.java
+++ b/proxy/src/main/java/lemondeal/module/package-info.java
@@ -1,10 +1,12 @@
 /**
- * All decisions of one node: weighted rendezvous hashing with ranking fallback, and the departures from it
- * that docs/DESIGN.md lists. Each class has its tunables (times in microseconds) and knows only those before
- * it here: {@code Rendezvous}, {@code Server} with {@code Flow} (these two know each other), {@code Node},
- * {@code Moves}, {@code Load}, {@code Groups}, {@code Shedding}, {@code Health}, {@code ColdAdmission},
- * {@code ZoneAdmission}, {@code Setups}, {@code Ranking}, {@code Requests}, {@code Membership},
- * {@code Logic}. Parts without state of their own are records. What a fleet shares
- * is decided in packages of its own and told here as events.
+ * All decisions of one node: weighted rendezvous hashing with fallback along the ranking, and the exceptions
+ * from it that docs/DESIGN.md lists. Each class holds its own parameters (times in microseconds) and depends
+ * only on those before it in this list: {@code Rendezvous}, {@code Server} with {@code RequestState} (these
+ * two depend on each other), {@code NodeState}, {@code ConnectionMover}, {@code LoadEstimator},
+ * {@code GroupShedding}, {@code ServerShedding}, {@code Health}, {@code SlowStart}, {@code ZoneAdmission},
+ * {@code SetupLimiter}, {@code Ranking}, {@code RequestLifecycle}, {@code Membership},
+ * {@code DecisionModule}. ({@code ServerTotals} caches sums for {@code LoadEstimator}, {@code SlowStart} and
+ * {@code Ranking}.) Stateless parts are records. Decisions that the proxies take together are made in other
+ * packages and arrive here as events.
  */
 package lemondeal.module;
--- a/proxy/src/main/java/lemondeal/trace/TracingBalancer.java
+++ b/proxy/src/main/java/lemondeal/trace/TracingBalancer.java
@@ -6,11 +6,10 @@
 import lemondeal.log.EventLog;
 
 /**
- * A module that tells the log all that it hears and decides, a line each, so that an incident can be counted across a
- * fleet and one request followed through it. Stands between the proxy and its module, so that a proxy which is not
- * traced runs nothing of it.
+ * Decorates a decision module and logs each of its events and actions in one line, so that incidents can be analysed
+ * over all proxies and single requests followed. Without tracing the decorator is not installed and costs nothing.
  *
- * <p>A line is {@code trace PROXY MILLIS WORD name=value ...}, with the wall clock, which all machines share.
+ * <p>A line is {@code trace PROXY MILLIS TYPE name=value ...}, with wall-clock time, which all machines share.
  */
 public final class TracingBalancer implements Balancer {
   private final Balancer delegate;
@@ -18,7 +17,7 @@
   private final String prefix;
   private final LongSupplier wallClockMillis;
 
-  /** {@code millis}: the wall clock, in milliseconds since 1970. */
+  /** {@code wallClockMillis}: milliseconds since 1970. */
   public TracingBalancer(Balancer delegate, EventLog log, String proxy, LongSupplier wallClockMillis) {
     this.delegate = delegate;
     this.log = log;
@@ -49,7 +48,7 @@
     log.info("trace", prefix + wallClockMillis.getAsLong() + " " + text);
   }
 
-  /** A chain of tests rather than a switch: pattern switches are only a preview in Java 17. */
+  /** Uses instanceof rather than a switch: pattern switches are only a preview in Java 17. */
   private static String describe(long now, Event event) {
     if (event instanceof Arrived e) {
       Request request = e.request();
--- a/proxy/src/test/java/lemondeal/LostConnectionsTest.java
+++ b/proxy/src/test/java/lemondeal/LostConnectionsTest.java
@@ -16,10 +16,10 @@
 import lemondeal.Balancer.Request;
 import org.junit.jupiter.api.Test;
 
-/** A server that takes set-ups and cuts their connections off afterwards, and how one comes to have too many. */
+/** A server that accepts set-ups and later resets their connections, and how one server can get too many clients. */
 class LostConnectionsTest {
 
-  /** Three clients of one group stand at a server and are cut off together while a fourth's set-up is out. */
+  /** Three clients of one group are connected to a server and reset together during the set-up of a fourth. */
   private static String resetThreeClients(TestNode node) {
     String server = node.open("r0", "c0", "g");
     for (int i = 1; i < 3; i++) {
@@ -32,7 +32,7 @@
     return server;
   }
 
-  /** One that stood a moment after the losses once brought all clients back, to be cut off with it. */
+  /** A set-up that succeeded just after the resets once readmitted all clients, which were then reset again. */
   @Test
   void aSuccessfulSetUpDoesNotReadmitAllClients() {
     TestNode node = new TestNode().equalServers(5);
@@ -66,11 +66,11 @@
     }
   }
 
-  /** Where only hints tell of load, one group's crowd once all went to one server, which then cut it off. */
+  /** With load hints alone, all clients of a large group once went to one server, which then reset them. */
   @Test
   void withoutReportsNoServerGetsFarMoreThanItsFairShare() {
     assertTrue(mostClientsAtOneServer(false) <= 20, mostClientsAtOneServer(false) + " of 40");
-    assertEquals(40, mostClientsAtOneServer(true), "reports tell how full it is");
+    assertEquals(40, mostClientsAtOneServer(true), "with reports the load is known");
   }
 
   private static int mostClientsAtOneServer(boolean reports) {
@@ -78,7 +78,8 @@
     options.mayProbe = reports;
     TestNode node = new TestNode(options).equalServers(5);
     for (int i = 0; reports && i < 5; i++) {
-      node.handle(new ProbeResult("s" + i, Outcome.SERVED, 900, new LoadReport(0.1, Double.NaN, 100, Double.NaN, Double.NaN)));
+      node.handle(new ProbeResult("s" + i, Outcome.SERVED, 900,
+          new LoadReport(0.1, Double.NaN, 100, Double.NaN, Double.NaN)));
     }
     Map<String, Integer> clientsByServer = new HashMap<>();
     for (int i = 0; i < 40; i++) {
--- a/proxy/src/test/java/lemondeal/ModuleLimitsTest.java
+++ b/proxy/src/test/java/lemondeal/ModuleLimitsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Bounds on the decision module's text: each of its classes stays small, however many there are. */
+/** Limits on the source files of the decision module: length of files and lines, and the files of the deploy list. */
 class ModuleLimitsTest {
 
   private static final int FILE_LINES = 250;
@@ -37,7 +37,7 @@
     assertTrue(lines.stream().limit(5).anyMatch(line -> line.contains("Balancer.java")));
   }
 
-  /** The bench takes files alone under policy: a folder named there once counted as a missing file. */
+  /** The simulator accepts only files under policy: a directory there once counted as a missing file. */
   @Test
   void theDeployFileNamesEachFileOfTheModule() throws IOException {
     String deploy = Files.readString(Path.of("../deploy/balancer.toml"));
--- a/proxy/src/test/java/lemondeal/PlacementExceptionsTest.java
+++ b/proxy/src/test/java/lemondeal/PlacementExceptionsTest.java
@@ -23,7 +23,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each departure from the plain mechanism: when it acts, and its bound. */
+/** Each exception from plain rendezvous placement: when it applies, and its bound. */
 class PlacementExceptionsTest {
 
   // ---- Health
@@ -48,7 +48,7 @@
       node.end(id, 0, server, Outcome.NO_CONNECTION);
       node.advance(20 * TestNode.SECOND);
     }
-    assertEquals(server, node.open("b", "c", "g"), "after the longest pass-over it is tried again");
+    assertEquals(server, node.open("b", "c", "g"), "it is tried again after the longest ejection");
   }
 
   @Test
@@ -73,14 +73,14 @@
     assertNotEquals(server, node.open("b", "c", "g"));
   }
 
-  /** Two clients of one server among others; the server is returned. */
+  /** Connects two clients to one server, which is returned. */
   private static String openTwo(TestNode node) {
     String server = node.open("a", "c", "g");
     assertEquals(server, node.open("b", "c", "g"));
     return server;
   }
 
-  /** A proxy with two clients at a server that was cut off once knew of it only when its connections were reset. */
+  /** A proxy with two clients at an unreachable server once noticed that only when the connections were reset. */
   @Test
   void clientsMoveFromAServerThatAnswersNeitherThemNorAProbe() {
     TestNode.Options options = new TestNode.Options();
@@ -91,8 +91,8 @@
     }
     String server = openTwo(node);
     List<Action> probes = node.handle(new Unanswered("a", 0, server));
-    assertEquals(List.of(new Probe(server)), probes, "one line alone is a reason to ask, not to leave");
-    assertEquals(List.of(), node.handle(new Unanswered("b", 0, server)), "asked already");
+    assertEquals(List.of(new Probe(server)), probes, "one unanswered line causes a probe, no move");
+    assertEquals(List.of(), node.handle(new Unanswered("b", 0, server)), "the probe is in flight");
     List<Action> actions = node.handle(new ProbeResult(server, Outcome.NO_CONNECTION, 150_000, null));
     assertEquals(List.of(new Move("a"), new Move("b")), TestNode.ofType(actions, Move.class));
     assertNotEquals(server, node.arrive("d", "c", "g"));
@@ -108,12 +108,12 @@
     node.handle(new Unanswered("a", 0, "s0"));
     node.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(0.1)));
     node.advance(TestNode.SECOND);
-    // A set-up that fails now and a line that went unanswered before the answer don't add up.
+    // A set-up that fails now does not count together with a line unanswered before the probe's answer.
     String sent = node.arrive("d", "c", "g");
     assertEquals(List.of(), TestNode.ofType(node.end("d", 0, sent, Outcome.NO_CONNECTION), Move.class));
   }
 
-  /** Where no probe is allowed, a set-up that fails tells the same as one. */
+  /** Without probes, a failed set-up counts like a failed probe. */
   @Test
   void clientsMoveFromAServerThatAnswersNeitherThemNorASetUp() {
     TestNode node = new TestNode().equalServers(4);
@@ -134,12 +134,12 @@
     TestNode node = new TestNode().equalServers(4);
     node.failAll(20, Outcome.NO_CONNECTION);
     String first = new TestNode().equalServers(4).arrive("x", "c", "g");
-    assertEquals(first, node.arrive("y", "c", "g"), "with all passed over the plain ranking holds");
+    assertEquals(first, node.arrive("y", "c", "g"), "with all ejected the plain ranking holds");
   }
 
   /**
-   * While most servers were passed over none was, and requests spent all their attempts on a dead zone and a bad server
-   * beside sound ones with room.
+   * Ejection was once suspended while most servers were ejected: requests spent all their attempts on a dead zone and a
+   * failing server although others had capacity.
    */
   @Test
   void withMostServersEjectedTheOthersStillGoFirst() {
@@ -160,7 +160,7 @@
     assertNotEquals(primary, node.arrive("y", "c", "g"));
   }
 
-  /** A set-up of the group g fails at its first server, whose pause passes; the server is returned. */
+  /** A set-up of the group g fails at its first server, whose ejection then ends; the server is returned. */
   private static String ejectedAndHalfOpen(TestNode node) {
     String server = node.arrive("a", "c", "g");
     String next = TestNode.sentTo(node.end("a", 0, server, Outcome.TIMED_OUT), "a");
@@ -169,23 +169,23 @@
     return server;
   }
 
-  /** When its pause was over, all of a server's keys came back at once, and timed out there together. */
+  /** After an ejection, all keys of a server once returned at the same time and timed out there together. */
   @Test
   void aHalfOpenServerGetsOneSetUpAtATimeAndThenMore() {
     TestNode node = new TestNode().equalServers(3);
     String server = ejectedAndHalfOpen(node);
     int arrived = 0;
-    // A try more is let in once those before have succeeded: 1, 2 and 4 at once.
+    // Each success doubles the number of set-ups allowed at once: 1, 2, 4.
     for (int permits : new int[] {1, 2, 4}) {
       for (int i = 0; i < permits; i++) {
-        assertEquals(server, node.arrive("b" + (arrived + i), "c", "g"), "try " + i + " of " + permits);
+        assertEquals(server, node.arrive("b" + (arrived + i), "c", "g"), "set-up " + i + " of " + permits);
       }
       String other = node.open("o" + arrived, "c", "g");
-      assertNotNull(other, "those beyond are not held");
+      assertNotNull(other, "further requests are not held");
       assertNotEquals(server, other, "no more than " + permits + " at once");
       node.handle(new Balancer.Established("b" + arrived, 0, server, 5_000));
       for (int i = 1; i < permits; i++) {
-        // They leave no word on the server: the one success counts.
+        // A cancelled set-up says nothing about the server: only the one success counts.
         node.handle(new Ended("b" + (arrived + i), 0, server, Outcome.CANCELLED, 1, true, null));
       }
       arrived += permits;
@@ -203,7 +203,7 @@
     assertNotEquals(server, node.open("e", "c", "g"));
   }
 
-  /** With no server but such ones, requests beyond the tries still go by rank: a common fault strands nobody. */
+  /** With only half-open servers, requests beyond their permits still go by rank, so that none is stuck. */
   @Test
   void withAllServersHalfOpenNoRequestIsHeld() {
     TestNode node = new TestNode().equalServers(2);
@@ -220,7 +220,7 @@
 
   // ---- Bounded load
 
-  /** Opens 200 clients of one group at one server, which is returned, and others so that all servers have some. */
+  /** Connects 200 clients of one group to one server, which is returned, and others so that all servers have some. */
   private static String openManyAtOne(TestNode node) {
     String server = null;
     for (int i = 0; i < 200; i++) {
@@ -242,7 +242,7 @@
     assertTrue(moves > 2 && moves < 42, moves + " moves");
     assertNotEquals(server, node.open("n", "n", "g"));
     assertTrue(node.messageDelay("r1", server, 150).isEmpty(), "no second step within the pause");
-    assertEquals(1, TestNode.ofType(actions, Balancer.Log.class).size(), "on-call staff can read of it");
+    assertEquals(1, TestNode.ofType(actions, Balancer.Log.class).size(), "it is logged for on-call staff");
   }
 
   @Test
@@ -257,7 +257,7 @@
     assertEquals(server, node.open("b", "c", "g"));
   }
 
-  /** A server that had recovered was once left out for as long as one that had not. */
+  /** A recovered server was once avoided for as long as one that had not recovered. */
   @Test
   void aRecoveredServerTakesClientsAtOnce() {
     TestNode node = new TestNode().equalServers(5);
@@ -269,7 +269,7 @@
     assertEquals(server, node.open("c", "e", "g"));
   }
 
-  /** Messages that take seconds are worth nothing: a fifth of the clients at a time left far too slowly. */
+  /** Messages that take seconds are useless: moving a fifth of the clients per step was far too slow. */
   @Test
   void aServerFarOverItsTargetShedsHalfAtOnce() {
     TestNode node = new TestNode().equalServers(5);
@@ -278,7 +278,7 @@
     assertTrue(moves > 65 && moves < 135, moves + " moves of 200");
   }
 
-  /** On sockets, notes that come once a second come a few milliseconds early or late. */
+  /** On real sockets, notes sent once a second come a few milliseconds early or late. */
   @Test
   void aDelayNoteThatComesSlightlyEarlyCounts() {
     TestNode node = new TestNode().equalServers(5);
@@ -286,7 +286,7 @@
     int remaining = 200;
     for (int step = 0; step < 12; step++) {
       int moves = TestNode.ofType(node.messageDelay("r0", server, 2_000), Move.class).size();
-      assertTrue(moves > 0 || remaining < 20, "a step that moved nobody, with " + remaining + " left");
+      assertTrue(moves > 0 || remaining < 20, "a step moved no client, with " + remaining + " left");
       remaining -= moves;
       node.advance(TestNode.SECOND - 4_000);
     }
@@ -313,10 +313,10 @@
       assertEquals(first.refused, refusedAtOnce(b, "g" + i).refused);
       shed += first.refused ? 1 : 0;
     }
-    assertTrue(shed > 0 && shed < 60, shed + " of 100 groups turned away after few steps");
+    assertTrue(shed > 0 && shed < 60, shed + " of 100 groups shed after few steps");
     a.advance(100 * TestNode.SECOND);
     for (int i = 0; i < 100; i++) {
-      assertTrue(!refusedAtOnce(a, "g" + i).refused, "the share fades");
+      assertTrue(!refusedAtOnce(a, "g" + i).refused, "the shed share decays");
     }
   }
 
@@ -353,7 +353,7 @@
     }
   }
 
-  /** The share turned away outlived its overload by seconds, while servers said that they had room. */
+  /** The shed share once outlasted the overload by seconds while servers reported free capacity. */
   @Test
   void shedGroupsAreAdmittedOnceNoServerIsSlowAndOneHasCapacity() {
     TestNode.Options options = new TestNode.Options();
@@ -372,15 +372,16 @@
     List<Probe> probes = TestNode.ofType(node.allActions, Probe.class);
     String server = probes.get(probes.size() - 1).server();
     List<Action> full = node.handle(new ProbeResult(server, Outcome.SERVED, 1_000, report(0.9)));
-    assertEquals(1, TestNode.ofType(full, Refuse.class).size(), "one server is asked, and it is full");
+    assertEquals(1, TestNode.ofType(full, Refuse.class).size(), "one server is probed, and it is full");
     node.advance(2 * TestNode.SECOND);
     node.handle(new Arrived(node.request("y", "x", shedGroup)));
     probes = TestNode.ofType(node.allActions, Probe.class);
     server = probes.get(probes.size() - 1).server();
-    assertEquals(server, TestNode.sentTo(node.handle(new ProbeResult(server, Outcome.SERVED, 1_000, report(0.3))), "y"));
+    assertEquals(server,
+        TestNode.sentTo(node.handle(new ProbeResult(server, Outcome.SERVED, 1_000, report(0.3))), "y"));
   }
 
-  /** In a large fleet a proxy holds clients at two or three servers: one late one of them was a common overload once. */
+  /** In a large fleet a proxy uses two or three servers: one slow one of them once counted as an overload of most. */
   @Test
   void oneSlowServerOfTheFewInUseIsNoOverloadOfMost() {
     TestNode node = new TestNode().equalServers(7);
@@ -389,11 +390,11 @@
     node.advance(TestNode.SECOND);
     node.messageDelay("a", server, 300);
     for (int i = 0; i < 50; i++) {
-      assertTrue(!refusedAtOnce(node, "g" + i).refused, "nobody is turned away");
+      assertTrue(!refusedAtOnce(node, "g" + i).refused, "no group is shed");
     }
   }
 
-  /** Servers that were cut off leave lines unanswered too: with half a zone lost, groups were turned away from the rest. */
+  /** Unreachable servers leave lines unanswered, too: with half a zone lost, groups were once shed at the others. */
   @Test
   void ejectedServersDoNotCountAsSlow() {
     TestNode node = new TestNode().equalServers(5);
@@ -408,11 +409,12 @@
       node.messageDelay("r" + i, at[i], at[i].compareTo("s3") < 0 ? 440 : 20);
     }
     for (int i = 0; i < 50; i++) {
-      assertTrue(!refusedAtOnce(node, "g" + i).refused, "nobody is turned away");
+      assertTrue(!refusedAtOnce(node, "g" + i).refused, "no group is shed");
     }
   }
 
-  /** One small server far behind once turned two fifths of all groups away, where the others were late by a little. */
+  /** One small server far over its target once caused two fifths of all groups to be shed, with the others slightly
+   * over. */
   @Test
   void oneServerFarOverItsTargetCausesNoLargeStep() {
     TestNode node = new TestNode().equalServers(3);
@@ -429,7 +431,7 @@
       shed += refusedAtOnce(node, "g" + i).refused ? 1 : 0;
     }
     // A tenth, or two fifths by the large step: four standard deviations of the binomial lie between.
-    assertTrue(shed > 0 && shed < 45, shed + " of 200 groups turned away, " + moves + " moves");
+    assertTrue(shed > 0 && shed < 45, shed + " of 200 groups shed, " + moves + " moves");
   }
 
   @Test
@@ -440,12 +442,14 @@
     int[] shed = new int[2];
     for (int classIndex = 0; classIndex < 2; classIndex++) {
       for (int i = 0; i < 200; i++) {
-        Balancer.Request request = new Balancer.Request("q" + classIndex + "-" + i, node.now + 3 * TestNode.SECOND, classIndex, "k" + i,
+        Balancer.Request request =
+            new Balancer.Request("q" + classIndex + "-" + i, node.now + 3 * TestNode.SECOND, classIndex, "k" + i,
             "g" + i, Double.NaN, false, false, 0, false);
         shed[classIndex] += TestNode.ofType(node.handle(new Arrived(request)), Refuse.class).size();
       }
     }
-    assertTrue(shed[0] > 2 * shed[1] && shed[1] > 0, shed[0] + " of the cheap, " + shed[1] + " of the dear");
+    assertTrue(shed[0] > 2 * shed[1] && shed[1] > 0,
+        shed[0] + " of the class of low worth, " + shed[1] + " of the other");
   }
 
   // ---- Locality
@@ -501,7 +505,7 @@
     assertNotNull(TestNode.sentTo(node.advance(TestNode.SECOND), "r"));
   }
 
-  /** A probe that stayed unanswered once said nothing: the client was sent there all the same. */
+  /** An unanswered probe was once ignored: the client was sent to the server nevertheless. */
   @Test
   void aServerThatAnswersNoProbeIsSkipped() {
     TestNode.Options options = new TestNode.Options();
@@ -517,7 +521,7 @@
     assertEquals(second, TestNode.sentTo(actions, "s"));
   }
 
-  /** A burst once went to one server, all of it on the word of a report from before the burst. */
+  /** All of a burst once went to one server because of a report from before the burst. */
   @Test
   void sendsSinceTheReportCount() {
     TestNode.Options options = new TestNode.Options();
@@ -532,12 +536,14 @@
     assertNotEquals(first, last, "0.5 and four connections of 0.05 each are over the limit");
   }
 
-  /** Two servers of a fleet of 14 nodes, one with room for a few, one nearly full by its own word; the first is returned. */
+  /** Two servers, for 14 nodes: one has capacity for a few more, one reports that it is nearly full; returns the
+   * first. */
   private static String capacityAtOne(TestNode node) {
     String first = TestNode.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
     String other = first.equals("s0") ? "s1" : "s0";
     node.handle(new ProbeResult(other, Outcome.SERVED, 1_000, report(0.75, 25)));
-    assertEquals(first, TestNode.sentTo(node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.42, 22))), "r"));
+    assertEquals(first,
+        TestNode.sentTo(node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.42, 22))), "r"));
     return first;
   }
 
@@ -549,8 +555,8 @@
   }
 
   /**
-   * The other nodes are taken to send as much as this one, so one send fills a server that has room. While that was
-   * believed for as long as a report, a burst went to the server that had said it was nearly full.
+   * The other nodes are assumed to send as much as this one, so that one send makes a server with capacity look full.
+   * When the assumption was valid for as long as a report, a burst went to the server that reported to be nearly full.
    */
   @Test
   void aServerFullByAssumptionAloneIsProbedAgain() {
@@ -560,10 +566,10 @@
     List<Action> actions = node.handle(new Arrived(node.request("s", "c", "g")));
     assertEquals(List.of(new Probe(first)), TestNode.ofType(actions, Probe.class));
     actions = node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.45, 24)));
-    assertEquals(first, TestNode.sentTo(actions, "s"), "its word counts, and it has room");
+    assertEquals(first, TestNode.sentTo(actions, "s"), "by its report it has capacity");
   }
 
-  /** Beyond its limit by assumption it takes nobody, for no longer than until it is asked again. */
+  /** A server over its limit by assumption gets nothing, but only until it can be probed again. */
   @Test
   void aServerOverItsLimitByAssumptionGetsNothingUntilItsNextProbe() {
     TestNode.Options options = new TestNode.Options();
@@ -576,13 +582,13 @@
     for (int i = 0; i < 20; i++) {
       sent += node.arrive("b" + i, "c" + i, "g" + i) != null ? 1 : 0;
     }
-    assertEquals(3, sent, "0.42 and 0.27 a send of all nodes: over the limit at the third");
+    assertEquals(3, sent, "0.42, plus 0.27 for a send of each node: over the limit at the third");
     List<Action> meanwhile = node.advance(200_000);
-    assertEquals(List.of(), TestNode.ofType(meanwhile, Send.class), "the rest waits");
-    assertEquals(1, TestNode.ofType(node.advance(100_000), Probe.class).size(), "and then it is asked again");
+    assertEquals(List.of(), TestNode.ofType(meanwhile, Send.class), "the others are held");
+    assertEquals(1, TestNode.ofType(node.advance(100_000), Probe.class).size(), "then it is probed again");
   }
 
-  /** Where all servers are full, one that has a little room goes before one that has none. */
+  /** If all servers are full, one with a little free capacity comes before one with none. */
   @Test
   void amongFullServersTheOneWithMostFreeCapacityIsChosen() {
     TestNode.Options options = new TestNode.Options();
@@ -616,7 +622,7 @@
     return new LoadReport(demand, Double.NaN, held, Double.NaN, Double.NaN);
   }
 
-  // ---- Set-up window: no retry storm
+  // ---- Set-up limit: no retry storm
 
   @Test
   void whileAllSetUpsFailANodeBacksOff() {
@@ -631,7 +637,7 @@
       }
       node.advance(TestNode.SECOND / 100);
     }
-    assertTrue(sends < 60, sends + " sends in a second of nothing but errors");
+    assertTrue(sends < 60, sends + " sends in a second in which every set-up failed");
   }
 
   @Test
@@ -647,9 +653,10 @@
     node.handle(new Arrived(hasty));
     node.advance(TestNode.SECOND / 2);
     assertTrue(TestNode.ofType(node.allActions, Send.class).stream().noneMatch(a -> a.id().equals("hasty")));
-    assertEquals(1, TestNode.ofType(node.allActions, Refuse.class).stream().filter(a -> a.id().equals("hasty")).count());
+    assertEquals(1,
+        TestNode.ofType(node.allActions, Refuse.class).stream().filter(a -> a.id().equals("hasty")).count());
     node.advance(20 * TestNode.SECOND);
-    assertNotNull(node.arrive("later"), "what was learnt fades");
+    assertNotNull(node.arrive("later"), "the time estimate decays");
   }
 
   // ---- The list
@@ -665,7 +672,7 @@
       node.handle(new ServerList(0, Balancer.ListKind.FAILED, List.of()));
       calls += TestNode.ofType(node.advance(7 * TestNode.SECOND), Subscribe.class).size();
     }
-    assertTrue(calls >= 10 && calls <= 20, calls + " calls after 10 failures: they must not multiply");
+    assertTrue(calls >= 10 && calls <= 20, calls + " calls after 10 failures: calls must not multiply");
     node.equalServers(2);
     assertTrue(TestNode.ofType(node.advance(60 * TestNode.SECOND), Subscribe.class).isEmpty());
   }
@@ -689,7 +696,7 @@
     assertEquals("s0", node.arrive("r"));
   }
 
-  // ---- What the node no longer knows
+  // ---- Unknown requests and servers
 
   @Test
   void eventsAboutUnknownRequestsAndServersAreIgnored() {
@@ -705,7 +712,7 @@
     assertNotNull(node.arrive("r"));
   }
 
-  /** A request that no server can take in time was once held to its deadline, and told nothing then. */
+  /** A request that no server can take in time was once held until its deadline, and got no retry time. */
   @Test
   void aRequestThatNoServerCanTakeIsRefusedAtOnceWithARetryTime() {
     TestNode node = new TestNode().equalServers(2);
--- a/proxy/src/test/java/lemondeal/PoolRouterTest.java
+++ b/proxy/src/test/java/lemondeal/PoolRouterTest.java
@@ -31,24 +31,25 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Classes with servers of their own: no request leaves its class's fleet, and nothing of a request is kept. */
+/** Classes with separate servers: no request leaves its class's pool, and no state of a finished request is kept. */
 class PoolRouterTest {
   private static final long SECOND = 1_000_000;
 
   private static Balancer.Settings settings() {
-    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, 500_000,
-        2 * SECOND, 1, 0);
+    Balancer.RequestClass requestClass =
+        new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, 500_000, 2 * SECOND, 1, 0);
     return new Balancer.Settings(0, 1, 0, List.of(requestClass, requestClass, requestClass), List.of(),
         new Balancer.Rules(20_000, SECOND, 4, 2 * SECOND, 0.35, 9 * SECOND, 0),
         new Balancer.Limits(3, true, true, false, false, true, 2 * SECOND, SECOND),
-        new Balancer.Prices(0.03, 0.2, 0.002, 0, 0.01), Balancer.WeightMeaning.NONE, true, false, true, false, false, 1);
+        new Balancer.Prices(0.03, 0.2, 0.002, 0, 0.01), Balancer.WeightMeaning.NONE, true, false, true, false, false,
+        1);
   }
 
   private static ServerEntry server(String name, ServerState state) {
     return new ServerEntry(name, 0, 0, 0, 0, state, 1);
   }
 
-  /** Classes 0 and 2 have fleet 0, class 1 has fleet 1. */
+  /** Classes 0 and 2 have pool 0, class 1 has pool 1. */
   private static PoolRouter startedRouter() {
     PoolRouter router = new PoolRouter(List.of(new DecisionModule(), new DecisionModule()), new int[] {0, 1, 0});
     router.on(0, new Start(7, settings()));
@@ -71,13 +72,13 @@
   void theSummaryCoversAllPools() {
     PoolRouter router = startedRouter();
     router.on(1, list(0, ListKind.FULL, ServerState.READY, "a1", "a2"));
-    assertFalse(router.serverSummary(2).listReceived(), "the other fleet has told nothing yet");
+    assertFalse(router.serverSummary(2).listReceived(), "the other pool has no list yet");
     router.on(2, list(1, ListKind.FULL, ServerState.READY, "b1"));
     assertTrue(router.serverSummary(3).listReceived());
     assertEquals(3, router.serverSummary(3).known());
     router.on(4, list(0, ListKind.CHANGES, ServerState.GONE, "a1"));
     assertEquals(2, router.serverSummary(4).known());
-    assertEquals(List.of(), router.on(5, new ProbeResult("a1", Outcome.SERVED, 1, null)), "of a server that is gone");
+    assertEquals(List.of(), router.on(5, new ProbeResult("a1", Outcome.SERVED, 1, null)), "of a removed server");
   }
 
   @Example
@@ -93,7 +94,7 @@
     return (Send) actions.stream().filter(action -> action instanceof Send).findFirst().orElseThrow();
   }
 
-  /** A client that leaves while its second attempt is out: the end of that attempt is still its module's to hear. */
+  /** A client leaves during its second attempt: the module must still get the end of that attempt. */
   @Example
   void aRequestIsTrackedWhileAnAttemptIsInFlight() {
     PoolRouter router = startedRouter();
@@ -106,7 +107,7 @@
     assertEquals(0, router.trackedRequests());
   }
 
-  /** What stands round the fleets in a test: attempts that are out, wakes to come, and who was answered. */
+  /** A router with the attempts in flight, the pending wake-ups and the class of each request. */
   private static final class RouterHarness {
     private final PoolRouter router = startedRouter();
     private final Map<String, Integer> classes = new HashMap<>();
@@ -133,7 +134,7 @@
     }
   }
 
-  /** Random traffic, ends of every kind, clients that leave: sends stay in their fleet, wakes find their way. */
+  /** Random traffic, outcomes of every kind, clients that leave: sends stay in their pool, wake-ups reach theirs. */
   @Property(seed = "31", tries = 200)
   void noRequestLeavesItsPoolAndNothingIsKept(@ForAll long seed) {
     Random random = new Random(seed);
@@ -170,6 +171,6 @@
         harness.handle(new Wake(harness.wakeUps.remove(0)));
       }
     }
-    assertEquals(0, harness.router.trackedRequests(), "kept after all is over");
+    assertEquals(0, harness.router.trackedRequests(), "tracked after all requests have ended");
   }
 }
--- a/proxy/src/test/java/lemondeal/RankingTest.java
+++ b/proxy/src/test/java/lemondeal/RankingTest.java
@@ -14,11 +14,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The mechanism itself: weighted rendezvous scores, ranking fallback, agreement, minimal disruption. */
+/** Weighted rendezvous hashing: shares by weight, fallback by rank, agreement of nodes, minimal disruption. */
 class RankingTest {
   private static final int KEYS = 20_000;
 
-  /** Where a fresh node, which knows nothing but the list, puts each of a fixed set of groups. */
+  /** The server of each of a fixed set of groups, by a new node that knows only the list. */
   private static Map<String, String> placement(ServerEntry... entries) {
     Map<String, String> serverByKey = new HashMap<>();
     TestNode node = new TestNode().fullList(entries);
@@ -50,7 +50,7 @@
     for (int i = 0; i < weights.length; i++) {
       double share = weights[i] / total;
       double deviation = Math.sqrt(KEYS * share * (1 - share));
-      // Four standard deviations of the binomial; the key set is fixed, so the verdict is too.
+      // Four standard deviations of the binomial; the key set is fixed, so the result is deterministic.
       assertEquals(KEYS * share, counts.get("10.0.0." + i + ":80"), 4 * deviation);
     }
   }
@@ -106,7 +106,7 @@
     }
   }
 
-  /** The formula of the draft, written out apart from the module, with the hash as documented. */
+  /** The formula of the design, implemented apart from the module, with the documented hash. */
   private static List<String> plainRanking(String key, double[] weights) {
     Map<String, Double> scores = new HashMap<>();
     for (int i = 0; i < weights.length; i++) {
@@ -179,13 +179,13 @@
     assertNotNull(holder);
     assertNotEquals(holder, other.arrive("c", "c", "g"));
     other.advance(TestNode.SECOND / 2);
-    // A second word of the drain does not lengthen the grace.
+    // A repeated drain notice does not extend the grace.
     other.listChanges(TestNode.serverInState(holder, ServerState.DRAINING));
     other.advance(TestNode.SECOND / 2);
     Balancer.Request late = new Balancer.Request("d", other.now + TestNode.SECOND, 0, "c", "g", Double.NaN, true,
         false, 0, false);
     String next = TestNode.sentTo(other.handle(new Balancer.Arrived(late)), "d");
     assertNotNull(next);
-    assertNotEquals(holder, next, "past the grace not even a mid-flow request goes there");
+    assertNotEquals(holder, next, "after the grace not even a mid-flow request goes there");
   }
 }
--- a/proxy/src/test/java/lemondeal/RetryRaceTest.java
+++ b/proxy/src/test/java/lemondeal/RetryRaceTest.java
@@ -30,7 +30,7 @@
 import lemondeal.Balancer.WakeAfter;
 import org.junit.jupiter.api.Test;
 
-/** Where a repeat or a leaving client crosses another event inside the module. */
+/** Races of retries and leaving clients with other events in the module. */
 class RetryRaceTest {
 
   private static TestNode.Options optionsWith(Idempotency effect, DedupScope scope) {
@@ -48,19 +48,19 @@
     return new LoadReport(demand, Double.NaN, 20, Double.NaN, Double.NaN);
   }
 
-  /** Two servers: the request was sent to one, and the other takes nobody for two seconds; the first is returned. */
+  /** Two servers: the request is sent to one, and the other gets no requests for two seconds; returns the first. */
   private static String sendWhileOtherIsSlow(TestNode node) {
     node.equalServers(2);
     String first = node.arrive("r");
     String other = first.equals("s0") ? "s1" : "s0";
-    // Heard of a connection that was open before: the server's messages are late by more than the aim.
+    // Reported on a connection that was open before: the server's messages are over their latency target.
     node.handle(new Adopted(new Request("old", node.now + TestNode.SECOND, 0, "o", null, Double.NaN, false, false, 0,
         false), other));
     node.messageDelay("old", other, 150);
     return first;
   }
 
-  // ---- Repeats
+  // ---- Retries
 
   @Test
   void aWaitingRetryIsNotSentAfterItsDedupWindow() {
@@ -70,10 +70,10 @@
     String first = sendWhileOtherIsSlow(node);
     node.advance(TestNode.SECOND - 50_000);
     List<Action> actions = node.end("r", 0, first, Outcome.RESET);
-    assertNull(TestNode.sentTo(actions, "r"), "no place yet");
-    assertEquals(List.of(), answers(actions), "within its window it waits for one");
+    assertNull(TestNode.sentTo(actions, "r"), "no server can take it yet");
+    assertEquals(List.of(), answers(actions), "it is held within its window");
     actions = node.advance(2 * TestNode.SECOND);
-    assertNull(TestNode.sentTo(actions, "r"), "a place came free, but after the window");
+    assertNull(TestNode.sentTo(actions, "r"), "a server can take it, but after the window");
     assertEquals(1, answers(actions).size());
   }
 
@@ -88,7 +88,7 @@
     assertNotNull(TestNode.sentTo(node.advance(2 * TestNode.SECOND), "r"));
   }
 
-  /** The dial may take long, and what the module sent within the window then reached the server after it. */
+  /** The dial may be slow: a request sent within the window once reached the server after it. */
   @Test
   void aRetryTimesOutWhenItsDedupWindowEnds() {
     TestNode.Options options = optionsWith(Idempotency.KEYED, DedupScope.ALL);
@@ -109,7 +109,7 @@
     String first = node.arrive("r");
     node.advance(900_000);
     List<Send> sent = TestNode.ofType(node.end("r", 0, first, Outcome.REFUSED), Send.class);
-    assertTrue(sent.get(0).timeout() > 500_000, sent + ": no window has begun");
+    assertTrue(sent.get(0).timeout() > 500_000, sent + ": there is no window yet");
   }
 
   @Test
@@ -124,7 +124,7 @@
     assertEquals(1, answers(actions).size());
   }
 
-  /** The window and the group count from the first attempt that may have run, not from one that never did. */
+  /** Window and scope count from the first attempt that may have run, not from one that did not. */
   @Test
   void theFirstAttemptThatMayHaveRunSetsWindowAndScope() {
     TestNode.Options options = optionsWith(Idempotency.KEYED, DedupScope.CELL);
@@ -154,7 +154,7 @@
       for (Outcome mayHaveRun : List.of(Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.ERROR)) {
         TestNode node = new TestNode(optionsWith(Idempotency.UNSAFE, DedupScope.ALL)).equalServers(5);
         String second = TestNode.sentTo(node.end("r", 0, node.arrive("r"), didNotRun), "r");
-        assertNotNull(second, didNotRun + " proves that it never ran");
+        assertNotNull(second, didNotRun + " shows that it did not run");
         List<Action> actions = new ArrayList<>(node.end("r", 1, second, mayHaveRun));
         actions.addAll(node.advance(5 * TestNode.SECOND));
         assertEquals(List.of(new Fail("r")), answers(actions), didNotRun + ", " + mayHaveRun);
@@ -163,7 +163,7 @@
     }
   }
 
-  /** A refusal promises that trying again is harmless: asked of every effect, scope and outcome. */
+  /** A refusal promises that a retry is safe; checked for every idempotency, scope and outcome. */
   @Test
   void onlyRequestsThatMayBeRepeatedAreRefused() {
     for (Idempotency idempotency : Idempotency.values()) {
@@ -185,7 +185,7 @@
     }
   }
 
-  /** A second word on an attempt whose repeat waits belongs to nobody: it is no end of the repeat. */
+  /** A second outcome of an attempt whose retry waits is ignored: it does not end the retry. */
   @Test
   void aSecondOutcomeWhileTheRetryWaitsChangesNothing() {
     TestNode node = new TestNode();
@@ -194,15 +194,16 @@
     for (Outcome outcome : Outcome.values()) {
       assertEquals(List.of(), TestNode.ofType(node.end("r", 0, first, outcome), WakeAfter.class), outcome.toString());
     }
-    assertNotNull(TestNode.sentTo(node.advance(2_500_000), "r"), "it is sent once a place comes free");
+    assertNotNull(TestNode.sentTo(node.advance(2_500_000), "r"), "it is sent once a server can take it");
   }
 
-  /** The connection that a client had before counts as its first attempt: it binds as one that was sent. */
+  /** An adopted connection counts as the first attempt and limits retries like one that was sent. */
   @Test
   void anAdoptedConnectionSetsTheScopeOfItsRetries() {
     TestNode.Options options = optionsWith(Idempotency.KEYED, DedupScope.CELL);
     options.dedupWindow = 2_000 * TestNode.SECOND;
-    TestNode node = new TestNode(options).fullList(TestNode.server("c0a", 0, 0), TestNode.server("c0b", 0, 0), TestNode.server("c1a", 0, 1));
+    TestNode node = new TestNode(options)
+        .fullList(TestNode.server("c0a", 0, 0), TestNode.server("c0b", 0, 0), TestNode.server("c1a", 0, 1));
     node.handle(new Adopted(node.request("r", "r", null), "c0a"));
     assertEquals("c0b", TestNode.sentTo(node.end("r", 0, "c0a", Outcome.RESET), "r"));
   }
@@ -212,7 +213,8 @@
     TestNode.Options options = new TestNode.Options();
     options.mayProbe = true;
     TestNode node = new TestNode(options).equalServers(2);
-    String probed = TestNode.ofType(node.handle(new Arrived(node.request("r", "r", null))), Probe.class).get(0).server();
+    String probed = TestNode.ofType(node.handle(new Arrived(node.request("r", "r", null))), Probe.class).get(0)
+        .server();
     node.listChanges(TestNode.serverInState(probed, ServerState.DRAINING));
     List<Action> actions = new ArrayList<>(
         node.handle(new ProbeResult(probed, Outcome.SERVED, 1_000, report(0.1))));
@@ -221,9 +223,9 @@
     assertNotEquals(probed, TestNode.sentTo(actions, "r"));
   }
 
-  // ---- Client gone
+  // ---- Clients that leave
 
-  /** Nothing is sent for the request, nor answered, whatever comes later. */
+  /** Asserts that the request is neither sent nor answered later. */
   private static void assertNoFurtherActions(TestNode node, String id) {
     int firstNew = node.allActions.size();
     for (int i = 0; i < 4; i++) {
@@ -232,9 +234,9 @@
       node.advance(TestNode.SECOND);
     }
     for (Action action : node.allActions.subList(firstNew, node.allActions.size())) {
-      assertTrue(!(action instanceof Send s && s.id().equals(id)), "sent on for a client that has gone");
+      assertTrue(!(action instanceof Send s && s.id().equals(id)), "sent for a client that has left");
       assertTrue(!(action instanceof Refuse r && r.id().equals(id)) && !(action instanceof Fail f
-          && f.id().equals(id)), "answered for a client that has gone");
+          && f.id().equals(id)), "answered for a client that has left");
     }
   }
 
@@ -275,7 +277,7 @@
     node.handle(new ClientGone("r"));
     assertEquals(List.of(), node.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(0.1))));
     assertNoFurtherActions(node, "r");
-    // The other order: it was sent on, and that attempt is called off.
+    // The other order: it was sent, and that attempt is cancelled.
     TestNode other = new TestNode(options).equalServers(1);
     other.handle(new Arrived(other.request("r", "r", null)));
     assertEquals("s0", TestNode.sentTo(other.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(0.1))), "r"));
@@ -329,7 +331,7 @@
     assertNoFurtherActions(node, "r");
   }
 
-  /** The connection was just up: its client's place at the server was held for ever, and counted in all shares. */
+  /** The connection had just opened: the request was once never removed from the server and counted in all shares. */
   @Test
   void aClientThatLeavesAsItsConnectionOpensIsForgottenAtItsEnd() {
     TestNode node = new TestNode().equalServers(5);
@@ -342,21 +344,22 @@
     }
     node.open("r", "r", "g");
     for (Balancer.Move move : TestNode.ofType(node.messageDelay("r", server, 2_000), Balancer.Move.class)) {
-      assertEquals("r", move.id(), "moved who had gone");
+      assertEquals("r", move.id(), "moved a client that has left");
     }
   }
 
-  /** Old wake-ups know the request that set them, not one that has its id now. */
+  /** An old wake-up belongs to the request that scheduled it, not to a new one with the same id. */
   @Test
   void aNewRequestOfTheSameIdInheritsNoWakeUp() {
     TestNode node = new TestNode();
-    WakeAfter oldWakeUp = TestNode.ofType(node.handle(new Arrived(node.request("r", "r", null))), WakeAfter.class).get(0);
+    WakeAfter oldWakeUp = TestNode.ofType(node.handle(new Arrived(node.request("r", "r", null))), WakeAfter.class)
+        .get(0);
     node.handle(new ClientGone("r"));
     node.handle(new Arrived(node.request("r", "r", null)));
     assertEquals(List.of(), node.handle(new Wake(oldWakeUp.token())));
   }
 
-  /** Each look at a waiting request set one more wake-up, each of which looked again: they added up. */
+  /** Each check of a waiting request once scheduled another wake-up, which checked again: they accumulated. */
   @Test
   void wakeUpsOfAWaitingRequestDoNotAddUp() {
     TestNode.Options options = new TestNode.Options();
@@ -366,6 +369,6 @@
     node.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(1.2)));
     node.advance(200_000);
     int wakeUps = TestNode.ofType(node.advance(TestNode.SECOND), WakeAfter.class).size();
-    assertTrue(wakeUps <= 11, wakeUps + " wake-ups in a second for one that looks each 0.1 s");
+    assertTrue(wakeUps <= 11, wakeUps + " wake-ups in a second for a request checked every 0.1 s");
   }
 }
--- a/proxy/src/test/java/lemondeal/RulesTest.java
+++ b/proxy/src/test/java/lemondeal/RulesTest.java
@@ -25,7 +25,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The rules: one final answer in time, no effect twice, drains kept, no cold server pushed over. */
+/** The rules: one final answer in time, no effect twice, drains respected, no cold server overloaded. */
 class RulesTest {
 
   private static TestNode nodeWith(Idempotency effect, DedupScope scope) {
@@ -156,7 +156,8 @@
   @Test
   void anUnknownClassIsUnsafe() {
     TestNode node = new TestNode().equalServers(5);
-    Request unknownClass = new Request("r", node.now + TestNode.SECOND, 9, "c", null, Double.NaN, false, false, 0, false);
+    Request unknownClass =
+        new Request("r", node.now + TestNode.SECOND, 9, "c", null, Double.NaN, false, false, 0, false);
     String server = TestNode.sentTo(node.handle(new Arrived(unknownClass)), "r");
     List<Action> actions = node.end("r", 0, server, Outcome.TIMED_OUT);
     assertEquals(List.of(new Fail("r")), TestNode.ofType(actions, Fail.class));
@@ -167,7 +168,8 @@
   void aKeyedRequestIsRetriedOnlyWithinItsDedupScope() {
     for (DedupScope scope : List.of(DedupScope.ZONE, DedupScope.CELL)) {
       for (int i = 0; i < 20; i++) {
-        TestNode node = nodeWith(Idempotency.KEYED, scope).fullList(TestNode.server("z0c0a", 0, 0), TestNode.server("z0c0b", 0, 0),
+        TestNode node = nodeWith(Idempotency.KEYED, scope)
+            .fullList(TestNode.server("z0c0a", 0, 0), TestNode.server("z0c0b", 0, 0),
             TestNode.server("z0c1", 0, 1), TestNode.server("z1c2", 1, 2), TestNode.server("z1c3", 1, 3));
         String first = node.arrive("r" + i);
         String next = TestNode.sentTo(node.end("r" + i, 0, first, Outcome.TIMED_OUT), "r" + i);
@@ -193,19 +195,21 @@
 
   @Test
   void aKeyedRequestThatDidNotRunMayGoAnywhere() {
-    TestNode node = nodeWith(Idempotency.KEYED, DedupScope.CELL).fullList(TestNode.server("a", 0, 0), TestNode.server("b", 1, 1));
+    TestNode node = nodeWith(Idempotency.KEYED, DedupScope.CELL)
+        .fullList(TestNode.server("a", 0, 0), TestNode.server("b", 1, 1));
     String server = node.arrive("r");
     String next = TestNode.sentTo(node.end("r", 0, server, Outcome.REFUSED), "r");
     assertNotNull(next);
     assertNotEquals(server, next);
   }
 
-  // ---- Drains kept
+  // ---- Drains respected
 
   @Test
   void drainingAndRemovedServersGetNothingNew() {
     TestNode node = new TestNode().equalServers(4);
-    node.listChanges(TestNode.serverInState("s0", ServerState.DRAINING), TestNode.serverInState("s1", ServerState.GONE));
+    node.listChanges(TestNode.serverInState("s0", ServerState.DRAINING),
+        TestNode.serverInState("s1", ServerState.GONE));
     for (int i = 0; i < 60; i++) {
       String server = node.open("r" + i, "r" + i, null);
       assertTrue(server.equals("s2") || server.equals("s3"), server);
@@ -229,9 +233,9 @@
     }
   }
 
-  // ---- No cold server pushed over
+  // ---- No cold server overloaded
 
-  /** A rush of returning clients at every node of a tier, and what a cold server is sent of it. */
+  /** Number of sends to a cold server in a burst of returning clients at every node of a tier. */
   private static int coldSends(int nodes, int burst, boolean settled) {
     int sends = 0;
     for (int nodeIndex = 0; nodeIndex < nodes; nodeIndex++) {
@@ -262,8 +266,8 @@
   @Test
   void theNodesTogetherKeepTheColdBudgetInABurst() {
     for (int nodes : new int[] {1, 5, 40}) {
-      // Each node holds 20 connections, a quarter of them at each server, which fills one in 10 s at the
-      // rate nodes x 20 / 4 / 10 s; three times the coldest share of it in 2 s, twice for two windows.
+      // Each node holds 20 connections, a quarter of them at each server: one is filled in 10 s at a rate of
+      // nodes x 20 / 4 / 10 s. The budget of a window of 2 s is three times the cold share of it; two windows.
       double budget = nodes * 20 / 4.0 / 10 * 3 * 0.36 * 2;
       int sends = coldSends(nodes, 100, true);
       assertTrue(sends <= 2 * budget + 2, nodes + " nodes sent " + sends + ", budget " + budget);
@@ -295,6 +299,6 @@
     for (int i = 0; i < 40; i++) {
       coldSends += "s0".equals(node.open("r" + i, "r" + i, null)) ? 1 : 0;
     }
-    assertTrue(coldSends < 5, coldSends + " of 40 sent to a server whose start lies ahead");
+    assertTrue(coldSends < 5, coldSends + " of 40 sent to a server that starts in the future");
   }
 }
--- a/proxy/src/test/java/lemondeal/ScriptedBalancer.java
+++ b/proxy/src/test/java/lemondeal/ScriptedBalancer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A module that answers each event as a test says, and stands to its list as the test says too. */
+/** A test double of the decision module: the test decides the actions of each event and the server summary. */
 public final class ScriptedBalancer implements Balancer {
   private final Function<Event, List<Action>> script;
   public volatile ServerSummary standing = new ServerSummary(true, 1, 0);
--- a/proxy/src/test/java/lemondeal/ShuffledJson.java
+++ b/proxy/src/test/java/lemondeal/ShuffledJson.java
@@ -9,7 +9,7 @@
 import lemondeal.codec.Json;
 import lemondeal.codec.ProtocolException;
 
-/** The same JSON object with its keys in a drawn order, at every depth; lists stay as they are. */
+/** Shuffles the keys of a JSON object at every depth; lists keep their order. */
 public final class ShuffledJson {
   private ShuffledJson() {}
 
--- a/proxy/src/test/java/lemondeal/TestNode.java
+++ b/proxy/src/test/java/lemondeal/TestNode.java
@@ -30,7 +30,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** One node under test with a fake clock; wake-ups that it asks for come when the clock passes them. */
+/** A decision module under test with a fake clock; requested wake-ups are delivered as the clock advances. */
 final class TestNode {
   static final long SECOND = 1_000_000;
   static final long LONG_AGO = 0;
@@ -41,7 +41,7 @@
   long now = 1_000 * SECOND;
   private long version;
 
-  /** Settings that tests vary one thing of. */
+  /** Settings of the node; a test changes what it needs. */
   static final class Options {
     int nodeIndex;
     int nodeCount = 1;
@@ -58,15 +58,16 @@
     boolean mayCancel = true;
 
     Settings settings() {
-      RequestClass firstClass = new RequestClass(idempotency, dedupScope, dedupWindow, SECOND / 2, 3 * SECOND, 1, 100_000);
+      RequestClass firstClass =
+          new RequestClass(idempotency, dedupScope, dedupWindow, SECOND / 2, 3 * SECOND, 1, 100_000);
       RequestClass secondClass = new RequestClass(idempotency, dedupScope, dedupWindow, SECOND / 2, 3 * SECOND,
           secondClassWorth, 100_000);
       List<RequestClass> classes = secondClassWorth > 0 ? List.of(firstClass, secondClass) : List.of(firstClass);
       return new Settings(nodeIndex, nodeCount, 0, classes, List.of(),
           new Rules(20_000, SECOND, 3, 2 * SECOND, 0.2, 10 * SECOND, mustSubscribe ? 10 * SECOND : 0),
           new Limits(maxAttempts, mayCancel, mayProbe, mayMessagePeers, false, true, SECOND, 100_000),
-          new Prices(0.01, 0.1, 0.002, 0.01, 0.02), WeightMeaning.NOMINAL, mustSubscribe, groupsShareWork, false, mayProbe,
-          false, 0.1);
+          new Prices(0.01, 0.1, 0.002, 0.01, 0.02), WeightMeaning.NOMINAL, mustSubscribe, groupsShareWork, false,
+          mayProbe, false, 0.1);
     }
   }
 
@@ -78,12 +79,12 @@
     this(new Options());
   }
 
-  /** The number of the request's newest attempt. */
+  /** The number of the request's latest attempt. */
   int latestAttempt(String id) {
     return (int) allActions.stream().filter(a -> a instanceof Send s && s.id().equals(id)).count() - 1;
   }
 
-  /** Gives the event and returns what was done at once. */
+  /** Delivers the event and returns the resulting actions. */
   List<Action> handle(Event event) {
     List<Action> actions = module.on(now, event);
     allActions.addAll(actions);
@@ -95,7 +96,7 @@
     return actions;
   }
 
-  /** Moves the clock, delivering wake-ups in order; returns what was done meanwhile. */
+  /** Advances the clock and delivers due wake-ups in order; returns the actions taken meanwhile. */
   List<Action> advance(long duration) {
     final int firstNew = allActions.size();
     long end = now + duration;
@@ -136,7 +137,7 @@
     return this;
   }
 
-  /** A fleet of equal servers s0, s1, ... */
+  /** A full list of equal servers s0, s1, ... */
   TestNode equalServers(int count) {
     ServerEntry[] entries = new ServerEntry[count];
     for (int i = 0; i < count; i++) {
@@ -149,7 +150,7 @@
     return new Request(id, now + 3 * SECOND, 0, key, group, Double.NaN, false, false, 0, false);
   }
 
-  /** A request arrives; returns the server it is sent to at once, or null. */
+  /** A request arrives; returns the server that it is sent to at once, or null. */
   String arrive(String id, String key, String group) {
     return sentTo(handle(new Arrived(request(id, key, group))), id);
   }
@@ -158,7 +159,7 @@
     return arrive(id, id, null);
   }
 
-  /** A request arrives and its connection stands. */
+  /** A request arrives and its connection is established; returns the server, or null. */
   String open(String id, String key, String group) {
     String server = arrive(id, key, group);
     if (server != null) {
@@ -167,7 +168,7 @@
     return server;
   }
 
-  /** Requests of different keys, each of whose attempts ends in this way. */
+  /** Sends requests with different keys, each of whose attempts ends with the outcome. */
   void failAll(int count, Outcome outcome) {
     for (int i = 0; i < count; i++) {
       String id = "failing" + i;
--- a/proxy/src/test/java/lemondeal/ZoneAdmissionTest.java
+++ b/proxy/src/test/java/lemondeal/ZoneAdmissionTest.java
@@ -15,12 +15,13 @@
 import lemondeal.Balancer.ZoneOpen;
 import org.junit.jupiter.api.Test;
 
-/** Zones that the fleet left together, or opens again. */
+/** Zones that the proxies have closed together, or are opening again. */
 class ZoneAdmissionTest {
   private static final int KEYS = 200;
 
   private static TestNode node(TestNode.Options options) {
-    return new TestNode(options).fullList(TestNode.server("a0", 0, 0), TestNode.server("a1", 0, 0), TestNode.server("b0", 1, 0),
+    return new TestNode(options)
+        .fullList(TestNode.server("a0", 0, 0), TestNode.server("a1", 0, 0), TestNode.server("b0", 1, 0),
         TestNode.server("b1", 1, 0));
   }
 
@@ -43,10 +44,11 @@
     node.handle(new ZoneOpen(1, 0, 0, 0));
     List<String> closed = openAll(node, "closed");
     node.handle(new ZoneOpen(1, 1, ZoneOpen.UNLIMITED, 0));
-    assertEquals(before, openAll(node, "after"), "a returning zone gets the keys that it had");
+    assertEquals(before, openAll(node, "after"), "an opened zone regains the keys that it had");
     for (int i = 0; i < KEYS; i++) {
       assertTrue(closed.get(i).startsWith("a"));
-      assertTrue(!before.get(i).startsWith("a") || before.get(i).equals(closed.get(i)), "others stay where they were");
+      assertTrue(!before.get(i).startsWith("a") || before.get(i).equals(closed.get(i)),
+          "keys of other zones keep their servers");
     }
     assertTrue(before.stream().anyMatch(server -> server.startsWith("b")));
   }
@@ -61,9 +63,10 @@
     List<String> more = openAll(node, "more");
     long someCount = some.stream().filter(server -> server.startsWith("b")).count();
     long moreCount = more.stream().filter(server -> server.startsWith("b")).count();
-    assertTrue(someCount > 0 && someCount < moreCount && moreCount < before.stream().filter(server -> server.startsWith("b")).count());
+    assertTrue(someCount > 0 && someCount < moreCount
+        && moreCount < before.stream().filter(server -> server.startsWith("b")).count());
     for (int i = 0; i < KEYS; i++) {
-      assertFalse(some.get(i).startsWith("b") && !some.get(i).equals(more.get(i)), "who has entered stays");
+      assertFalse(some.get(i).startsWith("b") && !some.get(i).equals(more.get(i)), "admitted keys stay admitted");
     }
   }
 
@@ -94,7 +97,7 @@
     assertEquals(highWorthInZone, TestNode.ofType(actions, Move.class).stream().map(Move::id).toList());
   }
 
-  /** Where nothing else can be had, a client is told at once when to come again. */
+  /** Without any open zone a client gets a refusal with a retry time at once. */
   @Test
   void withEveryZoneClosedClientsAreRefusedAtOnce() {
     TestNode node = node();
--- a/proxy/src/test/java/lemondeal/benchlink/MetamorphicTest.java
+++ b/proxy/src/test/java/lemondeal/benchlink/MetamorphicTest.java
@@ -47,8 +47,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Changes of a deployment that say the same in other words, and so must change no decision: nothing in the program may
- * rest on names, on places in the settings' lists, on the order of keys, or on a clock that one deployment runs by.
+ * Equivalent changes of a deployment must change no decision: decisions may not depend on names, on positions in the
+ * settings' lists, on the order of keys, or on the time scale of one deployment.
  */
 class MetamorphicTest {
 
@@ -68,7 +68,7 @@
     return lines;
   }
 
-  /** An instance, and what became of the attempts that it has made: the recorded ones were made on other settings. */
+  /** An instance and the outcomes of its own attempts: the recorded ones were made with other settings. */
   private static final class Instance {
     private final Balancer module = new DecisionModule();
     private final List<Action> decisions;
@@ -88,7 +88,7 @@
       }
     }
 
-    /** One attempt in six fails, drawn by its number and its request alone. */
+    /** One attempt in six fails, chosen by a hash of its number and its request alone. */
     private void finishAttempt(long now, Send send) {
       int attempt = attempts.merge(send.id(), 1, Integer::sum) - 1;
       if (Math.floorMod((send.id() + attempt).hashCode(), 6) == 0) {
@@ -99,7 +99,7 @@
       }
     }
 
-    /** The recorded end of a connection, wherever it is here. */
+    /** Ends a connection as recorded, at the server that it has here. */
     void end(long now, Ended recorded) {
       Send send = established.remove(recorded.id());
       if (send != null) {
@@ -109,7 +109,7 @@
     }
   }
 
-  /** All that the instances decide, in order, with each event changed before it is told. */
+  /** All decisions of the instances, in order, with each event changed before it is delivered. */
   private static List<Action> decisions(List<String> day, EventChange change) {
     Map<String, Instance> instances = new HashMap<>();
     List<Action> all = new ArrayList<>();
@@ -131,16 +131,17 @@
     return all;
   }
 
-  // ---- Names and places ----------------------------------------------------------------------
+  // ---- Names and positions -------------------------------------------------------------------
 
-  /** Three classes in place of the recorded one, each unlike the others, and requests of all of them. */
+  /** Three different classes in place of the recorded one, and requests of all of them. */
   private static Event withThreeClasses(Event event) {
     if (event instanceof Start e) {
       RequestClass first = e.settings().classes().get(0);
       return new Start(e.seed(), withClasses(e.settings(), List.of(first,
           new RequestClass(Idempotency.UNSAFE, DedupScope.ALL, 0, first.latencyTarget() / 2, first.deadline() * 2, 3,
               first.messageLatencyTarget() * 3),
-          new RequestClass(Idempotency.KEYED, DedupScope.ZONE, first.dedupWindow(), first.latencyTarget(), first.deadline(), 0.5, 0)),
+          new RequestClass(Idempotency.KEYED, DedupScope.ZONE, first.dedupWindow(), first.latencyTarget(),
+              first.deadline(), 0.5, 0)),
           e.settings().zone()));
     }
     return mapRequest(event, r -> inClass(r, Math.floorMod(r.id().hashCode(), 3)));
@@ -159,11 +160,12 @@
   }
 
   private static Settings withClasses(Settings s, List<RequestClass> classes, int zone) {
-    return new Settings(s.nodeIndex(), s.nodeCount(), zone, classes, s.tenants(), s.rules(), s.limits(), s.prices(), s.weightMeaning(),
-        s.mustSubscribe(), s.groupsShareWork(), s.passThrough(), s.probesReportLoad(), s.worthIsPerWork(), s.overShareWorth());
+    return new Settings(s.nodeIndex(), s.nodeCount(), zone, classes, s.tenants(), s.rules(), s.limits(), s.prices(),
+        s.weightMeaning(), s.mustSubscribe(), s.groupsShareWork(), s.passThrough(), s.probesReportLoad(),
+        s.worthIsPerWork(), s.overShareWorth());
   }
 
-  /** Classes, zones and kinds of machines in another order throughout: places are names, and decide nothing. */
+  /** Classes, zones and machine models in another order throughout: their numbers must not matter. */
   private static Event permuted(Event event, int[] classes, int[] zones, int[] models) {
     if (event instanceof Start e) {
       RequestClass[] moved = new RequestClass[classes.length];
@@ -197,16 +199,17 @@
     List<String> day = recordedDay();
     List<Action> plain = decisions(day, MetamorphicTest::withThreeClasses);
     long sends = plain.stream().filter(Send.class::isInstance).count();
-    assertTrue(sends > 1000, sends + " sends: a day with something to decide");
+    assertTrue(sends > 1000, sends + " sends: too few for the comparison");
     assertEquals(plain, decisions(day, event -> permuted(withThreeClasses(event), classes, zones, models)));
   }
 
-  /** That the relation above can fail: a class's own terms do decide. */
+  /** Shows that the test above can fail: the settings of a class do matter. */
   @Example
   void swappedClassSettingsDoChangeDecisions() {
     List<String> day = recordedDay();
     assertNotEquals(decisions(day, MetamorphicTest::withThreeClasses), decisions(day, event -> event instanceof Start
-        ? permuted(withThreeClasses(event), new int[] {2, 0, 1}, new int[] {0, 1, 2, 3}, new int[4]) : withThreeClasses(event)));
+        ? permuted(withThreeClasses(event), new int[] {2, 0, 1}, new int[] {0, 1, 2, 3}, new int[4])
+        : withThreeClasses(event)));
   }
 
   // ---- The settings' text --------------------------------------------------------------------
@@ -224,7 +227,7 @@
     return replies;
   }
 
-  /** Names appear in the settings alone; every one of them is another, and some appear that nobody had. */
+  /** Names appear only in the settings; here each one is changed, and unknown ones are added. */
   @Example
   void otherNamesChangeNoReply() {
     List<String> day = recordedDay();
@@ -234,7 +237,7 @@
             + "\"tiers\":[\"other\"],\"stranger\":{\"n\":[1,{\"a\":null}]}")));
   }
 
-  /** The settings of each start with all keys in a drawn order, at every depth. */
+  /** The settings of each start with all keys shuffled at every depth. */
   @Property(tries = 6, seed = "11", shrinking = ShrinkingMode.OFF)
   void keysInAnotherOrderChangeNoReply(@ForAll long seed) {
     Random random = new Random(seed);
@@ -245,9 +248,9 @@
   // ---- Time ----------------------------------------------------------------------------------
 
   /**
-   * A stretch of traffic with servers that are cold, in times of a unit: at twice the unit, all settings included, the
-   * same servers are chosen for twice the time. What rests on times that no settings give is left out: failures, whose
-   * pass-over is the module's own, waits for a place, and the lead of an answer; see docs/DESIGN.md on its tunables.
+   * Traffic with cold servers, with all times in multiples of a unit: with the unit doubled, also in the settings, the
+   * same servers must be chosen with doubled timeouts. Left out is what depends on times that are constants of the
+   * module: ejections, waits for capacity and the answer margin; see docs/DESIGN.md on the parameters.
    */
   @Property(tries = 50, seed = "5", shrinking = ShrinkingMode.OFF)
   void doubledTimesChangeNoDecision(@ForAll long seed) {
@@ -272,13 +275,13 @@
     int nodes = 1 + random.nextInt(30);
     Rules rules = new Rules(20_000 * unit, 1_000_000 * unit, 2 + random.nextInt(3), 1_500_000 * unit,
         0.1 + 0.3 * random.nextDouble(), 10_000_000 * unit, 0);
-    RequestClass requestClass = new RequestClass(Idempotency.SAFE, DedupScope.ALL, 0, 300_000 * unit, 1_200_000 * unit, 1,
-        100_000 * unit);
+    RequestClass requestClass =
+        new RequestClass(Idempotency.SAFE, DedupScope.ALL, 0, 300_000 * unit, 1_200_000 * unit, 1, 100_000 * unit);
     Settings settings = new Settings(random.nextInt(nodes), nodes, 0, List.of(requestClass), List.of(), rules,
         new Balancer.Limits(3, true, false, false, false, true, 600_000 * unit, 8_000 * unit),
         new Balancer.Prices(0.03, 0.2, 0, 0, 0.02), Balancer.WeightMeaning.NOMINAL, false, random.nextBoolean(), false,
         false, false, 0.1);
-    // A server's start is part of what its turns are drawn by: times are counted from there, and it stays.
+    // A server's start time is hashed into the rotation of send allowances: it stays, and times count from it.
     long start = 1_000_000_000_000L;
     DecisionModule module = new DecisionModule();
     List<Action> all = new ArrayList<>(module.on(start, new Start(seed, settings)));
@@ -312,7 +315,7 @@
     return all.stream().filter(a -> !(a instanceof WakeAfter)).toList();
   }
 
-  /** A batch of the wire in which each start's settings have their keys in a drawn order. */
+  /** A batch in which the settings of each start have shuffled keys. */
   private static String shuffleSettings(String line, Random random) {
     StringBuilder out = new StringBuilder();
     int copied = 0;
@@ -325,7 +328,7 @@
     return out.append(line.substring(copied)).toString();
   }
 
-  /** The place behind the object that begins here; no string of the recorded settings holds a brace. */
+  /** The index after the object that begins here; no string of the recorded settings contains a brace. */
   private static int endOfObject(String line, int open) {
     int depth = 0;
     for (int i = open; ; i++) {
--- a/proxy/src/test/java/lemondeal/benchlink/RecordedDayTest.java
+++ b/proxy/src/test/java/lemondeal/benchlink/RecordedDayTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The events of a simulated day of overload at three nodes, replayed: the replies are the same to the letter. Guards
- * changes that are to change no decision. One that is meant to takes the new digest, and says why in its commit.
+ * Replays the recorded events of a simulated day of overload at three nodes: the replies must be identical. Guards
+ * against unintended changes of decisions. An intended change updates the digest and explains it in its commit.
  */
 class RecordedDayTest {
   private static final String REPLIES = "1f89f1eefde109aeee8793c07acdca635ef9aad754d6c328725747811d1419ca";
@@ -25,7 +25,8 @@
     MessageDigest digest = MessageDigest.getInstance("SHA-256");
     ByteArrayOutputStream replies = new ByteArrayOutputStream();
     try (InputStream day = new GZIPInputStream(getClass().getResourceAsStream("/recorded-day.jsonl.gz"))) {
-      assertEquals(0, new SimulatorHost(DecisionModule::new).run(day, new DigestOutputStream(replies, digest), System.err));
+      assertEquals(0,
+          new SimulatorHost(DecisionModule::new).run(day, new DigestOutputStream(replies, digest), System.err));
     }
     assertEquals(REPLIES, HexFormat.of().formatHex(digest.digest()), replies.size() + " bytes of replies, 257359 once");
   }
--- a/proxy/src/test/java/lemondeal/benchlink/WireTest.java
+++ b/proxy/src/test/java/lemondeal/benchlink/WireTest.java
@@ -46,7 +46,7 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** Every message of the wire read and written, and plain words on bad input. */
+/** Reads and writes every message of the wire protocol, and checks the errors on invalid input. */
 class WireTest {
   private static final String SETTINGS = """
       {"balancers":3,"slotNo":2,"locality":1,"membershipMode":"subscribe","weightSource":"rough",
@@ -68,7 +68,8 @@
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     String input = String.join("\n", lines) + "\n";
     try {
-      int code = new SimulatorHost(moduleFactory).run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out,
+      int code = new SimulatorHost(moduleFactory)
+          .run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out,
           new PrintStream(err, true, StandardCharsets.UTF_8));
       return new Run(code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     } catch (IOException e) {
@@ -98,7 +99,8 @@
     assertEquals(2, settings.nodeIndex());
     assertEquals(3, settings.nodeCount());
     assertEquals(1, settings.zone());
-    assertTrue(settings.mustSubscribe() && settings.groupsShareWork() && settings.passThrough() && settings.probesReportLoad());
+    assertTrue(settings.mustSubscribe() && settings.groupsShareWork() && settings.passThrough()
+        && settings.probesReportLoad());
     assertEquals(WeightMeaning.ROUGH, settings.weightMeaning());
     assertEquals(Idempotency.KEYED, settings.classes().get(0).idempotency());
     assertEquals(DedupScope.CELL, settings.classes().get(0).dedupScope());
@@ -238,7 +240,8 @@
       both[i] = batch(i, request.formatted(0), request.formatted(1));
       one[i] = batch(i, request.formatted(1));
     }
-    assertEquals(actionsOf("n/1", run(DecisionModule::new, both).out), actionsOf("n/1", run(DecisionModule::new, one).out));
+    assertEquals(actionsOf("n/1", run(DecisionModule::new, both).out),
+        actionsOf("n/1", run(DecisionModule::new, one).out));
     assertTrue(run(DecisionModule::new, one).out.contains("PROBE"));
   }
 
@@ -264,7 +267,7 @@
       {"{\"input\":[]}", "time is missing"},
       {"{\"time\":\"x\",\"input\":[]}", "time should be a whole number"},
       {"{\"time\":1,\"input\":{}}", "input should be an array"},
-      {"{\"time\":1,\"input\":[]} {}", "something follows"},
+      {"{\"time\":1,\"input\":[]} {}", "unexpected data after the batch"},
       {batch(1, "7"), "an event should be an array"},
       {batch(1, "[\"NONSENSE\",\"n\"]"), "unknown event NONSENSE"},
       {batch(1, "[\"REMINDER\",\"n\"]"), "REMINDER: nonce is missing"},
--- a/proxy/src/test/java/lemondeal/module/AbandonedRequestsTest.java
+++ b/proxy/src/test/java/lemondeal/module/AbandonedRequestsTest.java
@@ -8,7 +8,7 @@
 import lemondeal.Balancer.*;
 import org.junit.jupiter.api.Test;
 
-/** What the module still holds of requests that wait no more: nothing of them is to pile up. */
+/** The module must keep no state of requests whose client has left or whose time is up. */
 class AbandonedRequestsTest {
   private static final long SECOND = 1_000_000;
 
@@ -21,14 +21,16 @@
   private final SlowStart slowStart = new SlowStart(node, load);
   private final ZoneAdmission zoneAdmission = new ZoneAdmission(node, mover);
   private final SetupLimiter setupLimiter = new SetupLimiter(node);
-  private final RequestLifecycle requestLifecycle = new RequestLifecycle(node, load, health, groupShedding, slowStart, setupLimiter,
+  private final RequestLifecycle requestLifecycle =
+      new RequestLifecycle(node, load, health, groupShedding, slowStart, setupLimiter,
       new Ranking(node, load, health, serverShedding, slowStart, zoneAdmission), zoneAdmission);
 
-  /** One server, where so many requests wait for a set-up that none may start before another ends. */
+  /** One server, with requests queued for a set-up: none may start before another one ends. */
   private void queueRequests(int count) {
     node.now = 1_000 * SECOND;
     node.actions = new ArrayList<>();
-    RequestClass requestClass = new RequestClass(Idempotency.SAFE, DedupScope.ALL, SECOND, SECOND, 3 * SECOND, 1, 100_000);
+    RequestClass requestClass =
+        new RequestClass(Idempotency.SAFE, DedupScope.ALL, SECOND, SECOND, 3 * SECOND, 1, 100_000);
     node.start(new Start(7, new Settings(0, 1, 0, List.of(requestClass), List.of(),
         new Rules(20_000, SECOND, 3, 2 * SECOND, 0.2, 10 * SECOND, 0),
         new Limits(3, true, false, false, false, true, SECOND, 100_000), new Prices(0, 0, 0, 0, 0),
--- a/proxy/src/test/java/lemondeal/module/ColdServerBudgetTest.java
+++ b/proxy/src/test/java/lemondeal/module/ColdServerBudgetTest.java
@@ -15,22 +15,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What all nodes of a fleet together send to servers that start cold, in virtual time: traffic is uneven, clients rush
- * back, nodes restart and remember nothing. N follows from the world's true capacity, which no node is told.
+ * What all nodes together send to servers that start cold, in virtual time: traffic is uneven, clients return in
+ * bursts, nodes restart without state. The budget N follows from the servers' true capacity, which no node knows.
  */
 class ColdServerBudgetTest {
   private static final long SECOND = 1_000_000;
-  private static final long COLD_START = 20 * SECOND; // when the cold servers start, in a fleet that has settled
+  private static final long COLD_START = 20 * SECOND; // when the cold servers start, with the others in a steady state
   private static final long END = 30 * SECOND;
   private static final double CAPACITY = 40; // connections whose load fills a server of weight 1
-  private static final double MEAN_LIFETIME_SECONDS = 25; // mean seconds of a connection
-  private static final double UTILIZATION = 0.5; // share of the warm servers' capacity that clients ask for
-  private static final long REPORT_INTERVAL = 300_000; // of a server's report, at the slowest
+  private static final double MEAN_LIFETIME_SECONDS = 25; // of a connection
+  private static final double UTILIZATION = 0.5; // share of the warm servers' capacity that clients use
+  private static final long REPORT_INTERVAL = 300_000; // longest time between two refreshes of a server's report
   private static final Rules RULES = new Rules(20_000, SECOND, 4, 2 * SECOND, 0.35, 9 * SECOND, 0);
 
   private record ScheduledEvent(long at, long order, Runnable action) {}
 
-  /** A fleet of nodes with a module each, its servers and its clients. */
+  /** Nodes with a module each, their servers and their clients. */
   private static final class ColdFleetSimulation {
     final int nodes;
     final boolean probes;
@@ -67,7 +67,7 @@
       for (int n = 0; n < nodes; n++) {
         attemptCounts.add(new HashMap<>());
         openRequests.add(new LinkedHashMap<>());
-        // One node sees several times the mean, half of them a trickle.
+        // One node gets several times the mean, half of them very little.
         requestRates[n] = n == 0 ? 5 : n % 2 == 0 ? 1 : 0.2;
         start(n);
       }
@@ -94,10 +94,11 @@
       }
     }
 
-    /** A process that remembers nothing: it has the settings, a seed of its own and the list. */
+    /** Starts a process without state: it gets the settings, its own seed and the list. */
     void start(int node) {
       modules[node] = new DecisionModule();
-      RequestClass requestClass = new RequestClass(Idempotency.SAFE, DedupScope.ALL, SECOND, SECOND, 2 * SECOND, 1, 100_000);
+      RequestClass requestClass =
+          new RequestClass(Idempotency.SAFE, DedupScope.ALL, SECOND, SECOND, 2 * SECOND, 1, 100_000);
       handle(node, new Start(random.nextLong(), new Settings(node, nodes, 0, List.of(requestClass), List.of(), RULES,
           new Limits(3, true, probes, false, false, true, SECOND, 100_000), new Prices(0, 0, 0, 0, 0),
           WeightMeaning.NOMINAL, false, true, false, probes, false, 1)));
@@ -110,7 +111,7 @@
       handle(node, new ServerList(1, ListKind.FULL, entries));
     }
 
-    /** A process dies and is there again a moment later; its clients come again, through other nodes too. */
+    /** Restarts a process; its clients return a moment later, also through other nodes. */
     void restart(int node) {
       incarnations[node]++;
       openRequests.get(node).forEach((id, server) -> {
@@ -141,8 +142,8 @@
       });
     }
 
-    /** So many clients come within a second, to each node as its traffic is: of groups of which each has a cold
-     * server first in its ranking, as where a group is large, or the clients of a zone come back with it. */
+    /** A burst of clients within a second, to each node in proportion to its traffic, of groups that rank a cold
+     * server first: as with a large group, or when the clients of a zone return with it. */
     void burst(double share) {
       List<String> groups = new ArrayList<>();
       for (int g = 0; groups.size() < 5; g++) {
@@ -175,7 +176,8 @@
         if (action instanceof WakeAfter w) {
           scheduleForNode(node, w.delay(), () -> handle(node, new Wake(w.token())));
         } else if (action instanceof Probe p) {
-          scheduleForNode(node, 1_000, () -> handle(node, new ProbeResult(p.server(), Outcome.SERVED, 1_000, report(p.server()))));
+          scheduleForNode(node, 1_000,
+              () -> handle(node, new ProbeResult(p.server(), Outcome.SERVED, 1_000, report(p.server()))));
         } else if (action instanceof Send s) {
           sendTimes.computeIfAbsent(s.server(), k -> new ArrayList<>()).add(now);
           int attempt = attemptCounts.get(node).get(s.id())[0]++;
@@ -208,7 +210,7 @@
       });
     }
 
-    /** What a server says is as old as its last refresh. */
+    /** A server's report is as old as its last refresh. */
     private LoadReport report(String server) {
       if (now - reportedAt.getOrDefault(server, -REPORT_INTERVAL) >= REPORT_INTERVAL) {
         reportedAt.put(server, now);
@@ -216,15 +218,15 @@
       }
       int connections = staleReports ? reportedConnections.get(server) : openConnections.getOrDefault(server, 0);
       double noise = 0.85 + 0.3 * random.nextDouble();
-      return new LoadReport(noise * connections / (CAPACITY * capacityShare(now - startedAt.get(server))), Double.NaN, connections,
-          Double.NaN, Double.NaN);
+      return new LoadReport(noise * connections / (CAPACITY * capacityShare(now - startedAt.get(server))), Double.NaN,
+          connections, Double.NaN, Double.NaN);
     }
 
     private double capacityShare(long age) {
       return Math.min(1, RULES.coldCapacityShare() + (1 - RULES.coldCapacityShare()) * age / RULES.warmUpTime());
     }
 
-    /** The calls that the server bears in the window from then on: multiple x present capacity x window. */
+    /** Requests that the server can take in the window from this time on: multiple x capacity x window. */
     double budget(String server, long from) {
       double rate = CAPACITY / RULES.warmUpTime();
       double meanCapacityShare = capacityShare(from - startedAt.get(server) + RULES.overloadWindow() / 2);
@@ -235,7 +237,7 @@
       return sendTimes.getOrDefault(server, List.of());
     }
 
-    /** In any window of the stated length, whichever it is, only so much beyond N is put down to chance. */
+    /** In no window of the given length may the sends exceed N by more than chance explains. */
     void assertBudgetKept(String description) {
       for (String server : startedAt.keySet()) {
         List<Long> times = sendsTo(server);
@@ -245,7 +247,8 @@
             last++;
           }
           double maxSends = budget(server, times.get(first));
-          assertTrue(last - first <= maxSends + 2 * Math.sqrt(maxSends) + 2, description + ": " + server + " got " + (last - first)
+          assertTrue(last - first <= maxSends + 2 * Math.sqrt(maxSends) + 2,
+              description + ": " + server + " got " + (last - first)
               + " in a window, " + (times.get(first) - COLD_START) / 1000 + " ms after its start; N is " + maxSends);
         }
       }
@@ -258,8 +261,9 @@
     return nodes + " nodes, " + cold + " cold, " + (probes ? "with reports" : "without reports");
   }
 
-  /** A day on which cold servers start; the rush comes so many times, once a second, beside the usual traffic. */
-  private static ColdFleetSimulation simulate(int nodes, int cold, boolean probes, int bursts, double restartedShare, long... restartTimes) {
+  /** Runs a simulation in which cold servers start, with bursts once a second beside the usual traffic. */
+  private static ColdFleetSimulation simulate(int nodes, int cold, boolean probes, int bursts, double restartedShare,
+      long... restartTimes) {
     ColdFleetSimulation simulation = new ColdFleetSimulation(nodes, nodes < 10 ? 6 : 20, probes, nodes * 100L + cold);
     simulation.schedule(COLD_START, () -> simulation.startColdServers(cold));
     for (int r = 0; r < bursts; r++) {
@@ -276,7 +280,7 @@
     return simulation;
   }
 
-  /** A part of the nodes restarts, once in the middle of the first rush and once after it. */
+  /** A share of the nodes restarts, once in the middle of the first burst and once after it. */
   private static List<ColdFleetSimulation> runAndCheckBudget(int bursts, double restartedShare, boolean probes) {
     List<ColdFleetSimulation> simulations = new ArrayList<>();
     for (int nodes : NODE_COUNTS) {
@@ -301,7 +305,7 @@
     runAndCheckBudget(1, 0.7, false);
   }
 
-  /** Nobody knows what others sent within the last refresh of a server's report. */
+  /** No node knows what others sent since the last refresh of a server's report. */
   @Test
   void aBurstKeepsToTheBudgetWithStaleReports() {
     for (int nodes : NODE_COUNTS) {
@@ -311,12 +315,12 @@
         simulation.schedule(COLD_START, () -> simulation.startColdServers(cold));
         simulation.schedule(COLD_START, () -> simulation.burst(1));
         simulation.run();
-        simulation.assertBudgetKept(describe(nodes, cold, true) + " that are late");
+        simulation.assertBudgetKept(describe(nodes, cold, true) + " that are stale");
       }
     }
   }
 
-  /** The one before it may have used up the turns of before its start. */
+  /** The previous process may have used the allowance of the present window. */
   @Test
   void aProcessThatJustStartedMaySendNothing() {
     ColdFleetSimulation simulation = new ColdFleetSimulation(3, 1, false, 7);
@@ -333,23 +337,25 @@
   @Test
   void nodesThatRestartRepeatedlyKeepToTheBudget() {
     for (int nodes : NODE_COUNTS) {
-      ColdFleetSimulation simulation = simulate(nodes, 1, true, 1, 1, 300_000, 600_000, 900_000, 1_200_000, 1_500_000, 1_800_000);
+      ColdFleetSimulation simulation =
+          simulate(nodes, 1, true, 1, 1, 300_000, 600_000, 900_000, 1_200_000, 1_500_000, 1_800_000);
       simulation.assertBudgetKept(describe(nodes, 1, true) + ", all restart six times");
     }
   }
 
-  /** A crowd that wants in over all of the warm-up fills the servers about as fast as they can be filled. */
+  /** Sustained demand over the whole warm-up fills the servers about as fast as they can be filled. */
   @Test
   void sustainedLoadKeepsToTheBudgetAndUsesIt() {
     for (boolean probes : new boolean[] {true, false}) {
       for (ColdFleetSimulation simulation : runAndCheckBudget(9, 0.1, probes)) {
         double connectionsToFill = CAPACITY * (1 + RULES.coldCapacityShare()) / 2;
-        // Without reports a node judges by what it holds: the share of the capacity that is in use.
+        // Without reports a node estimates by its open connections: the share of the capacity in use.
         double knownCapacityShare = probes ? 1 : UTILIZATION;
         List<String> cold = simulation.startedAt.keySet().stream().filter(s -> s.startsWith("cold")).toList();
         long sent = cold.stream().flatMap(s -> simulation.sendsTo(s).stream())
             .filter(at -> at < COLD_START + RULES.warmUpTime()).count();
-        assertTrue(sent >= 0.4 * knownCapacityShare * connectionsToFill * cold.size(), describe(simulation.nodes, cold.size(), probes) + ": " + sent
+        assertTrue(sent >= 0.4 * knownCapacityShare * connectionsToFill * cold.size(),
+            describe(simulation.nodes, cold.size(), probes) + ": " + sent
             + " sent in the warm-up, " + connectionsToFill + " fill each server");
       }
     }
--- a/proxy/src/test/java/lemondeal/module/MembershipTest.java
+++ b/proxy/src/test/java/lemondeal/module/MembershipTest.java
@@ -25,27 +25,29 @@
 import lemondeal.discovery.SimulatedDiscovery.Reply;
 import org.junit.jupiter.api.Test;
 
-/** When the module asks for lists: soon enough that no change is missed, and not so often that discovery is overrun. */
+/** When the module subscribes: early enough to miss no change, and not so often that discovery is overloaded. */
 class MembershipTest {
   private static final long SECOND = 1_000_000;
-  /** A change counts so long after discovery had it and could be reached. */
+  /** Time within which a change must take effect once discovery has it and is reachable. */
   private static final long LIST_DEADLINE = 6 * SECOND;
   private static final long GRACE = SECOND;
   private static final int NODES = 100;
   private static final long CALL_TIMEOUT = 2 * SECOND;
 
   private static Settings settings(long pollInterval) {
-    RequestClass requestClass = new RequestClass(Idempotency.SAFE, DedupScope.ALL, 2 * SECOND, SECOND / 2, 3 * SECOND, 1, 100_000);
-    return new Settings(0, NODES, 0, List.of(requestClass), List.of(), new Rules(20_000, GRACE, 3, 2 * SECOND, 0.2, 10 * SECOND,
+    RequestClass requestClass =
+        new RequestClass(Idempotency.SAFE, DedupScope.ALL, 2 * SECOND, SECOND / 2, 3 * SECOND, 1, 100_000);
+    return new Settings(0, NODES, 0, List.of(requestClass), List.of(),
+        new Rules(20_000, GRACE, 3, 2 * SECOND, 0.2, 10 * SECOND,
         pollInterval), new Limits(4, true, false, false, false, true, SECOND, 100_000),
         new Prices(0.01, 0.1, 0.002, 0.01, 0.02), WeightMeaning.NOMINAL, true, false, false, false, false, 0.1);
   }
 
-  /** One process that asks for its list. */
+  /** A process that subscribes to its list. */
   private static final class Process {
     private final SimulatedDiscovery discovery;
     private final DecisionModule module = new DecisionModule();
-    /** Calls that fail before one is answered. */
+    /** Number of calls that fail before one succeeds. */
     private int failuresLeft;
     private boolean ignoresReplies;
     private int calls;
@@ -84,7 +86,7 @@
       }
     }
 
-    /** The watch ends; from now on calls and lists are counted anew once {@link #look} is called. */
+    /** The watch ends; calls count from the next {@link #resetCounts} on. */
     void watchEnds() {
       listedAt = -1;
       handle(new ServerList(2, ListKind.FAILED, List.of()));
@@ -104,7 +106,7 @@
     return all;
   }
 
-  /** All that went by before its start may count to a process at once, and its sends then end by the grace. */
+  /** Drains from before a process's start apply to it at once, and it must stop sending within the grace. */
   @Test
   void aProcessSubscribesWithinHalfOfTheDrainGraceOfItsStart() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
@@ -115,7 +117,7 @@
     assertEquals(NODES, discovery.callTimes.size());
   }
 
-  /** They once called over four seconds, and those at the end had been held to an old list for as long. */
+  /** The first calls were once spread over four seconds, and the last nodes used an old list for as long. */
   @Test
   void aHundredNodesThatStartTogetherHaveTheirListWithinSixSeconds() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(40_000, CALL_TIMEOUT);
@@ -142,7 +144,7 @@
     assertTrue(discovery.maxCallsPerSecond() <= 3 * NODES, discovery.maxCallsPerSecond() + " calls in a second");
   }
 
-  /** Also where two more calls of each fail. */
+  /** Even if two more calls of each fail. */
   @Test
   void twoFailedCallsAfterTheRecoveryLeaveTimeForAThird() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
@@ -153,12 +155,12 @@
     discovery.runUntil(28 * SECOND);
     discovery.comeUp();
     all.forEach(process -> process.failuresLeft = 2);
-    // Three of the longest pauses and the calls' turns.
+    // Three of the longest back-offs and the calls' time in the queue.
     discovery.runUntil(28 * SECOND + LIST_DEADLINE / 2);
     assertEquals(0, all.stream().filter(process -> process.listedAt < 0).count());
   }
 
-  /** Calls that wait for their turn in vain keep an overrun discovery overrun if they come again as soon. */
+  /** Calls that time out in discovery's queue keep it overloaded if they are repeated as soon as others. */
   @Test
   void callsThatFailedInTheQueueBackOffLonger() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000 * SECOND, SECOND);
@@ -173,10 +175,10 @@
     all.forEach(Process::resetCounts);
     discovery.runUntil(81 * SECOND);
     long called = all.stream().filter(process -> process.calledAt >= 0).count();
-    assertTrue(called >= NODES - 1, "as soon as ever once it fails at once: all but the one whose turn it is");
+    assertTrue(called >= NODES - 1, "calls that fail at once are repeated soon: by all but the one that is served");
   }
 
-  /** Two calls that wait a second in vain, behind an outage: the third is made within six seconds. */
+  /** After an outage, two calls fail after a second in the queue each: the third is made within six seconds. */
   @Test
   void twoCallsThatFailInTheQueueLeaveTimeForAThird() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000 * SECOND, SECOND);
@@ -184,14 +186,14 @@
     List<Process> all = processes(discovery);
     discovery.runUntil(10 * SECOND);
     discovery.comeUp();
-    // Keeps the one turn that there is, so that every other call waits in vain.
+    // Occupies the only slot, so that every other call fails in the queue.
     discovery.call(reply -> { });
     all.forEach(Process::resetCounts);
     discovery.runUntil(10 * SECOND + LIST_DEADLINE);
     assertEquals(0, all.stream().filter(process -> process.calls < 3).count());
   }
 
-  /** However long the settings let a process go without asking. */
+  /** However long the poll interval of the settings is. */
   @Test
   void anUnansweredCallIsRepeatedWithinTheListDeadline() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
@@ -203,7 +205,7 @@
     assertEquals(2, discovery.callTimes.size());
   }
 
-  /** Pauses that did not grow would bring all to a discovery that turns them away, time and again. */
+  /** Without growing back-offs all nodes would call a discovery that refuses them again and again. */
   @Test
   void backoffGrowsAndIsRandomized() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
@@ -217,7 +219,7 @@
     int later = discovery.callTimes.size() - before;
     assertTrue(later < first && later <= 2 * NODES, first + " calls in the first second, " + later + " later");
     long distinctTimes = discovery.callTimes.subList(before, discovery.callTimes.size()).stream().distinct().count();
-    assertTrue(distinctTimes > later * 9 / 10, "calls must not come together");
+    assertTrue(distinctTimes > later * 9 / 10, "calls must be spread");
     assertEquals(NODES, all.size());
   }
 }
--- a/proxy/src/test/java/lemondeal/module/RendezvousTest.java
+++ b/proxy/src/test/java/lemondeal/module/RendezvousTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The hashes: spread over like ids, and never at the ends of the interval. */
+/** The hashes: uniform over similar ids, and inside the open unit interval. */
 class RendezvousTest {
   private static final int KEYS = 20_000;
 
