--- a/proxy/src/test/java/lemondeal/PlacementExceptionsTest.java
+++ b/proxy/src/test/java/lemondeal/PlacementExceptionsTest.java
@@ -241,7 +241,7 @@
     // One step sheds a tenth of the clients: five standard deviations of the binomial around 20.
     assertTrue(moves > 2 && moves < 42, moves + " moves");
     assertNotEquals(server, node.open("n", "n", "g"));
-    assertTrue(node.messageDelay("r1", server, 150).isEmpty(), "no second step within the pause");
+    assertTrue(node.messageDelay("r1", server, 150).isEmpty(), "no second step within the interval");
     assertEquals(1, TestNode.ofType(actions, Balancer.Log.class).size(), "it is logged for on-call staff");
   }
 
@@ -398,33 +398,33 @@
   @Test
   void ejectedServersDoNotCountAsSlow() {
     TestNode node = new TestNode().equalServers(5);
-    String[] at = new String[40];
-    for (int i = 0; i < at.length; i++) {
-      at[i] = node.open("r" + i, "c" + i, "h" + i);
+    String[] servers = new String[40];
+    for (int i = 0; i < servers.length; i++) {
+      servers[i] = node.open("r" + i, "c" + i, "h" + i);
     }
     for (int s = 0; s < 3; s++) {
       node.handle(new ProbeResult("s" + s, Outcome.NO_CONNECTION, 150_000, null));
     }
-    for (int i = 0; i < at.length; i++) {
-      node.messageDelay("r" + i, at[i], at[i].compareTo("s3") < 0 ? 440 : 20);
+    for (int i = 0; i < servers.length; i++) {
+      node.messageDelay("r" + i, servers[i], servers[i].compareTo("s3") < 0 ? 440 : 20);
     }
     for (int i = 0; i < 50; i++) {
       assertTrue(!refusedAtOnce(node, "g" + i).refused, "no group is shed");
     }
   }
 
-  /** One small server far over its target once caused two fifths of all groups to be shed, with the others slightly
-   * over. */
+  /** One small server far over its target once had two fifths of all groups shed, with the others slightly over. */
   @Test
   void oneServerFarOverItsTargetCausesNoLargeStep() {
     TestNode node = new TestNode().equalServers(3);
-    String[] at = new String[30];
-    for (int i = 0; i < at.length; i++) {
-      at[i] = node.open("r" + i, "c" + i, "h" + i);
+    String[] servers = new String[30];
+    for (int i = 0; i < servers.length; i++) {
+      servers[i] = node.open("r" + i, "c" + i, "h" + i);
     }
     int moves = 0;
-    for (int i = 0; i < at.length; i++) {
-      moves += TestNode.ofType(node.messageDelay("r" + i, at[i], at[i].equals("s0") ? 1_200 : 150), Move.class).size();
+    for (int i = 0; i < servers.length; i++) {
+      moves += TestNode.ofType(node.messageDelay("r" + i, servers[i], servers[i].equals("s0") ? 1_200 : 150),
+          Move.class).size();
     }
     int shed = 0;
     for (int i = 0; i < 200; i++) {
@@ -536,8 +536,7 @@
     assertNotEquals(first, last, "0.5 and four connections of 0.05 each are over the limit");
   }
 
-  /** Two servers, for 14 nodes: one has capacity for a few more, one reports that it is nearly full; returns the
-   * first. */
+  /** Two servers, for 14 nodes: one with capacity for a few more, which is returned, one nearly full by its report. */
   private static String capacityAtOne(TestNode node) {
     String first = TestNode.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
     String other = first.equals("s0") ? "s1" : "s0";
@@ -618,8 +617,8 @@
     return report(demand, Double.NaN);
   }
 
-  private static LoadReport report(double demand, double held) {
-    return new LoadReport(demand, Double.NaN, held, Double.NaN, Double.NaN);
+  private static LoadReport report(double demand, double openConnections) {
+    return new LoadReport(demand, Double.NaN, openConnections, Double.NaN, Double.NaN);
   }
 
   // ---- Set-up limit: no retry storm
--- a/proxy/src/test/java/lemondeal/RetryRaceTest.java
+++ b/proxy/src/test/java/lemondeal/RetryRaceTest.java
@@ -33,9 +33,9 @@
 /** Races of retries and leaving clients with other events in the module. */
 class RetryRaceTest {
 
-  private static TestNode.Options optionsWith(Idempotency effect, DedupScope scope) {
+  private static TestNode.Options optionsWith(Idempotency idempotency, DedupScope scope) {
     TestNode.Options options = new TestNode.Options();
-    options.idempotency = effect;
+    options.idempotency = idempotency;
     options.dedupScope = scope;
     return options;
   }
@@ -331,7 +331,7 @@
     assertNoFurtherActions(node, "r");
   }
 
-  /** The connection had just opened: the request was once never removed from the server and counted in all shares. */
+  /** The connection had just opened: the request was once kept at the server for ever and counted in all shares. */
   @Test
   void aClientThatLeavesAsItsConnectionOpensIsForgottenAtItsEnd() {
     TestNode node = new TestNode().equalServers(5);
--- a/proxy/src/test/java/lemondeal/RulesTest.java
+++ b/proxy/src/test/java/lemondeal/RulesTest.java
@@ -28,9 +28,9 @@
 /** The rules: one final answer in time, no effect twice, drains respected, no cold server overloaded. */
 class RulesTest {
 
-  private static TestNode nodeWith(Idempotency effect, DedupScope scope) {
+  private static TestNode nodeWith(Idempotency idempotency, DedupScope scope) {
     TestNode.Options options = new TestNode.Options();
-    options.idempotency = effect;
+    options.idempotency = idempotency;
     options.dedupScope = scope;
     return new TestNode(options);
   }
--- a/proxy/src/test/java/lemondeal/benchlink/MetamorphicTest.java
+++ b/proxy/src/test/java/lemondeal/benchlink/MetamorphicTest.java
@@ -168,11 +168,11 @@
   /** Classes, zones and machine models in another order throughout: their numbers must not matter. */
   private static Event permuted(Event event, int[] classes, int[] zones, int[] models) {
     if (event instanceof Start e) {
-      RequestClass[] moved = new RequestClass[classes.length];
+      RequestClass[] reordered = new RequestClass[classes.length];
       for (int c = 0; c < classes.length; c++) {
-        moved[classes[c]] = e.settings().classes().get(c);
+        reordered[classes[c]] = e.settings().classes().get(c);
       }
-      return new Start(e.seed(), withClasses(e.settings(), List.of(moved), zones[e.settings().zone()]));
+      return new Start(e.seed(), withClasses(e.settings(), List.of(reordered), zones[e.settings().zone()]));
     }
     if (event instanceof ServerList e) {
       return new ServerList(e.version(), e.kind(), e.entries().stream().map(s -> new ServerEntry(s.server(),
--- a/proxy/src/test/java/lemondeal/benchlink/WireTest.java
+++ b/proxy/src/test/java/lemondeal/benchlink/WireTest.java
@@ -68,9 +68,8 @@
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     String input = String.join("\n", lines) + "\n";
     try {
-      int code = new SimulatorHost(moduleFactory)
-          .run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out,
-          new PrintStream(err, true, StandardCharsets.UTF_8));
+      int code = new SimulatorHost(moduleFactory).run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+          out, new PrintStream(err, true, StandardCharsets.UTF_8));
       return new Run(code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     } catch (IOException e) {
       throw new AssertionError(e);
--- a/proxy/src/test/java/lemondeal/module/AbandonedRequestsTest.java
+++ b/proxy/src/test/java/lemondeal/module/AbandonedRequestsTest.java
@@ -21,9 +21,8 @@
   private final SlowStart slowStart = new SlowStart(node, load);
   private final ZoneAdmission zoneAdmission = new ZoneAdmission(node, mover);
   private final SetupLimiter setupLimiter = new SetupLimiter(node);
-  private final RequestLifecycle requestLifecycle =
-      new RequestLifecycle(node, load, health, groupShedding, slowStart, setupLimiter,
-      new Ranking(node, load, health, serverShedding, slowStart, zoneAdmission), zoneAdmission);
+  private final RequestLifecycle requestLifecycle = new RequestLifecycle(node, load, health, groupShedding, slowStart,
+      setupLimiter, new Ranking(node, load, health, serverShedding, slowStart, zoneAdmission), zoneAdmission);
 
   /** One server, with requests queued for a set-up: none may start before another one ends. */
   private void queueRequests(int count) {
--- a/proxy/src/test/java/lemondeal/module/ColdServerBudgetTest.java
+++ b/proxy/src/test/java/lemondeal/module/ColdServerBudgetTest.java
@@ -72,8 +72,8 @@
         start(n);
       }
       double sum = 0;
-      for (double t : requestRates) {
-        sum += t;
+      for (double rate : requestRates) {
+        sum += rate;
       }
       double perSecond = warm * CAPACITY * UTILIZATION / MEAN_LIFETIME_SECONDS;
       for (int n = 0; n < nodes; n++) {
@@ -198,15 +198,15 @@
       });
     }
 
-    private void connectionEstablished(int node, Send s, int attempt) {
+    private void connectionEstablished(int node, Send send, int attempt) {
       servedCount++;
-      openConnections.merge(s.server(), 1, Integer::sum);
-      openRequests.get(node).put(s.id(), s.server());
-      handle(node, new Established(s.id(), attempt, s.server(), 5_000));
+      openConnections.merge(send.server(), 1, Integer::sum);
+      openRequests.get(node).put(send.id(), send.server());
+      handle(node, new Established(send.id(), attempt, send.server(), 5_000));
       scheduleForNode(node, 1 + (long) (-Math.log(1 - random.nextDouble()) * MEAN_LIFETIME_SECONDS * SECOND), () -> {
-        openRequests.get(node).remove(s.id());
-        openConnections.merge(s.server(), -1, Integer::sum);
-        handle(node, new Ended(s.id(), attempt, s.server(), Outcome.SERVED, 1, true, null));
+        openRequests.get(node).remove(send.id());
+        openConnections.merge(send.server(), -1, Integer::sum);
+        handle(node, new Ended(send.id(), attempt, send.server(), Outcome.SERVED, 1, true, null));
       });
     }
 
--- a/proxy/src/test/java/lemondeal/module/MembershipTest.java
+++ b/proxy/src/test/java/lemondeal/module/MembershipTest.java
@@ -38,8 +38,8 @@
     RequestClass requestClass =
         new RequestClass(Idempotency.SAFE, DedupScope.ALL, 2 * SECOND, SECOND / 2, 3 * SECOND, 1, 100_000);
     return new Settings(0, NODES, 0, List.of(requestClass), List.of(),
-        new Rules(20_000, GRACE, 3, 2 * SECOND, 0.2, 10 * SECOND,
-        pollInterval), new Limits(4, true, false, false, false, true, SECOND, 100_000),
+        new Rules(20_000, GRACE, 3, 2 * SECOND, 0.2, 10 * SECOND, pollInterval),
+        new Limits(4, true, false, false, false, true, SECOND, 100_000),
         new Prices(0.01, 0.1, 0.002, 0.01, 0.02), WeightMeaning.NOMINAL, true, false, false, false, false, 0.1);
   }
 
