--- a/proxy/src/main/java/lemondeal/module/ConnectionMover.java
+++ b/proxy/src/main/java/lemondeal/module/ConnectionMover.java
@@ -14,7 +14,7 @@
 
   /** Moves all clients from a server that answers neither them nor this node. */
   void moveAllFrom(Server server) {
-    node.log(server, "silent: its clients move");
+    node.log(server, "unresponsive: moving its clients");
     for (RequestState request : server.openConnections) {
       move(request);
     }
--- a/proxy/src/main/java/lemondeal/module/GroupShedding.java
+++ b/proxy/src/main/java/lemondeal/module/GroupShedding.java
@@ -43,7 +43,8 @@
     if (node.now - loggedAt >= NodeState.LOG_INTERVAL) {
       loggedAt = node.now;
       long percent = Math.round(100 * shedShare);
-      node.actions.add(new Log("most servers late: turns away up to " + percent + "% of the groups"));
+      node.actions.add(new Log("most servers are over their latency target: shedding up to " + percent
+          + "% of the groups"));
     }
     for (RequestState request : node.requests.values()) {
       if (request.established && isShed(request)) {
--- a/proxy/src/main/java/lemondeal/module/Health.java
+++ b/proxy/src/main/java/lemondeal/module/Health.java
@@ -39,7 +39,7 @@
     server.ejectedUntil = Math.max(server.ejectedUntil, node.now + ejectionTime);
     server.consecutiveFailures++;
     server.halfOpenPermits = server.nextHalfOpenPermits = 1;
-    node.log(server, "passed over " + ejectionTime / 1000 + " ms: " + reason + ", strike "
+    node.log(server, "ejected for " + ejectionTime / 1000 + " ms: " + reason + ", consecutive failures: "
         + server.consecutiveFailures);
   }
 
@@ -47,10 +47,10 @@
   void setupEnded(Server server, Outcome outcome) {
     switch (outcome) {
       case NO_CONNECTION, TIMED_OUT, RESET -> markUnreachable(server, "set-up " + outcome);
-      case REFUSED -> eject(server, REFUSAL_EJECTION_TIME, "says it is full");
+      case REFUSED -> eject(server, REFUSAL_EJECTION_TIME, "set-up refused as full");
       case ERROR -> {
         server.errorRate += ERROR_RATE_GAIN * (1 - server.errorRate);
-        eject(server, FAILURE_EJECTION_TIME, "answers with errors");
+        eject(server, FAILURE_EJECTION_TIME, "set-up answered with an error");
       }
       case SERVED -> setupSucceeded(server);
       // No information: allow another set-up.
@@ -106,7 +106,7 @@
       server.lostConnections = 0;
     }
     if (++server.lostConnections == LOSS_THRESHOLD) {
-      eject(server, FAILURE_EJECTION_TIME, "connections lost together");
+      eject(server, FAILURE_EJECTION_TIME, "several connections reset together");
       if (!node.settings.probesReportLoad()) {
         serverShedding.shedAfterResets(server);
       }
--- a/proxy/src/main/java/lemondeal/module/ServerShedding.java
+++ b/proxy/src/main/java/lemondeal/module/ServerShedding.java
@@ -64,8 +64,8 @@
     server.shedShare = Math.min(ratio < HOPELESS_RATIO ? MAX_SHARE : 1,
         previousShare + step * (1 - previousShare));
     server.shedShareAt = node.now;
-    node.log(server, "hot, a message takes " + Math.round(millis) + " ms: sheds share "
-        + Math.round(100 * server.shedShare) + "%");
+    node.log(server, "message latency " + Math.round(millis) + " ms: shedding "
+        + Math.round(100 * server.shedShare) + "% of its clients");
     for (RequestState request : server.openConnections) {
       if (isShed(server, request)) {
         mover.move(request);
