--- a/lab/src/main/java/lemondeal/lab/Lab.java
+++ b/lab/src/main/java/lemondeal/lab/Lab.java
@@ -5,22 +5,22 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import lemondeal.lab.claims.ClaimStoreServer;
+import lemondeal.lab.claims.FakeClaimStore;
 import lemondeal.lab.consul.ConsulConsole;
 import lemondeal.lab.experiment.ExperimentCommands;
-import lemondeal.lab.fleet.FleetCommand;
+import lemondeal.lab.fleet.FleetCountCommand;
 import lemondeal.lab.measure.Reports;
 import lemondeal.lab.soak.SoakCommand;
-import lemondeal.lab.stream.DrainDay;
+import lemondeal.lab.stream.RollingDrain;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 /** The lab's command line: stand-ins to start by hand, and measurements. Never on the platform. */
 @Command(name = "lab", mixinStandardHelpOptions = true, description = "Stand-ins and measurements.",
-    subcommands = {Lab.Drains.class, Lab.MeasureResume.class, Lab.MeasureConsul.class, Lab.MeasureEmulator.class,
+    subcommands = {Lab.DrainDayCommand.class, Lab.MeasureResume.class, Lab.MeasureConsul.class, Lab.MeasureEmulator.class,
         Lab.ClaimStore.class, Lab.Consul.class, ExperimentCommands.Run.class, ExperimentCommands.Compare.class,
-        ExperimentCommands.Results.class, ExperimentCommands.Placement.class, FleetCommand.class, SoakCommand.class})
+        ExperimentCommands.Results.class, ExperimentCommands.Placement.class, FleetCountCommand.class, SoakCommand.class})
 public final class Lab implements Runnable {
   @CommandLine.Spec
   private CommandLine.Model.CommandSpec spec;
@@ -39,7 +39,7 @@
   @Command(name = "drain-day", mixinStandardHelpOptions = true, exitCodeListHeading = "%nExit codes:%n",
       exitCodeList = {"0:every promise was kept", "1:one was broken, told in a line each", "2:bad use"},
       description = "Drain the servers of a small site in turn under resuming clients, and check the promises.")
-  static final class Drains implements Callable<Integer> {
+  static final class DrainDayCommand implements Callable<Integer> {
     @Option(names = "--proxies", defaultValue = "3", description = "Real proxies (${DEFAULT-VALUE}).")
     private int proxies;
 
@@ -65,7 +65,7 @@
           throw new CommandLine.ParameterException(spec.commandLine(), "found " + value + "; allowed: 1 to 5000");
         }
       }
-      List<String> breaches = new DrainDay(proxies, servers, clients, System.err).run(seconds, pace);
+      List<String> breaches = new RollingDrain(proxies, servers, clients, System.err).run(seconds, pace);
       breaches.forEach(System.out::println);
       System.out.println(breaches.size() + " promises broken");
       return breaches.isEmpty() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
@@ -136,10 +136,10 @@
       return CommandLine.ExitCode.OK;
     }
 
-    private void check(String name, int value, int least, int most) {
-      if (value < least || value > most) {
-        throw new CommandLine.ParameterException(spec.commandLine(), name + ": found " + value + "; allowed: " + least
-            + " to " + most);
+    private void check(String name, int value, int minimum, int maximum) {
+      if (value < minimum || value > maximum) {
+        throw new CommandLine.ParameterException(spec.commandLine(), name + ": found " + value + "; allowed: " + minimum
+            + " to " + maximum);
       }
     }
   }
@@ -164,7 +164,7 @@
   static final class ClaimStore implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
-      try (ClaimStoreServer server = new ClaimStoreServer()) {
+      try (FakeClaimStore server = new FakeClaimStore()) {
         System.out.println("claim store at 127.0.0.1:" + server.address().getPort());
         while (System.in.read() >= 0) {
           continue;
--- a/lab/src/main/java/lemondeal/lab/ServeProcess.java
+++ b/lab/src/main/java/lemondeal/lab/ProxyProcess.java
@@ -17,40 +17,40 @@
 import lemondeal.Main;
 
 /** A real proxy in a process of its own, as an operator starts it. Ended with its owner. */
-public final class ServeProcess implements AutoCloseable {
-  private static final long START_SECONDS = 30;
+public final class ProxyProcess implements AutoCloseable {
+  private static final long TIMEOUT_SECONDS = 30;
   /** A signal that the lab's own starter ignores, as {@code nohup} does, would be ignored in the proxy too. */
-  private static final List<String> OWN_SIGNALS = List.of("env", "--default-signal=HUP,INT,TERM");
-  private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
+  private static final List<String> RESET_SIGNALS = List.of("env", "--default-signal=HUP,INT,TERM");
+  private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
 
   private final Process process;
-  private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-  private final List<String> seen = new ArrayList<>();
+  private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>();
+  private final List<String> allLines = new ArrayList<>();
   private InetSocketAddress address;
 
-  private ServeProcess(Process process) {
+  private ProxyProcess(Process process) {
     this.process = process;
-    Thread reader = new Thread(this::read, "serve-log");
+    Thread reader = new Thread(this::readLog, "serve-log");
     reader.setDaemon(true);
     reader.start();
   }
 
   /** The command that runs the program with these words. */
-  public static List<String> command(String... words) {
-    List<String> command = new ArrayList<>(OWN_SIGNALS);
+  public static List<String> command(String... arguments) {
+    List<String> command = new ArrayList<>(RESET_SIGNALS);
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(FLAGS);
-    Path program = program();
-    if (Files.isRegularFile(program)) {
-      command.addAll(List.of("-jar", program.toString()));
+    command.addAll(JVM_FLAGS);
+    Path programFile = programPath();
+    if (Files.isRegularFile(programFile)) {
+      command.addAll(List.of("-jar", programFile.toString()));
     } else {
       command.addAll(List.of("-cp", System.getProperty("java.class.path"), Main.class.getName()));
     }
-    command.addAll(List.of(words));
+    command.addAll(List.of(arguments));
     return command;
   }
 
-  private static Path program() {
+  private static Path programPath() {
     try {
       return Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     } catch (URISyntaxException e) {
@@ -59,12 +59,12 @@
   }
 
   /** Starts it and waits until it listens. {@code operatorFile} may be null. */
-  public static ServeProcess start(Path config, Path operatorFile) throws IOException, InterruptedException {
+  public static ProxyProcess start(Path config, Path operatorFile) throws IOException, InterruptedException {
     return start(config, operatorFile, Map.of());
   }
 
   /** The same with these variables beside its own. */
-  public static ServeProcess start(Path config, Path operatorFile, Map<String, String> more)
+  public static ProxyProcess start(Path config, Path operatorFile, Map<String, String> extraEnvironment)
       throws IOException, InterruptedException {
     ProcessBuilder builder = new ProcessBuilder(command("serve")).redirectErrorStream(true);
     Map<String, String> environment = builder.environment();
@@ -73,31 +73,31 @@
     if (operatorFile != null) {
       environment.put("GW_OPERATOR_CONFIG", operatorFile.toString());
     }
-    environment.putAll(more);
-    ServeProcess serve = new ServeProcess(builder.start());
-    String line = serve.await("listening on ");
-    serve.address = new InetSocketAddress(InetAddress.getLoopbackAddress(),
+    environment.putAll(extraEnvironment);
+    ProxyProcess proxy = new ProxyProcess(builder.start());
+    String line = proxy.awaitLog("listening on ");
+    proxy.address = new InetSocketAddress(InetAddress.getLoopbackAddress(),
         Integer.parseInt(line.replaceAll(".*listening on [0-9.]+:([0-9]+).*", "$1")));
-    return serve;
+    return proxy;
   }
 
-  private void read() {
+  private void readLog() {
     try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8)) {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        synchronized (seen) {
-          seen.add(line);
+        synchronized (allLines) {
+          allLines.add(line);
         }
-        log.add(line);
+        unreadLines.add(line);
       }
     } catch (IOException e) {
-      log.add("the log broke: " + e);
+      unreadLines.add("the log broke: " + e);
     }
   }
 
   /** Waits for a line of the log with this in it; passes over others. */
-  public String await(String text) throws IOException, InterruptedException {
+  public String awaitLog(String text) throws IOException, InterruptedException {
     while (true) {
-      String line = log.poll(START_SECONDS, TimeUnit.SECONDS);
+      String line = unreadLines.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (line == null) {
         close();
         throw new IOException("the proxy did not say '" + text + "': " + log());
@@ -110,8 +110,8 @@
 
   /** All lines of its log so far. */
   public List<String> log() {
-    synchronized (seen) {
-      return List.copyOf(seen);
+    synchronized (allLines) {
+      return List.copyOf(allLines);
     }
   }
 
@@ -138,13 +138,13 @@
   }
 
   /** SIGHUP. */
-  public void hangUp() throws IOException, InterruptedException {
+  public void sendSighup() throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
   }
 
   /** Waits for its end; the exit code. */
-  public int awaitEnd() throws IOException, InterruptedException {
-    if (!process.waitFor(START_SECONDS, TimeUnit.SECONDS)) {
+  public int awaitExit() throws IOException, InterruptedException {
+    if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       close();
       throw new IOException("the proxy did not end: " + log());
     }
--- a/lab/src/main/java/lemondeal/lab/TestAuthority.java
+++ b/lab/src/main/java/lemondeal/lab/TestCertificateAuthority.java
@@ -36,40 +36,40 @@
  * An authority of the lab's own that signs certificates for stand-ins and proxies on loopback, written as PEM files as an
  * operator's authority would hand them out. Never meant for anything but tests: its keys lie in the lab's folders.
  */
-public final class TestAuthority {
-  private static final Duration LIFE = Duration.ofDays(2);
-  private static final String SIGNATURE = "SHA256withECDSA";
-  private static final AtomicLong SERIALS = new AtomicLong(System.nanoTime());
+public final class TestCertificateAuthority {
+  private static final Duration VALIDITY = Duration.ofDays(2);
+  private static final String SIGNATURE_ALGORITHM = "SHA256withECDSA";
+  private static final AtomicLong SERIAL_NUMBERS = new AtomicLong(System.nanoTime());
 
   private final String name;
-  private final KeyPair keys;
+  private final KeyPair keyPair;
   private final X509Certificate certificate;
 
-  private TestAuthority(String name, KeyPair keys, X509Certificate certificate) {
+  private TestCertificateAuthority(String name, KeyPair keyPair, X509Certificate certificate) {
     this.name = name;
-    this.keys = keys;
+    this.keyPair = keyPair;
     this.certificate = certificate;
   }
 
   /** A new authority under this common name. */
-  public static TestAuthority make(String name) {
-    KeyPair keys = keyPair();
+  public static TestCertificateAuthority create(String name) {
+    KeyPair newKeyPair = generateKeyPair();
     X500Name subject = new X500Name("CN=" + name);
-    X509v3CertificateBuilder builder = builder(subject, subject, keys, LIFE);
+    X509v3CertificateBuilder builder = certificateBuilder(subject, subject, newKeyPair, VALIDITY);
     try {
       builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(true));
       builder.addExtension(Extension.keyUsage, true, new KeyUsage(KeyUsage.keyCertSign | KeyUsage.cRLSign));
-      return new TestAuthority(name, keys, sign(builder, keys));
+      return new TestCertificateAuthority(name, newKeyPair, sign(builder, newKeyPair));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
   /** Files of a certificate with its key, in a folder. */
-  public record Issued(Path certificate, Path key) {}
+  public record IssuedCertificate(Path certificate, Path key) {}
 
   /** Writes this authority's certificate, as the file that the other side checks against. */
-  public Path writeAuthority(Path file) throws IOException {
+  public Path writeCertificate(Path file) throws IOException {
     Files.writeString(file, pem(certificate));
     return file;
   }
@@ -78,56 +78,56 @@
    * Signs a certificate for a server or client that bears these names: {@code 127.0.0.1} as an address, all others as
    * names.
    */
-  public Issued issue(Path folder, String file, String... names) throws IOException {
-    return issue(folder, file, LIFE, names);
+  public IssuedCertificate issue(Path folder, String file, String... names) throws IOException {
+    return issue(folder, file, VALIDITY, names);
   }
 
   /** One whose time was over an hour ago. */
-  public Issued issueExpired(Path folder, String file, String... names) throws IOException {
+  public IssuedCertificate issueExpired(Path folder, String file, String... names) throws IOException {
     return issue(folder, file, Duration.ofHours(-1), names);
   }
 
-  private Issued issue(Path folder, String file, Duration left, String... names) throws IOException {
-    KeyPair issued = keyPair();
-    X509v3CertificateBuilder builder = builder(new X500Name("CN=" + name), new X500Name("CN=" + names[0]), issued, left);
-    GeneralName[] alternatives = new GeneralName[names.length];
+  private IssuedCertificate issue(Path folder, String file, Duration validFor, String... names) throws IOException {
+    KeyPair subjectKeyPair = generateKeyPair();
+    X509v3CertificateBuilder builder = certificateBuilder(new X500Name("CN=" + name), new X500Name("CN=" + names[0]), subjectKeyPair, validFor);
+    GeneralName[] alternativeNames = new GeneralName[names.length];
     for (int i = 0; i < names.length; i++) {
-      alternatives[i] = new GeneralName(names[i].matches("[0-9.]+") ? GeneralName.iPAddress : GeneralName.dNSName,
+      alternativeNames[i] = new GeneralName(names[i].matches("[0-9.]+") ? GeneralName.iPAddress : GeneralName.dNSName,
           names[i]);
     }
-    builder.addExtension(Extension.subjectAlternativeName, false, new GeneralNames(alternatives));
+    builder.addExtension(Extension.subjectAlternativeName, false, new GeneralNames(alternativeNames));
     builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(false));
     builder.addExtension(Extension.extendedKeyUsage, false,
         new ExtendedKeyUsage(new KeyPurposeId[] {KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth}));
-    X509Certificate signed = sign(builder, keys);
+    X509Certificate signedCertificate = sign(builder, keyPair);
     Path certificateFile = folder.resolve(file + ".pem");
     Path keyFile = folder.resolve(file + ".key");
-    Files.writeString(certificateFile, pem(signed));
-    StringWriter key = new StringWriter();
-    try (JcaPEMWriter writer = new JcaPEMWriter(key)) {
-      writer.writeObject(new JcaPKCS8Generator(issued.getPrivate(), null));
+    Files.writeString(certificateFile, pem(signedCertificate));
+    StringWriter keyPem = new StringWriter();
+    try (JcaPEMWriter writer = new JcaPEMWriter(keyPem)) {
+      writer.writeObject(new JcaPKCS8Generator(subjectKeyPair.getPrivate(), null));
     }
-    Files.writeString(keyFile, key.toString());
-    return new Issued(certificateFile, keyFile);
+    Files.writeString(keyFile, keyPem.toString());
+    return new IssuedCertificate(certificateFile, keyFile);
   }
 
-  private static X509v3CertificateBuilder builder(X500Name issuer, X500Name subject, KeyPair keys,
-      Duration left) {
+  private static X509v3CertificateBuilder certificateBuilder(X500Name issuer, X500Name subject, KeyPair subjectKeyPair,
+      Duration validFor) {
     Instant now = Instant.now();
-    return new JcaX509v3CertificateBuilder(issuer, BigInteger.valueOf(SERIALS.incrementAndGet()),
-        Date.from(now.minus(LIFE)), Date.from(now.plus(left)), subject, keys.getPublic());
+    return new JcaX509v3CertificateBuilder(issuer, BigInteger.valueOf(SERIAL_NUMBERS.incrementAndGet()),
+        Date.from(now.minus(VALIDITY)), Date.from(now.plus(validFor)), subject, subjectKeyPair.getPublic());
   }
 
   private static X509Certificate sign(X509v3CertificateBuilder builder, KeyPair signer) {
     try {
       return new JcaX509CertificateConverter().getCertificate(
-          builder.build(new JcaContentSignerBuilder(SIGNATURE).build(signer.getPrivate())));
+          builder.build(new JcaContentSignerBuilder(SIGNATURE_ALGORITHM).build(signer.getPrivate())));
     } catch (OperatorCreationException | GeneralSecurityException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private static KeyPair keyPair() {
+  private static KeyPair generateKeyPair() {
     try {
       KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
       generator.initialize(new ECGenParameterSpec("secp256r1"), new SecureRandom());
--- a/lab/src/main/java/lemondeal/lab/claims/ClaimStoreServer.java
+++ b/lab/src/main/java/lemondeal/lab/claims/FakeClaimStore.java
@@ -22,10 +22,10 @@
 import lemondeal.claims.wire.ReadRequest;
 
 /** A stand-in for the store of claims that operators run: compare-and-set in memory behind the project's protocol. */
-public final class ClaimStoreServer implements AutoCloseable {
+public final class FakeClaimStore implements AutoCloseable {
 
   /** What it does with a call. */
-  public enum Mood {
+  public enum ResponseMode {
     ANSWERS,
     /** Says nothing. */
     SILENT,
@@ -44,34 +44,34 @@
    * @param key its private key, PKCS#8 PEM
    * @param clients the authority that clients' certificates are checked against; null where none is asked for
    */
-  public record Tls(Path certificate, Path key, Path clients) {}
+  public record Tls(Path certificate, Path key, Path clientAuthority) {}
 
   /** Shared by all replicas of one store, and the lock of each call. */
   private final Map<ByteString, Entry> entries;
   private final Tls tls;
   private final Server server;
-  private volatile Mood mood = Mood.ANSWERS;
-  private long calls;
+  private volatile ResponseMode responseMode = ResponseMode.ANSWERS;
+  private long callCount;
 
   /** A store in plain text. */
-  public ClaimStoreServer() throws IOException {
+  public FakeClaimStore() throws IOException {
     this(new HashMap<>(), null);
   }
 
   /** A store that speaks TLS alone. */
-  public ClaimStoreServer(Tls tls) throws IOException {
+  public FakeClaimStore(Tls tls) throws IOException {
     this(new HashMap<>(), tls);
   }
 
-  private ClaimStoreServer(Map<ByteString, Entry> entries, Tls tls) throws IOException {
+  private FakeClaimStore(Map<ByteString, Entry> entries, Tls tls) throws IOException {
     this.entries = entries;
     this.tls = tls;
     NettyServerBuilder builder = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-        .addService(new Calls());
+        .addService(new ClaimStoreService());
     if (tls != null) {
       SslContextBuilder context = GrpcSslContexts.forServer(tls.certificate().toFile(), tls.key().toFile());
-      if (tls.clients() != null) {
-        context.trustManager(tls.clients().toFile()).clientAuth(ClientAuth.REQUIRE);
+      if (tls.clientAuthority() != null) {
+        context.trustManager(tls.clientAuthority().toFile()).clientAuth(ClientAuth.REQUIRE);
       }
       builder.sslContext(context.build());
     }
@@ -79,46 +79,46 @@
   }
 
   /** Another address of the same store: what one replica wrote, all read. Ends on its own. */
-  public ClaimStoreServer replica() throws IOException {
-    return new ClaimStoreServer(entries, tls);
+  public FakeClaimStore replica() throws IOException {
+    return new FakeClaimStore(entries, tls);
   }
 
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getListenSockets().get(0);
   }
 
-  public void mood(Mood newMood) {
-    mood = newMood;
+  public void setResponseMode(ResponseMode newMode) {
+    responseMode = newMode;
   }
 
-  public long calls() {
+  public long callCount() {
     synchronized (entries) {
-      return calls;
+      return callCount;
     }
   }
 
   private Entry read(ByteString key) {
     synchronized (entries) {
-      calls++;
-      return mood == Mood.GRANTS_ALL ? Entry.getDefaultInstance() : entries.getOrDefault(key, Entry.getDefaultInstance());
+      callCount++;
+      return responseMode == ResponseMode.GRANTS_ALL ? Entry.getDefaultInstance() : entries.getOrDefault(key, Entry.getDefaultInstance());
     }
   }
 
   private CompareAndSetReply compareAndSet(CompareAndSetRequest request) {
     synchronized (entries) {
-      calls++;
-      return written(request);
+      callCount++;
+      return applyCompareAndSet(request);
     }
   }
 
-  private CompareAndSetReply written(CompareAndSetRequest request) {
-    Entry now = entries.getOrDefault(request.getKey(), Entry.getDefaultInstance());
-    boolean written = mood == Mood.GRANTS_ALL || now.getVersion() == request.getExpectedVersion();
+  private CompareAndSetReply applyCompareAndSet(CompareAndSetRequest request) {
+    Entry current = entries.getOrDefault(request.getKey(), Entry.getDefaultInstance());
+    boolean written = responseMode == ResponseMode.GRANTS_ALL || current.getVersion() == request.getExpectedVersion();
     if (written) {
-      now = Entry.newBuilder().setVersion(now.getVersion() + 1).setValue(request.getValue()).build();
-      entries.put(request.getKey(), now);
+      current = Entry.newBuilder().setVersion(current.getVersion() + 1).setValue(request.getValue()).build();
+      entries.put(request.getKey(), current);
     }
-    return CompareAndSetReply.newBuilder().setWritten(written).setNow(now).build();
+    return CompareAndSetReply.newBuilder().setWritten(written).setNow(current).build();
   }
 
   @Override
@@ -132,27 +132,27 @@
   }
 
   /** The calls of the protocol. */
-  private final class Calls extends ClaimStoreGrpc.ClaimStoreImplBase {
+  private final class ClaimStoreService extends ClaimStoreGrpc.ClaimStoreImplBase {
     @Override
-    public void read(ReadRequest request, StreamObserver<Entry> caller) {
-      answer(caller, ClaimStoreServer.this.read(request.getKey()), false);
+    public void read(ReadRequest request, StreamObserver<Entry> observer) {
+      respond(observer, FakeClaimStore.this.read(request.getKey()), false);
     }
 
     @Override
-    public void compareAndSet(CompareAndSetRequest request, StreamObserver<CompareAndSetReply> caller) {
-      if (mood != Mood.FAILS && mood != Mood.SILENT) {
-        answer(caller, ClaimStoreServer.this.compareAndSet(request), true);
+    public void compareAndSet(CompareAndSetRequest request, StreamObserver<CompareAndSetReply> observer) {
+      if (responseMode != ResponseMode.FAILS && responseMode != ResponseMode.SILENT) {
+        respond(observer, FakeClaimStore.this.compareAndSet(request), true);
       } else {
-        answer(caller, CompareAndSetReply.getDefaultInstance(), true);
+        respond(observer, CompareAndSetReply.getDefaultInstance(), true);
       }
     }
 
-    private <T> void answer(StreamObserver<T> caller, T reply, boolean write) {
-      if (mood == Mood.FAILS) {
-        caller.onError(Status.UNAVAILABLE.asRuntimeException());
-      } else if (mood != Mood.SILENT && !(mood == Mood.LOSES_ANSWERS && write)) {
-        caller.onNext(reply);
-        caller.onCompleted();
+    private <T> void respond(StreamObserver<T> observer, T reply, boolean write) {
+      if (responseMode == ResponseMode.FAILS) {
+        observer.onError(Status.UNAVAILABLE.asRuntimeException());
+      } else if (responseMode != ResponseMode.SILENT && !(responseMode == ResponseMode.LOSES_ANSWERS && write)) {
+        observer.onNext(reply);
+        observer.onCompleted();
       }
     }
   }
--- a/lab/src/main/java/lemondeal/lab/consul/Catalogue.java
+++ b/lab/src/main/java/lemondeal/lab/consul/Catalogue.java
@@ -20,10 +20,10 @@
   private final Map<String, Instance> instances = new LinkedHashMap<>();
   private final Map<String, Long> serviceIndex = new HashMap<>();
   private long raftIndex = 10;
-  private int restores;
+  private int restoreCount;
 
   /** A look at the catalogue, and the index that it was taken at. */
-  record View(ArrayNode json, long index) {}
+  record Snapshot(ArrayNode json, long index) {}
 
   // ---- Changes ----------------------------------------------------------------------------------
 
@@ -32,7 +32,7 @@
     Instance instance = new Instance(node, nodeAddress, service, id, port);
     instance.createIndex = raftIndex + 1;
     instances.put(key(node, id), instance);
-    changed(instance);
+    recordChange(instance);
     return key(node, id);
   }
 
@@ -41,28 +41,28 @@
   }
 
   /** Changes an instance in one step of the index; one that is not there is left so, and false is returned. */
-  public synchronized boolean change(String key, Consumer<Instance> change) {
+  public synchronized boolean update(String key, Consumer<Instance> change) {
     Instance instance = instances.get(key);
     if (instance != null) {
       change.accept(instance);
-      changed(instance);
+      recordChange(instance);
     }
     return instance != null;
   }
 
   /** Sets the status of the instance's own check: passing, warning or critical. */
-  public void status(String key, String status) {
-    check(key, "service:" + key.substring(key.indexOf('/') + 1), status);
+  public void setStatus(String key, String status) {
+    setCheck(key, "service:" + key.substring(key.indexOf('/') + 1), status);
   }
 
   /** Sets the status of one of its checks, made where it is missing. */
-  public boolean check(String key, String check, String status) {
-    return change(key, instance -> instance.checks.put(check, status));
+  public boolean setCheck(String key, String check, String status) {
+    return update(key, instance -> instance.checks.put(check, status));
   }
 
   /** Maintenance of the instance: a critical check of that name, as Consul adds one. */
-  public boolean maintenance(String key, boolean on) {
-    return change(key, instance -> {
+  public boolean setMaintenance(String key, boolean on) {
+    return update(key, instance -> {
       String check = "_service_maintenance:" + instance.id;
       if (on) {
         instance.checks.put(check, "critical");
@@ -74,29 +74,29 @@
 
   /** Takes the instance out of the catalogue. */
   public synchronized boolean deregister(String key) {
-    Instance gone = instances.remove(key);
-    if (gone != null) {
-      changed(gone);
+    Instance removed = instances.remove(key);
+    if (removed != null) {
+      recordChange(removed);
     }
-    return gone != null;
+    return removed != null;
   }
 
   /** As after a restore from an older snapshot: the indexes begin low again, and whoever waits is answered. */
   public synchronized void restoreIndex(long index) {
-    restores++;
+    restoreCount++;
     raftIndex = index;
     serviceIndex.replaceAll((service, before) -> index);
     notifyAll();
   }
 
-  private void changed(Instance instance) {
+  private void recordChange(Instance instance) {
     instance.modifyIndex = ++raftIndex;
     serviceIndex.put(instance.service, raftIndex);
     notifyAll();
   }
 
   /** Wakes whoever waits, to look again at what it waits for. */
-  synchronized void wake() {
+  synchronized void wakeWaiters() {
     notifyAll();
   }
 
@@ -107,19 +107,19 @@
    *
    * @param service whose index counts; empty for that of all
    */
-  synchronized void await(String service, long index, long waitMillis, BooleanSupplier enough)
+  synchronized void awaitChange(String service, long index, long waitMillis, BooleanSupplier cancelled)
       throws InterruptedException {
     if (index > 0) {
-      int began = restores;
-      awaitThat(waitMillis, () -> indexOf(service) > index || restores != began || enough.getAsBoolean());
+      int initialRestoreCount = restoreCount;
+      awaitCondition(waitMillis, () -> indexOf(service) > index || restoreCount != initialRestoreCount || cancelled.getAsBoolean());
     }
   }
 
   /** Waits until it holds, as may be after each change and each {@link #wake}, or the time is up. */
-  synchronized void awaitThat(long waitMillis, BooleanSupplier enough) throws InterruptedException {
-    long until = System.currentTimeMillis() + waitMillis;
-    for (long left = waitMillis; left > 0 && !enough.getAsBoolean(); left = until - System.currentTimeMillis()) {
-      wait(left);
+  synchronized void awaitCondition(long waitMillis, BooleanSupplier condition) throws InterruptedException {
+    long deadline = System.currentTimeMillis() + waitMillis;
+    for (long remaining = waitMillis; remaining > 0 && !condition.getAsBoolean(); remaining = deadline - System.currentTimeMillis()) {
+      wait(remaining);
     }
   }
 
@@ -128,41 +128,41 @@
   }
 
   /** The entries of {@code /v1/health/service/NAME} that pass. */
-  synchronized View health(String service, Predicate<Instance> which) {
+  synchronized Snapshot healthEntries(String service, Predicate<Instance> included) {
     ArrayNode entries = JSON.arrayNode();
-    instances.values().stream().filter(instance -> instance.service.equals(service)).filter(which)
-        .forEach(instance -> entries.add(instance.health()));
-    return new View(entries, indexOf(service));
+    instances.values().stream().filter(instance -> instance.service.equals(service)).filter(included)
+        .forEach(instance -> entries.add(instance.healthEntry()));
+    return new Snapshot(entries, indexOf(service));
   }
 
   /** The entries of {@code /v1/catalog/service/NAME}. */
-  synchronized View catalogue(String service) {
+  synchronized Snapshot catalogueEntries(String service) {
     ArrayNode entries = JSON.arrayNode();
     instances.values().stream().filter(instance -> instance.service.equals(service))
-        .forEach(instance -> entries.add(instance.catalogue()));
-    return new View(entries, indexOf(service));
+        .forEach(instance -> entries.add(instance.catalogueEntry()));
+    return new Snapshot(entries, indexOf(service));
   }
 
   /** The nodes, each once. */
-  synchronized View nodes() {
+  synchronized Snapshot nodeEntries() {
     Map<String, Instance> byNode = new LinkedHashMap<>();
     instances.values().forEach(instance -> byNode.putIfAbsent(instance.node, instance));
-    ArrayNode nodes = JSON.arrayNode();
-    byNode.values().forEach(instance -> nodes.add(instance.node()));
-    return new View(nodes, raftIndex);
+    ArrayNode entries = JSON.arrayNode();
+    byNode.values().forEach(instance -> entries.add(instance.nodeEntry()));
+    return new Snapshot(entries, raftIndex);
   }
 
   /** The checks in this state, or in any. */
-  synchronized View checks(String state) {
-    ArrayNode checks = JSON.arrayNode();
+  synchronized Snapshot checkEntries(String state) {
+    ArrayNode entries = JSON.arrayNode();
     for (Instance instance : instances.values()) {
       instance.checks.forEach((check, status) -> {
         if (state.equals("any") || state.equals(status)) {
-          checks.add(instance.check(check, status));
+          entries.add(instance.checkEntry(check, status));
         }
       });
     }
-    return new View(checks, raftIndex);
+    return new Snapshot(entries, raftIndex);
   }
 
   /** Whether this instance is registered. */
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulConsole.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ConsulConsole.java
@@ -13,11 +13,11 @@
  */
 public final class ConsulConsole implements AutoCloseable {
   static final String HELP = "allowed: add NAME | critical NAME | warning NAME | passing NAME | leave NAME | "
-      + "maintenance NAME on|off | deregister NAME | mood " + String.join("|", names()) + " | restore INDEX | list";
+      + "maintenance NAME on|off | deregister NAME | mood " + String.join("|", modeNames()) + " | restore INDEX | list";
 
-  private final ConsulStandIn consul = new ConsulStandIn();
-  private final Map<String, LinkServer> servers = new LinkedHashMap<>();
-  private final Map<String, String> keys = new LinkedHashMap<>();
+  private final FakeConsul consul = new FakeConsul();
+  private final Map<String, EchoServer> servers = new LinkedHashMap<>();
+  private final Map<String, String> consulKeys = new LinkedHashMap<>();
   private final PrintStream out;
 
   /** Starts Consul and so many link servers, named s-1 and on. */
@@ -26,18 +26,18 @@
     for (int i = 1; i <= count; i++) {
       add("s-" + i);
     }
-    out.println("consul at 127.0.0.1:" + consul.address().getPort() + ", service " + ConsulSite.SERVICE
+    out.println("consul at 127.0.0.1:" + consul.address().getPort() + ", service " + ConsulTestCluster.SERVICE
         + "; for the operator's file:");
     out.println("  discovery: {consul: {agents: ['127.0.0.1:" + consul.address().getPort() + "'], service: "
-        + ConsulSite.SERVICE + "}}");
+        + ConsulTestCluster.SERVICE + "}}");
     out.println(HELP);
   }
 
-  private static String[] names() {
-    ConsulStandIn.Mood[] moods = ConsulStandIn.Mood.values();
-    String[] names = new String[moods.length];
-    for (int i = 0; i < moods.length; i++) {
-      names[i] = moods[i].name().toLowerCase(Locale.ROOT);
+  private static String[] modeNames() {
+    FakeConsul.ResponseMode[] modes = FakeConsul.ResponseMode.values();
+    String[] names = new String[modes.length];
+    for (int i = 0; i < modes.length; i++) {
+      names[i] = modes[i].name().toLowerCase(Locale.ROOT);
     }
     return names;
   }
@@ -46,28 +46,28 @@
   public void run(BufferedReader in) throws IOException {
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       if (!line.isBlank()) {
-        out.println(carryOut(line.trim().split("\\s+")));
+        out.println(execute(line.trim().split("\\s+")));
       }
     }
   }
 
   /** One change; what was done, or why nothing was. */
-  String carryOut(String[] words) throws IOException {
-    String verb = words[0].toLowerCase(Locale.ROOT);
-    if (verb.equals("list")) {
-      return keys.keySet() + " " + servers.values().stream().map(server -> server.opened() + "").toList() + " opened";
+  String execute(String[] arguments) throws IOException {
+    String command = arguments[0].toLowerCase(Locale.ROOT);
+    if (command.equals("list")) {
+      return consulKeys.keySet() + " " + servers.values().stream().map(server -> server.openCount() + "").toList() + " opened";
     }
-    if (words.length < 2) {
-      return "'" + String.join(" ", words) + "' can't be done; " + HELP;
+    if (arguments.length < 2) {
+      return "'" + String.join(" ", arguments) + "' can't be done; " + HELP;
     }
-    String name = words[1];
-    switch (verb) {
+    String name = arguments[1];
+    switch (command) {
       case "add" -> {
-        return keys.containsKey(name) ? name + " is there already" : "added " + add(name);
+        return consulKeys.containsKey(name) ? name + " is there already" : "added " + add(name);
       }
       case "mood" -> {
         try {
-          consul.mood(ConsulStandIn.Mood.valueOf(name.toUpperCase(Locale.ROOT)));
+          consul.setResponseMode(FakeConsul.ResponseMode.valueOf(name.toUpperCase(Locale.ROOT)));
           return "mood " + name;
         } catch (IllegalArgumentException e) {
           return "no mood '" + name + "'; " + HELP;
@@ -82,47 +82,47 @@
         }
       }
       default -> {
-        return change(verb, name, words);
+        return changeServer(command, name, arguments);
       }
     }
   }
 
-  private String change(String verb, String name, String[] words) {
-    String key = keys.get(name);
+  private String changeServer(String command, String name, String[] arguments) {
+    String key = consulKeys.get(name);
     if (key == null) {
-      return "no server '" + name + "'; there are " + keys.keySet();
+      return "no server '" + name + "'; there are " + consulKeys.keySet();
     }
-    switch (verb) {
-      case "critical", "warning", "passing" -> consul.catalogue().status(key, verb);
-      case "leave" -> consul.catalogue().check(key, "serfHealth", "critical");
+    switch (command) {
+      case "critical", "warning", "passing" -> consul.catalogue().setStatus(key, command);
+      case "leave" -> consul.catalogue().setCheck(key, "serfHealth", "critical");
       case "maintenance" -> {
-        if (words.length < 3 || !words[2].matches("on|off")) {
+        if (arguments.length < 3 || !arguments[2].matches("on|off")) {
           return "maintenance wants on or off; " + HELP;
         }
-        consul.catalogue().maintenance(key, words[2].equals("on"));
+        consul.catalogue().setMaintenance(key, arguments[2].equals("on"));
       }
       case "deregister" -> {
         consul.catalogue().deregister(key);
-        keys.remove(name);
+        consulKeys.remove(name);
         servers.remove(name).close();
       }
       default -> {
-        return "'" + verb + "' can't be done; " + HELP;
+        return "'" + command + "' can't be done; " + HELP;
       }
     }
-    return verb + " " + name;
+    return command + " " + name;
   }
 
   private String add(String name) throws IOException {
-    LinkServer server = new LinkServer();
+    EchoServer server = new EchoServer();
     servers.put(name, server);
-    keys.put(name, consul.catalogue().register("node-" + name, "127.0.0.1", ConsulSite.SERVICE, name, server.address().getPort()));
+    consulKeys.put(name, consul.catalogue().register("node-" + name, "127.0.0.1", ConsulTestCluster.SERVICE, name, server.address().getPort()));
     return name + " at 127.0.0.1:" + server.address().getPort();
   }
 
   @Override
   public void close() {
-    servers.values().forEach(LinkServer::close);
+    servers.values().forEach(EchoServer::close);
     consul.close();
   }
 }
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulSite.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ConsulTestCluster.java
@@ -13,27 +13,27 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
-import lemondeal.lab.ServeProcess;
+import lemondeal.lab.ProxyProcess;
 
 /**
  * Real proxies that list their servers from a stand-in Consul, stand-in link servers registered there, all on
  * loopback. Ended with its owner.
  */
-public final class ConsulSite implements AutoCloseable {
+public final class ConsulTestCluster implements AutoCloseable {
   /** The service that the link servers are registered under. */
   public static final String SERVICE = "link";
   /** The class of ordinary clients. */
-  public static final String CLASS = "chat";
+  public static final String CHAT_CLASS = "chat";
   /** Another class. */
-  public static final String FEED = "feed";
+  public static final String FEED_CLASS = "feed";
 
   private final Path folder;
-  private final ConsulStandIn consul;
-  private final Map<String, LinkServer> servers = new LinkedHashMap<>();
-  private final Map<String, String> registered = new LinkedHashMap<>();
-  private final List<ServeProcess> proxies = new ArrayList<>();
-  private final AtomicInteger turn = new AtomicInteger();
-  private final int unused;
+  private final FakeConsul consul;
+  private final Map<String, EchoServer> servers = new LinkedHashMap<>();
+  private final Map<String, String> consulKeys = new LinkedHashMap<>();
+  private final List<ProxyProcess> proxies = new ArrayList<>();
+  private final AtomicInteger nextProxyIndex = new AtomicInteger();
+  private final int unusedPort;
   private final Map<String, String> environment;
 
   /**
@@ -41,30 +41,30 @@
    *
    * @param more lines of the operator's section {@code discovery.consul} beside agents and service
    */
-  public ConsulSite(int proxyCount, int serverCount, String more) throws IOException, InterruptedException {
-    this(proxyCount, serverCount, more, Map.of());
+  public ConsulTestCluster(int proxyCount, int serverCount, String extraSettings) throws IOException, InterruptedException {
+    this(proxyCount, serverCount, extraSettings, Map.of());
   }
 
   /** The same, with these variables in the environment of each proxy. */
-  public ConsulSite(int proxyCount, int serverCount, String more, Map<String, String> environment)
+  public ConsulTestCluster(int proxyCount, int serverCount, String extraSettings, Map<String, String> environment)
       throws IOException, InterruptedException {
     this.environment = environment;
     folder = Files.createTempDirectory("lemondeal-consul");
-    consul = new ConsulStandIn();
-    try (ServerSocket nobody = new ServerSocket(0)) {
-      unused = nobody.getLocalPort();
+    consul = new FakeConsul();
+    try (ServerSocket portProbe = new ServerSocket(0)) {
+      unusedPort = portProbe.getLocalPort();
     }
     for (int i = 1; i <= serverCount; i++) {
       addServer("s-" + i);
     }
-    writeOperatorFile(List.of(consul.address()), keys(more));
+    writeOperatorFile(List.of(consul.address()), consulSettings(extraSettings));
     for (int i = 0; i < proxyCount; i++) {
       startProxy(i, proxyCount);
     }
   }
 
   /** The operator's file from the next start or SIGHUP on: Consul at these agents, and these other keys beside them. */
-  public void writeOperatorFile(List<InetSocketAddress> agents, String keys) throws IOException {
+  public void writeOperatorFile(List<InetSocketAddress> agents, String settings) throws IOException {
     List<String> quoted = agents.stream().map(agent -> "'127.0.0.1:" + agent.getPort() + "'").toList();
     Files.writeString(folder.resolve("operator.yaml"), """
         version: 1
@@ -72,32 +72,32 @@
           consul:
             agents: [%s]
         %s
-        """.formatted(String.join(", ", quoted), keys.indent(4)));
+        """.formatted(String.join(", ", quoted), settings.indent(4)));
   }
 
   /** SIGHUP to every proxy, and waits until each has read its file anew. */
-  public void hangUp() throws IOException, InterruptedException {
-    for (ServeProcess proxy : proxies) {
-      proxy.hangUp();
-      proxy.await("read anew");
+  public void reloadProxies() throws IOException, InterruptedException {
+    for (ProxyProcess proxy : proxies) {
+      proxy.sendSighup();
+      proxy.awaitLog("read anew");
     }
   }
 
   /** The ordinary service and these keys. */
-  public static String keys(String more) {
-    return "service: " + SERVICE + "\n" + more;
+  public static String consulSettings(String extraSettings) {
+    return "service: " + SERVICE + "\n" + extraSettings;
   }
 
   /** Starts a link server and registers it on a node of its own, named as the server. */
-  public LinkServer addServer(String name) throws IOException {
+  public EchoServer addServer(String name) throws IOException {
     return addServer(name, SERVICE, consul);
   }
 
   /** The same under another service, or in another Consul. */
-  public LinkServer addServer(String name, String service, ConsulStandIn in) throws IOException {
-    LinkServer server = new LinkServer();
+  public EchoServer addServer(String name, String service, FakeConsul registry) throws IOException {
+    EchoServer server = new EchoServer();
     servers.put(name, server);
-    registered.put(name, in.catalogue().register("node-" + name, "127.0.0.1", service, name,
+    consulKeys.put(name, registry.catalogue().register("node-" + name, "127.0.0.1", service, name,
         server.address().getPort()));
     return server;
   }
@@ -118,20 +118,20 @@
            "prices":{"crossZone":0.03,"waste":0.2,"probe":0.0023,"moves":0.01},
            "profiles":[{"name":"%s","semantics":"idempotent","aim":500000,"hardLimit":2000000},
             {"name":"%s","semantics":"idempotent","aim":500000,"hardLimit":2000000}]}}
-        """.formatted(i, unused, i + 1, i, count, CLASS, FEED));
-    ServeProcess started = ServeProcess.start(config, folder.resolve("operator.yaml"), environment);
+        """.formatted(i, unusedPort, i + 1, i, count, CHAT_CLASS, FEED_CLASS));
+    ProxyProcess started = ProxyProcess.start(config, folder.resolve("operator.yaml"), environment);
     if (i < proxies.size()) {
       proxies.set(i, started);
     } else {
       proxies.add(started);
     }
-    started.await("ready");
+    started.awaitLog("ready");
   }
 
   /** The next proxy that is alive, in turn, as a front shares clients out. */
-  public InetSocketAddress front() {
+  public InetSocketAddress nextProxyAddress() {
     for (int i = 0; i < proxies.size(); i++) {
-      ServeProcess proxy = proxies.get(Math.floorMod(turn.getAndIncrement(), proxies.size()));
+      ProxyProcess proxy = proxies.get(Math.floorMod(nextProxyIndex.getAndIncrement(), proxies.size()));
       if (proxy.isAlive()) {
         return proxy.address();
       }
@@ -139,24 +139,24 @@
     throw new IllegalStateException("no proxy is alive");
   }
 
-  public ConsulStandIn consul() {
+  public FakeConsul consul() {
     return consul;
   }
 
-  public LinkServer server(String name) {
+  public EchoServer server(String name) {
     return servers.get(name);
   }
 
   /** The server's key in Consul. */
-  public String key(String name) {
-    return registered.get(name);
+  public String consulKey(String name) {
+    return consulKeys.get(name);
   }
 
-  public Map<String, LinkServer> servers() {
+  public Map<String, EchoServer> servers() {
     return servers;
   }
 
-  public List<ServeProcess> proxies() {
+  public List<ProxyProcess> proxies() {
     return proxies;
   }
 
@@ -166,8 +166,8 @@
 
   @Override
   public void close() {
-    proxies.forEach(ServeProcess::close);
-    servers.values().forEach(LinkServer::close);
+    proxies.forEach(ProxyProcess::close);
+    servers.values().forEach(EchoServer::close);
     consul.close();
     try (Stream<Path> files = Files.walk(folder)) {
       files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
--- a/lab/src/main/java/lemondeal/lab/consul/LinkServer.java
+++ b/lab/src/main/java/lemondeal/lab/consul/EchoServer.java
@@ -9,28 +9,28 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 
 /**
  * A stand-in link node of the platform's protocol on loopback: answers {@code OPEN} with {@code UP}, probes with
  * {@code PONG}, keeps the connection until its client ends it, and notes when each first line came, so that a test can
  * tell the last new work that reached it.
  */
-public final class LinkServer implements AutoCloseable {
+public final class EchoServer implements AutoCloseable {
   private final ServerSocket socket;
-  private final Set<Lines> connections = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger opened = new AtomicInteger();
+  private final Set<LineConnection> connections = ConcurrentHashMap.newKeySet();
+  private final AtomicInteger openCount = new AtomicInteger();
   private final AtomicLong lastOpenNanos = new AtomicLong();
-  private final AtomicInteger receipts = new AtomicInteger();
+  private final AtomicInteger receiptCount = new AtomicInteger();
   private volatile boolean closed;
-  private volatile int upAfterMillis;
+  private volatile int setupDelayMillis;
 
-  public LinkServer() throws IOException {
+  public EchoServer() throws IOException {
     socket = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
-    daemon(this::accept, "link-accept");
+    startDaemon(this::accept, "link-accept");
   }
 
-  private static void daemon(Runnable task, String name) {
+  private static void startDaemon(Runnable task, String name) {
     Thread thread = new Thread(null, task, name, 256 * 1024);
     thread.setDaemon(true);
     thread.start();
@@ -41,13 +41,13 @@
   }
 
   /** From now on a set-up takes so long. */
-  public void upAfter(int millis) {
-    upAfterMillis = millis;
+  public void setSetupDelay(int millis) {
+    setupDelayMillis = millis;
   }
 
   /** First lines that came. */
-  public int opened() {
-    return opened.get();
+  public int openCount() {
+    return openCount.get();
   }
 
   /** {@link System#nanoTime()} when the last first line came; 0 before any. */
@@ -57,9 +57,9 @@
 
   /** Sends each client away with {@code MOVE}, between lines, and ends its connection. */
   public void moveAll() {
-    for (Lines lines : connections) {
+    for (LineConnection lines : connections) {
       try {
-        lines.write("MOVE");
+        lines.writeLines("MOVE");
         lines.close();
       } catch (IOException e) {
         // Gone already.
@@ -71,7 +71,7 @@
     try {
       while (!closed) {
         Socket accepted = socket.accept();
-        daemon(() -> serve(accepted), "link");
+        startDaemon(() -> serve(accepted), "link");
       }
     } catch (IOException e) {
       // Closed.
@@ -79,31 +79,31 @@
   }
 
   private void serve(Socket accepted) {
-    Lines opened = null;
-    try (Lines lines = new Lines(accepted)) {
-      opened = lines;
+    LineConnection connection = null;
+    try (LineConnection lines = new LineConnection(accepted)) {
+      connection = lines;
       connections.add(lines);
-      String line = lines.read();
+      String line = lines.readLine();
       while ("PING".equals(line) || "STATS".equals(line)) {
-        lines.write("PONG" + (line.equals("STATS") ? " inflight=1,qps=1,x0=0.1" : ""));
-        line = lines.read();
+        lines.writeLines("PONG" + (line.equals("STATS") ? " inflight=1,qps=1,x0=0.1" : ""));
+        line = lines.readLine();
       }
       if (line == null || !line.startsWith("OPEN ")) {
         return;
       }
-      this.opened.incrementAndGet();
+      this.openCount.incrementAndGet();
       lastOpenNanos.set(System.nanoTime());
-      Thread.sleep(upAfterMillis);
-      lines.write("UP r" + receipts.incrementAndGet());
-      for (line = lines.read(); line != null; line = lines.read()) {
-        lines.write("ECHO " + line);
+      Thread.sleep(setupDelayMillis);
+      lines.writeLines("UP r" + receiptCount.incrementAndGet());
+      for (line = lines.readLine(); line != null; line = lines.readLine()) {
+        lines.writeLines("ECHO " + line);
       }
     } catch (IOException e) {
       // The client left.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      connections.remove(opened);
+      connections.remove(connection);
     }
   }
 
@@ -115,6 +115,6 @@
     } catch (IOException e) {
       // Closed already.
     }
-    connections.forEach(Lines::close);
+    connections.forEach(LineConnection::close);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulStandIn.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FakeConsul.java
@@ -33,16 +33,16 @@
  * with blocking queries, filters and their headers, and what an agent offers to register services and set checks. What
  * there is to know stands in its {@link Catalogue}; faults are ordered as moods, which all endpoints have.
  */
-public final class ConsulStandIn implements AutoCloseable {
-  private static final long WAIT_DEFAULT_MILLIS = 300_000;
-  private static final long WAIT_MOST_MILLIS = 600_000;
-  private static final int HUGE_BYTES = 70 << 20;
+public final class FakeConsul implements AutoCloseable {
+  private static final long DEFAULT_WAIT_MILLIS = 300_000;
+  private static final long MAX_WAIT_MILLIS = 600_000;
+  private static final int FLOOD_BYTES = 70 << 20;
   private static final ObjectMapper JSON = new ObjectMapper();
   /** The node whose agent the agent endpoints speak for. */
   private static final String AGENT_NODE = "agent-node";
 
   /** What it does with a call. */
-  public enum Mood {
+  public enum ResponseMode {
     ANSWERS(true),
     /** Holds each call without a word, until its caller gives up. */
     SILENT(false),
@@ -74,10 +74,10 @@
     FLOODS(true);
 
     /** Whether a blocking query waits; in the others it is answered, or not, at once. */
-    private final boolean waits;
+    private final boolean blocksQueries;
 
-    Mood(boolean waits) {
-      this.waits = waits;
+    ResponseMode(boolean blocksQueries) {
+      this.blocksQueries = blocksQueries;
     }
   }
 
@@ -88,49 +88,49 @@
     return thread;
   });
   private final Catalogue catalogue = new Catalogue();
-  private final AtomicLong calls = new AtomicLong();
-  private volatile Mood mood = Mood.ANSWERS;
-  private volatile Predicate<String> onlyToken = token -> true;
+  private final AtomicLong queryCount = new AtomicLong();
+  private volatile ResponseMode responseMode = ResponseMode.ANSWERS;
+  private volatile Predicate<String> tokenFilter = token -> true;
   private volatile boolean closed;
 
   /** On a free port of loopback, in plain HTTP. */
-  public ConsulStandIn() throws IOException {
+  public FakeConsul() throws IOException {
     this(null);
   }
 
   /** On a free port of loopback, in HTTPS with this context; null for plain HTTP. */
-  public ConsulStandIn(SSLContext tls) throws IOException {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+  public FakeConsul(SSLContext tls) throws IOException {
+    InetSocketAddress loopback = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     if (tls == null) {
-      server = HttpServer.create(any, 64);
+      server = HttpServer.create(loopback, 64);
     } else {
-      HttpsServer https = HttpsServer.create(any, 64);
-      https.setHttpsConfigurator(new AskingForCertificates(tls));
+      HttpsServer https = HttpsServer.create(loopback, 64);
+      https.setHttpsConfigurator(new OptionalClientCertificates(tls));
       server = https;
     }
     server.setExecutor(threads);
-    server.createContext("/v1/health/service/", exchange -> query(exchange, this::health));
+    server.createContext("/v1/health/service/", exchange -> query(exchange, this::healthEntries));
     server.createContext("/v1/health/state/", exchange -> query(exchange, (name, query, now) ->
-        catalogue.checks(name)));
+        catalogue.checkEntries(name)));
     server.createContext("/v1/catalog/service/", exchange -> query(exchange, (name, query, now) ->
-        catalogue.catalogue(name)));
-    server.createContext("/v1/catalog/nodes", exchange -> query(exchange, (name, query, now) -> catalogue.nodes()));
-    server.createContext("/v1/status/leader", exchange -> agent(exchange, () -> "\"127.0.0.1:8300\""));
-    server.createContext("/v1/agent/", exchange -> agent(exchange, () -> agentCall(exchange)));
+        catalogue.catalogueEntries(name)));
+    server.createContext("/v1/catalog/nodes", exchange -> query(exchange, (name, query, now) -> catalogue.nodeEntries()));
+    server.createContext("/v1/status/leader", exchange -> answerAgentCall(exchange, () -> "\"127.0.0.1:8300\""));
+    server.createContext("/v1/agent/", exchange -> answerAgentCall(exchange, () -> executeAgentCall(exchange)));
     server.start();
   }
 
   /** Takes a client's certificate where it has one: who must have one is the test's trust to say. */
-  private static final class AskingForCertificates extends HttpsConfigurator {
-    AskingForCertificates(SSLContext context) {
+  private static final class OptionalClientCertificates extends HttpsConfigurator {
+    OptionalClientCertificates(SSLContext context) {
       super(context);
     }
 
     @Override
     public void configure(HttpsParameters parameters) {
-      SSLParameters ours = getSSLContext().getDefaultSSLParameters();
-      ours.setWantClientAuth(true);
-      parameters.setSSLParameters(ours);
+      SSLParameters sslParameters = getSSLContext().getDefaultSSLParameters();
+      sslParameters.setWantClientAuth(true);
+      parameters.setSSLParameters(sslParameters);
     }
   }
 
@@ -144,80 +144,80 @@
   }
 
   /** From now on; calls that wait are woken, to be answered in the new mood's way. */
-  public void mood(Mood fresh) {
-    mood = fresh;
-    catalogue.wake();
+  public void setResponseMode(ResponseMode newMode) {
+    responseMode = newMode;
+    catalogue.wakeWaiters();
   }
 
   /** Answers only calls whose {@code X-Consul-Token} passes; others get 403, as with an ACL that denies. */
-  public void tokens(Predicate<String> allowed) {
-    onlyToken = allowed;
+  public void setTokenFilter(Predicate<String> newFilter) {
+    tokenFilter = newFilter;
   }
 
   /** Calls of endpoints with blocking queries so far. */
-  public long calls() {
-    return calls.get();
+  public long queryCount() {
+    return queryCount.get();
   }
 
   // ---- Queries ----------------------------------------------------------------------------------
 
   /** Looks the answer up when it is time to. */
-  private interface Look {
-    Catalogue.View at(String name, Map<String, String> query, Mood mood) throws FilterException;
+  private interface Lookup {
+    Catalogue.Snapshot perform(String name, Map<String, String> query, ResponseMode mode) throws FilterException;
   }
 
-  private Catalogue.View health(String name, Map<String, String> query, Mood now) throws FilterException {
-    int[] count = new int[1];
+  private Catalogue.Snapshot healthEntries(String name, Map<String, String> query, ResponseMode mode) throws FilterException {
+    int[] position = new int[1];
     boolean passing = query.containsKey("passing") && !query.get("passing").equals("false");
-    Catalogue.View all = catalogue.health(name, instance -> (now != Mood.HALF || count[0]++ % 2 == 0)
-        && (!passing || instance.status().equals("passing"))
+    Catalogue.Snapshot snapshot = catalogue.healthEntries(name, instance -> (mode != ResponseMode.HALF || position[0]++ % 2 == 0)
+        && (!passing || instance.worstStatus().equals("passing"))
         && (!query.containsKey("tag") || instance.tags.contains(query.get("tag"))));
     if (!query.containsKey("filter")) {
-      return all;
+      return snapshot;
     }
     Filter filter = Filters.parse(query.get("filter"));
     Filters.check(filter);
-    ArrayNode passed = JSON.createArrayNode();
-    for (JsonNode entry : all.json()) {
-      if (FilterMatch.passes(filter, entry)) {
-        passed.add(entry);
+    ArrayNode matching = JSON.createArrayNode();
+    for (JsonNode entry : snapshot.json()) {
+      if (FilterEvaluator.matches(filter, entry)) {
+        matching.add(entry);
       }
     }
-    return new Catalogue.View(passed, all.index());
+    return new Catalogue.Snapshot(matching, snapshot.index());
   }
 
-  private void query(HttpExchange exchange, Look look) throws IOException {
-    calls.incrementAndGet();
+  private void query(HttpExchange exchange, Lookup lookup) throws IOException {
+    queryCount.incrementAndGet();
     try (exchange) {
       Map<String, String> query = query(exchange.getRequestURI().getRawQuery());
-      if (!onlyToken.test(token(exchange, query))) {
-        send(exchange, 403, "Permission denied: token with AccessorID 'anonymous' lacks permission", 0, mood);
+      if (!tokenFilter.test(token(exchange, query))) {
+        send(exchange, 403, "Permission denied: token with AccessorID 'anonymous' lacks permission", 0, responseMode);
       } else if (!query.getOrDefault("dc", Catalogue.DATACENTER).equals(Catalogue.DATACENTER)) {
-        send(exchange, 500, "No path to datacenter", 0, mood);
+        send(exchange, 500, "No path to datacenter", 0, responseMode);
       } else if (query.containsKey("index") && !query.get("index").matches("[0-9]{1,18}")) {
-        send(exchange, 400, "Invalid index", 0, mood);
+        send(exchange, 400, "Invalid index", 0, responseMode);
       } else {
-        lookUp(exchange, query, look);
+        answerQuery(exchange, query, lookup);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void lookUp(HttpExchange exchange, Map<String, String> query, Look look)
+  private void answerQuery(HttpExchange exchange, Map<String, String> query, Lookup lookup)
       throws IOException, InterruptedException {
     String path = exchange.getRequestURI().getPath();
     String name = path.substring(path.lastIndexOf('/') + 1);
     awaitChange(path.contains("/service/") ? name : "", query);
-    Mood now = mood;
-    Catalogue.View view;
+    ResponseMode mode = responseMode;
+    Catalogue.Snapshot snapshot;
     try {
-      view = look.at(name, query, now);
+      snapshot = lookup.perform(name, query, mode);
     } catch (FilterException e) {
-      send(exchange, 400, "Failed to create boolean expression evaluator: " + e.getMessage(), 0, now);
+      send(exchange, 400, "Failed to create boolean expression evaluator: " + e.getMessage(), 0, mode);
       return;
     }
-    answer(exchange, now, view);
+    respond(exchange, mode, snapshot);
   }
 
   /** In the header, or in the query as older clients give it; null where there is none. */
@@ -227,44 +227,44 @@
   }
 
   private void awaitChange(String service, Map<String, String> query) throws InterruptedException {
-    Mood began = mood;
-    if (began.waits && query.containsKey("index")) {
-      long wait = Math.min(WAIT_MOST_MILLIS, query.containsKey("wait") ? duration(query.get("wait"))
-          : WAIT_DEFAULT_MILLIS);
-      catalogue.await(service, Long.parseLong(query.get("index")), wait + wait / 16, () -> mood != began || closed);
+    ResponseMode initialMode = responseMode;
+    if (initialMode.blocksQueries && query.containsKey("index")) {
+      long wait = Math.min(MAX_WAIT_MILLIS, query.containsKey("wait") ? durationMillis(query.get("wait"))
+          : DEFAULT_WAIT_MILLIS);
+      catalogue.awaitChange(service, Long.parseLong(query.get("index")), wait + wait / 16, () -> responseMode != initialMode || closed);
     }
   }
 
-  private void answer(HttpExchange exchange, Mood now, Catalogue.View view) throws IOException, InterruptedException {
-    byte[] body = JSON.writeValueAsBytes(view.json());
-    switch (now) {
-      case SILENT -> hold();
-      case FAILS -> send(exchange, 500, "rpc error making call: No cluster leader", 0, now);
-      case TOO_OFTEN -> send(exchange, 429, "rate limit exceeded", 0, now);
+  private void respond(HttpExchange exchange, ResponseMode mode, Catalogue.Snapshot snapshot) throws IOException, InterruptedException {
+    byte[] body = JSON.writeValueAsBytes(snapshot.json());
+    switch (mode) {
+      case SILENT -> holdCall();
+      case FAILS -> send(exchange, 500, "rpc error making call: No cluster leader", 0, mode);
+      case TOO_OFTEN -> send(exchange, 429, "rate limit exceeded", 0, mode);
       case RESETS -> {
         // Closed before any header: the caller sees its connection end under its call.
       }
       case CUTS, STALLS -> {
-        exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(view.index()));
+        exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(snapshot.index()));
         exchange.sendResponseHeaders(200, body.length);
         exchange.getResponseBody().write(body, 0, body.length / 2);
         exchange.getResponseBody().flush();
-        if (now == Mood.STALLS) {
-          hold();
+        if (mode == ResponseMode.STALLS) {
+          holdCall();
         }
       }
-      case EMPTY -> send(exchange, 200, "[]", view.index(), now);
-      case GARBLES -> send(exchange, 200, "<html>502 gateway</html>", view.index(), now);
-      case NESTS -> send(exchange, 200, "[".repeat(100_000), view.index(), now);
-      case FLOODS -> flood(exchange, view.index());
-      default -> send(exchange, 200, body, view.index(), now);
+      case EMPTY -> send(exchange, 200, "[]", snapshot.index(), mode);
+      case GARBLES -> send(exchange, 200, "<html>502 gateway</html>", snapshot.index(), mode);
+      case NESTS -> send(exchange, 200, "[".repeat(100_000), snapshot.index(), mode);
+      case FLOODS -> flood(exchange, snapshot.index());
+      default -> send(exchange, 200, body, snapshot.index(), mode);
     }
   }
 
   /** Until the caller gives up or the stand-in ends. */
-  private void hold() throws InterruptedException {
-    Mood held = mood;
-    catalogue.awaitThat(WAIT_MOST_MILLIS, () -> closed || mood != held);
+  private void holdCall() throws InterruptedException {
+    ResponseMode initialMode = responseMode;
+    catalogue.awaitCondition(MAX_WAIT_MILLIS, () -> closed || responseMode != initialMode);
   }
 
   private static void flood(HttpExchange exchange, long index) throws IOException {
@@ -273,24 +273,24 @@
     exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(index));
     exchange.sendResponseHeaders(200, 0);
     try (OutputStream out = exchange.getResponseBody()) {
-      for (int sent = 0; sent < HUGE_BYTES; sent += spaces.length) {
+      for (int sent = 0; sent < FLOOD_BYTES; sent += spaces.length) {
         out.write(spaces);
       }
       out.write("[]".getBytes(StandardCharsets.US_ASCII));
     }
   }
 
-  private static void send(HttpExchange exchange, int status, String body, long index, Mood now) throws IOException {
-    send(exchange, status, body.getBytes(StandardCharsets.UTF_8), index, now);
+  private static void send(HttpExchange exchange, int status, String body, long index, ResponseMode mode) throws IOException {
+    send(exchange, status, body.getBytes(StandardCharsets.UTF_8), index, mode);
   }
 
-  private static void send(HttpExchange exchange, int status, byte[] body, long index, Mood now) throws IOException {
+  private static void send(HttpExchange exchange, int status, byte[] body, long index, ResponseMode mode) throws IOException {
     exchange.getResponseHeaders().set("Content-Type", status == 200 ? "application/json" : "text/plain");
     if (index > 0) {
       exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(index));
     }
-    exchange.getResponseHeaders().set("X-Consul-KnownLeader", Boolean.toString(now != Mood.NO_LEADER));
-    exchange.getResponseHeaders().set("X-Consul-LastContact", now == Mood.STALE ? "60000" : "0");
+    exchange.getResponseHeaders().set("X-Consul-KnownLeader", Boolean.toString(mode != ResponseMode.NO_LEADER));
+    exchange.getResponseHeaders().set("X-Consul-LastContact", mode == ResponseMode.STALE ? "60000" : "0");
     exchange.sendResponseHeaders(status, body.length == 0 ? -1 : body.length);
     try (OutputStream out = exchange.getResponseBody()) {
       out.write(body);
@@ -311,7 +311,7 @@
   }
 
   /** Consul's form of a duration: a number and ms, s, m or h. */
-  private static long duration(String text) {
+  private static long durationMillis(String text) {
     String digits = text.replaceAll("[^0-9]", "");
     long number = digits.isEmpty() ? 0 : Long.parseLong(digits);
     return text.endsWith("ms") ? number : text.endsWith("s") ? number * 1000 : text.endsWith("m") ? number * 60_000
@@ -322,36 +322,36 @@
 
   /** What a call did; null where there is no such thing. */
   private interface AgentCall {
-    String done() throws IOException;
+    String execute() throws IOException;
   }
 
-  private void agent(HttpExchange exchange, AgentCall call) throws IOException {
+  private void answerAgentCall(HttpExchange exchange, AgentCall call) throws IOException {
     try (exchange) {
-      if (!onlyToken.test(token(exchange, query(exchange.getRequestURI().getRawQuery())))) {
-        send(exchange, 403, "Permission denied", 0, mood);
+      if (!tokenFilter.test(token(exchange, query(exchange.getRequestURI().getRawQuery())))) {
+        send(exchange, 403, "Permission denied", 0, responseMode);
         return;
       }
-      String done = call.done();
-      send(exchange, done == null ? 404 : 200, done == null ? "unknown" : done, 0, mood);
+      String result = call.execute();
+      send(exchange, result == null ? 404 : 200, result == null ? "unknown" : result, 0, responseMode);
     }
   }
 
-  private String agentCall(HttpExchange exchange) throws IOException {
+  private String executeAgentCall(HttpExchange exchange) throws IOException {
     String[] path = exchange.getRequestURI().getPath().substring("/v1/agent/".length()).split("/", 3);
     Map<String, String> query = query(exchange.getRequestURI().getRawQuery());
-    String what = path.length < 2 ? path[0] : path[0] + "/" + path[1];
+    String operation = path.length < 2 ? path[0] : path[0] + "/" + path[1];
     String name = path.length < 3 ? "" : path[2];
-    boolean done = switch (what) {
+    boolean found = switch (operation) {
       case "service/register" -> register(JSON.readTree(exchange.getRequestBody()));
       case "service/deregister" -> catalogue.deregister(Catalogue.key(AGENT_NODE, name));
-      case "service/maintenance" -> catalogue.maintenance(Catalogue.key(AGENT_NODE, name),
+      case "service/maintenance" -> catalogue.setMaintenance(Catalogue.key(AGENT_NODE, name),
           query.getOrDefault("enable", "").equals("true"));
-      case "check/pass" -> check(name, "passing");
-      case "check/warn" -> check(name, "warning");
-      case "check/fail" -> check(name, "critical");
+      case "check/pass" -> setCheckStatus(name, "passing");
+      case "check/warn" -> setCheckStatus(name, "warning");
+      case "check/fail" -> setCheckStatus(name, "critical");
       default -> false;
     };
-    return done ? "" : null;
+    return found ? "" : null;
   }
 
   private boolean register(JsonNode body) {
@@ -359,26 +359,26 @@
     // Consul takes its keys in any case, and its client libraries make use of that.
     String id = body.has("ID") ? body.get("ID").asText() : body.path("Id").asText(name);
     String key = catalogue.register(AGENT_NODE, "127.0.0.1", name, id, body.path("Port").asInt());
-    return catalogue.change(key, instance -> {
-      body.path("Tags").forEach(tag -> instance.tag(tag.asText()));
-      body.path("Meta").fields().forEachRemaining(meta -> instance.serviceMeta(meta.getKey(), meta.getValue().asText()));
-      instance.address(body.path("Address").asText(""));
+    return catalogue.update(key, instance -> {
+      body.path("Tags").forEach(tag -> instance.addTag(tag.asText()));
+      body.path("Meta").fields().forEachRemaining(meta -> instance.putServiceMeta(meta.getKey(), meta.getValue().asText()));
+      instance.setAddress(body.path("Address").asText(""));
       if (body.path("Weights").isObject()) {
-        instance.passingWeight(body.path("Weights").path("Passing").asInt(1));
-        instance.warningWeight(body.path("Weights").path("Warning").asInt(1));
+        instance.setPassingWeight(body.path("Weights").path("Passing").asInt(1));
+        instance.setWarningWeight(body.path("Weights").path("Warning").asInt(1));
       }
     });
   }
 
-  private boolean check(String check, String status) {
+  private boolean setCheckStatus(String check, String status) {
     String key = Catalogue.key(AGENT_NODE, check.substring(check.indexOf(':') + 1));
-    return catalogue.has(key) && catalogue.check(key, check, status);
+    return catalogue.has(key) && catalogue.setCheck(key, check, status);
   }
 
   @Override
   public void close() {
     closed = true;
-    catalogue.wake();
+    catalogue.wakeWaiters();
     server.stop(0);
     threads.shutdownNow();
     try {
--- a/lab/src/main/java/lemondeal/lab/consul/Instance.java
+++ b/lab/src/main/java/lemondeal/lab/consul/Instance.java
@@ -9,7 +9,7 @@
 
 /** One instance of a service in the stand-in's catalogue, with its checks. Changed under the catalogue's lock alone. */
 public final class Instance {
-  static final String MEMBERSHIP = "serfHealth";
+  static final String SERF_HEALTH = "serfHealth";
   static final String NODE_MAINTENANCE = "_node_maintenance";
   private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
 
@@ -24,8 +24,8 @@
   /** Statuses by the check's id. */
   final Map<String, String> checks = new LinkedHashMap<>();
   String address = "";
-  int passing = 1;
-  int warning = 1;
+  int passingWeight = 1;
+  int warningWeight = 1;
   long createIndex;
   long modifyIndex;
 
@@ -35,96 +35,96 @@
     this.service = service;
     this.id = id;
     this.port = port;
-    checks.put(MEMBERSHIP, "passing");
+    checks.put(SERF_HEALTH, "passing");
     checks.put("service:" + id, "passing");
   }
 
   /** Sets {@code Weights.Warning}. */
-  public void warningWeight(int weight) {
-    warning = weight;
+  public void setWarningWeight(int weight) {
+    warningWeight = weight;
   }
 
   /** Sets {@code Weights.Passing}. */
-  public void passingWeight(int weight) {
-    passing = weight;
+  public void setPassingWeight(int weight) {
+    passingWeight = weight;
   }
 
   /** Adds a tag. */
-  public void tag(String tag) {
+  public void addTag(String tag) {
     tags.add(tag);
   }
 
   /** Sets a key of the node's metadata. */
-  public void nodeMeta(String key, String value) {
+  public void putNodeMeta(String key, String value) {
     nodeMeta.put(key, value);
   }
 
   /** Sets a key of the service's metadata. */
-  public void serviceMeta(String key, String value) {
+  public void putServiceMeta(String key, String value) {
     serviceMeta.put(key, value);
   }
 
   /** Sets the service's own address; empty for its node's. */
-  public void address(String text) {
+  public void setAddress(String text) {
     address = text;
   }
 
-  static boolean isOfNode(String check) {
-    return check.equals(MEMBERSHIP) || check.equals(NODE_MAINTENANCE);
+  static boolean isNodeCheck(String check) {
+    return check.equals(SERF_HEALTH) || check.equals(NODE_MAINTENANCE);
   }
 
   /** The worst of its checks. */
-  String status() {
+  String worstStatus() {
     return checks.containsValue("critical") ? "critical" : checks.containsValue("warning") ? "warning" : "passing";
   }
 
   // ---- As Consul's endpoints show it ------------------------------------------------------------
 
   /** An entry of {@code /v1/health/service/NAME}. */
-  ObjectNode health() {
+  ObjectNode healthEntry() {
     ObjectNode entry = JSON.objectNode();
-    entry.set("Node", node());
-    ObjectNode own = entry.putObject("Service").put("ID", id).put("Service", service);
-    tags.forEach(own.putArray("Tags")::add);
-    own.put("Address", address);
-    own.set("Meta", texts(serviceMeta));
-    own.put("Port", port).put("EnableTagOverride", false).put("CreateIndex", createIndex).put("ModifyIndex", modifyIndex);
-    own.putObject("Weights").put("Passing", passing).put("Warning", warning);
-    checks.forEach((check, status) -> entry.withArray("Checks").add(check(check, status)));
+    entry.set("Node", nodeEntry());
+    ObjectNode serviceEntry = entry.putObject("Service").put("ID", id).put("Service", service);
+    tags.forEach(serviceEntry.putArray("Tags")::add);
+    serviceEntry.put("Address", address);
+    serviceEntry.set("Meta", textObject(serviceMeta));
+    serviceEntry.put("Port", port).put("EnableTagOverride", false).put("CreateIndex", createIndex).put("ModifyIndex", modifyIndex);
+    serviceEntry.putObject("Weights").put("Passing", passingWeight).put("Warning", warningWeight);
+    checks.forEach((check, status) -> entry.withArray("Checks").add(checkEntry(check, status)));
     return entry;
   }
 
-  ObjectNode node() {
-    ObjectNode one = JSON.objectNode().put("ID", node + "-id").put("Node", node).put("Address", nodeAddress)
+  ObjectNode nodeEntry() {
+    ObjectNode entry = JSON.objectNode().put("ID", node + "-id").put("Node", node).put("Address", nodeAddress)
         .put("Datacenter", Catalogue.DATACENTER);
-    one.putObject("TaggedAddresses").put("lan", nodeAddress).put("wan", nodeAddress);
-    one.set("Meta", texts(nodeMeta));
-    return one;
+    entry.putObject("TaggedAddresses").put("lan", nodeAddress).put("wan", nodeAddress);
+    entry.set("Meta", textObject(nodeMeta));
+    return entry;
   }
 
-  ObjectNode check(String check, String status) {
-    boolean ofNode = isOfNode(check);
-    ObjectNode one = JSON.objectNode().put("Node", node).put("CheckID", check).put("Name", check).put("Status", status)
-        .put("Notes", "").put("Output", "").put("ServiceID", ofNode ? "" : id).put("ServiceName", ofNode ? "" : service);
-    one.putArray("ServiceTags");
-    return one;
+  ObjectNode checkEntry(String check, String status) {
+    boolean nodeCheck = isNodeCheck(check);
+    ObjectNode entry = JSON.objectNode().put("Node", node).put("CheckID", check).put("Name", check).put("Status", status)
+        .put("Notes", "").put("Output", "").put("ServiceID", nodeCheck ? "" : id).put("ServiceName", nodeCheck ? "" : service);
+    entry.putArray("ServiceTags");
+    return entry;
   }
 
   /** An entry of {@code /v1/catalog/service/NAME}. */
-  ObjectNode catalogue() {
-    ObjectNode entry = node();
+  ObjectNode catalogueEntry() {
+    ObjectNode entry = nodeEntry();
     entry.set("NodeMeta", entry.remove("Meta"));
     entry.put("ServiceID", id).put("ServiceName", service).put("ServiceAddress", address).put("ServicePort", port)
         .put("ServiceEnableTagOverride", false).put("CreateIndex", createIndex).put("ModifyIndex", modifyIndex);
     tags.forEach(entry.putArray("ServiceTags")::add);
-    entry.set("ServiceMeta", texts(serviceMeta));
-    entry.putObject("ServiceWeights").put("Passing", passing).put("Warning", warning);
+    entry.set("ServiceMeta", textObject(serviceMeta));
+    entry.putObject("ServiceWeights").put("Passing", passingWeight).put("Warning", warningWeight);
     return entry;
   }
 
-  private static ObjectNode texts(Map<String, String> values) {
-    ObjectNode node = JSON.objectNode();
-    values.forEach(node::put);
-    return node;
+  private static ObjectNode textObject(Map<String, String> values) {
+    ObjectNode object = JSON.objectNode();
+    values.forEach(object::put);
+    return object;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/consul/ShortClients.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ShortConnectionClients.java
@@ -10,19 +10,19 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 
 /**
  * Clients of short connections, each on a thread of its own: open, hold a moment, end, and again, through the front.
  * Each request is checked for the rule of the protocol: one final answer before its time is up, and only one.
  */
-public final class ShortClients implements AutoCloseable {
+public final class ShortConnectionClients implements AutoCloseable {
   private static final int DEADLINE_MILLIS = 2000;
   /** The protocol's slack on a final answer. */
-  private static final int SLACK_MILLIS = 500;
+  private static final int ANSWER_SLACK_MILLIS = 500;
   private static final AtomicLong IDS = new AtomicLong();
 
-  private final Supplier<InetSocketAddress> front;
+  private final Supplier<InetSocketAddress> nextProxy;
   private final String className;
   private final List<Thread> threads = new ArrayList<>();
   private final Map<String, AtomicLong> counts = new ConcurrentHashMap<>();
@@ -30,8 +30,8 @@
   private volatile boolean running = true;
 
   /** Starts so many clients of this class at once. */
-  public ShortClients(Supplier<InetSocketAddress> front, int count, String className) {
-    this.front = front;
+  public ShortConnectionClients(Supplier<InetSocketAddress> nextProxy, int count, String className) {
+    this.nextProxy = nextProxy;
     this.className = className;
     for (int i = 0; i < count; i++) {
       Thread thread = new Thread(null, this::run, "client-" + i, 256 * 1024);
@@ -44,58 +44,58 @@
   private void run() {
     while (running) {
       try {
-        once();
+        runRequest();
       } catch (IOException e) {
-        count("broken");
-        pause(50);
+        countAnswer("broken");
+        sleep(50);
       }
     }
   }
 
-  private void once() throws IOException {
+  private void runRequest() throws IOException {
     String id = String.format("%016x", IDS.incrementAndGet());
     String key = String.format("%016x", ThreadLocalRandom.current().nextLong());
     long started = System.nanoTime();
-    try (Lines lines = Lines.to(front.get())) {
-      lines.patience(DEADLINE_MILLIS + SLACK_MILLIS);
-      lines.write("OPEN " + id + " " + key + " c=" + className + ",d=" + DEADLINE_MILLIS + ",g=" + key);
+    try (LineConnection lines = LineConnection.connect(nextProxy.get())) {
+      lines.setReadTimeout(DEADLINE_MILLIS + ANSWER_SLACK_MILLIS);
+      lines.writeLines("OPEN " + id + " " + key + " c=" + className + ",d=" + DEADLINE_MILLIS + ",g=" + key);
       String answer;
       try {
-        answer = lines.read();
+        answer = lines.readLine();
       } catch (SocketTimeoutException e) {
-        breaches.add(id + ": no final answer in " + (DEADLINE_MILLIS + SLACK_MILLIS) + " ms");
+        breaches.add(id + ": no final answer in " + (DEADLINE_MILLIS + ANSWER_SLACK_MILLIS) + " ms");
         return;
       }
-      long took = (System.nanoTime() - started) / 1_000_000;
+      long elapsedMillis = (System.nanoTime() - started) / 1_000_000;
       if (answer == null) {
-        breaches.add(id + ": the connection ended without an answer after " + took + " ms");
+        breaches.add(id + ": the connection ended without an answer after " + elapsedMillis + " ms");
         return;
       }
-      String word = answer.split(" ")[0];
-      count(word);
-      if (word.equals("UP")) {
-        lines.patience(50);
-        lines.write("hello");
+      String firstWord = answer.split(" ")[0];
+      countAnswer(firstWord);
+      if (firstWord.equals("UP")) {
+        lines.setReadTimeout(50);
+        lines.writeLines("hello");
         try {
-          String echo = lines.read();
+          String echo = lines.readLine();
           if (echo != null && !echo.startsWith("ECHO") && !echo.equals("MOVE")) {
             breaches.add(id + ": after UP came '" + echo + "'");
           }
         } catch (SocketTimeoutException e) {
           // Held a moment.
         }
-      } else if (word.equals("BUSY")) {
-        String[] words = answer.split(" ");
-        pause(words.length > 1 ? Math.min(1000, Long.parseLong(words[1])) : 100);
+      } else if (firstWord.equals("BUSY")) {
+        String[] fields = answer.split(" ");
+        sleep(fields.length > 1 ? Math.min(1000, Long.parseLong(fields[1])) : 100);
       }
     }
   }
 
-  private void count(String what) {
+  private void countAnswer(String what) {
     counts.computeIfAbsent(what, k -> new AtomicLong()).incrementAndGet();
   }
 
-  private static void pause(long millis) {
+  private static void sleep(long millis) {
     try {
       Thread.sleep(millis);
     } catch (InterruptedException e) {
@@ -118,7 +118,7 @@
   }
 
   /** Ends them all, each after the request that it is at. */
-  public void end() throws InterruptedException {
+  public void stop() throws InterruptedException {
     running = false;
     for (Thread thread : threads) {
       thread.join(10_000);
@@ -128,7 +128,7 @@
   @Override
   public void close() {
     try {
-      end();
+      stop();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/lab/src/main/java/lemondeal/lab/emulator/Breach.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Breach.java
@@ -11,10 +11,10 @@
  * @param what happened
  * @param before the last events of the subject, oldest first
  */
-public record Breach(String rule, long at, String subject, String what, List<String> before) {
+public record Breach(String rule, long time, String subject, String what, List<String> recentEvents) {
   @Override
   public String toString() {
-    return rule + " at " + at + " us, " + subject + ": " + what + (before.isEmpty() ? "" : "; before: "
-        + String.join(" | ", before));
+    return rule + " at " + time + " us, " + subject + ": " + what + (recentEvents.isEmpty() ? "" : "; before: "
+        + String.join(" | ", recentEvents));
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Checker.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Checker.java
@@ -5,34 +5,34 @@
 
 /** One rule. Hears what happens and tells each breach; knows nothing of how the policy decides. */
 abstract class Checker {
-  private BiConsumer<String, String> told;
+  private BiConsumer<String, String> breachHandler;
 
   /** @param breach takes the subject and what happened */
-  final void tellTo(BiConsumer<String, String> breach) {
-    told = breach;
+  final void setBreachHandler(BiConsumer<String, String> handler) {
+    breachHandler = handler;
   }
 
   final void breach(String subject, String what) {
-    told.accept(subject, what);
+    breachHandler.accept(subject, what);
   }
 
   abstract String rule();
 
-  void arrived(String request, long due) { }
+  void arrived(String requestId, long deadline) { }
 
-  void sent(String request, int proxy, String name, Server server) { }
+  void sent(String requestId, int proxyNumber, String serverName, Server server) { }
 
-  void reached(String request, Server server) { }
+  void reached(String requestId, Server server) { }
 
-  void attemptOver(String request) { }
+  void attemptEnded(String requestId) { }
 
-  void answered(String request, String what) { }
+  void answered(String requestId, String answer) { }
 
-  void overdue(String request) { }
+  void overdue(String requestId) { }
 
-  void lost(String request) { }
+  void lost(String requestId) { }
 
-  void moved(String request, boolean stands) { }
+  void moved(String requestId, boolean hasConnection) { }
 
-  void listed(int proxy, ServerList list) { }
+  void listReceived(int proxyNumber, ServerList list) { }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Client.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Client.java
@@ -9,29 +9,29 @@
   /** What has become of it. */
   enum State { AWAY, WAITING, CONNECTED, GONE }
 
-  private final World world;
+  private final Simulation simulation;
   private final long number;
   private final int classIndex;
   private final int group;
   private final int zone;
   private final String key;
   private final double load;
-  private final long until;
+  private final long leaveTime;
   private State state = State.AWAY;
-  private int tries;
-  private int requests;
-  private boolean returned;
+  private int rejections;
+  private int requestCount;
+  private boolean reconnecting;
   private Connection connection;
-  private Agenda.Entry swing;
+  private EventScheduler.ScheduledEvent nextLoadChange;
 
-  Client(World world, long number, int classIndex, int group, int zone, double load, long until) {
-    this.world = world;
+  Client(Simulation simulation, long number, int classIndex, int group, int zone, double load, long leaveTime) {
+    this.simulation = simulation;
     this.number = number;
     this.classIndex = classIndex;
     this.group = group;
     this.zone = zone;
     this.load = load;
-    this.until = until;
+    this.leaveTime = leaveTime;
     key = String.format("%016x", number * 0x9e3779b97f4a7c15L);
   }
 
@@ -61,16 +61,16 @@
     return load;
   }
 
-  boolean returned() {
-    return returned;
+  boolean reconnecting() {
+    return reconnecting;
   }
 
   boolean isRetry() {
-    return tries > 0;
+    return rejections > 0;
   }
 
-  long until() {
-    return until;
+  long leaveTime() {
+    return leaveTime;
   }
 
   State state() {
@@ -81,85 +81,85 @@
     return connection;
   }
 
-  Scenario.ClientClass kind() {
-    return world.scenario().classes().get(classIndex);
+  Scenario.ClientClass clientClass() {
+    return simulation.scenario().classes().get(classIndex);
   }
 
   /** Comes to the front: asks a proxy for a connection, or tries later where there is none. */
-  void come() {
+  void requestConnection() {
     if (state != State.AWAY) {
       return;
     }
-    if (world.agenda().now() >= until) {
+    if (simulation.scheduler().now() >= leaveTime) {
       leave();
       return;
     }
     state = State.WAITING;
-    String request = String.format("%08x%08x", number, ++requests);
-    world.front().open(this, request, world.agenda().now() + kind().deadline());
+    String requestId = String.format("%08x%08x", number, ++requestCount);
+    simulation.frontEnd().forward(this, requestId, simulation.scheduler().now() + clientClass().deadline());
   }
 
   /** Served: the connection stands until one side ends it. */
-  void connected(Connection made, long took) {
+  void connectionEstablished(Connection newConnection, long setUpTime) {
     state = State.CONNECTED;
-    connection = made;
-    tries = 0;
-    world.figures().setUp(classIndex, took);
-    world.agenda().at(until, () -> {
-      if (connection == made) {
+    connection = newConnection;
+    rejections = 0;
+    simulation.figures().setUpCompleted(classIndex, setUpTime);
+    simulation.scheduler().at(leaveTime, () -> {
+      if (connection == newConnection) {
         connection = null;
-        made.proxy().clientEnds(made);
+        newConnection.proxy().closedByClient(newConnection);
         leave();
       }
     });
-    planSwing(made);
+    scheduleLoadChange(newConnection);
   }
 
-  private void planSwing(Connection made) {
-    if (kind().changeEvery() > 0) {
-      swing = world.agenda().after((long) (kind().changeEvery() * world.swingGap()), () -> {
-        if (!made.isOver()) {
-          made.swingTo(load * world.swing(classIndex));
-          planSwing(made);
+  private void scheduleLoadChange(Connection current) {
+    if (clientClass().loadChangeInterval() > 0) {
+      nextLoadChange = simulation.scheduler().after((long) (clientClass().loadChangeInterval() * simulation.nextLoadChangeGap()), () -> {
+        if (!current.isEnded()) {
+          current.setLoad(load * simulation.nextLoadFactor(classIndex));
+          scheduleLoadChange(current);
         }
       });
     }
   }
 
-  private void stopSwing() {
-    if (swing != null) {
-      swing.cancel();
-      swing = null;
+  private void cancelLoadChange() {
+    if (nextLoadChange != null) {
+      nextLoadChange.cancel();
+      nextLoadChange = null;
     }
   }
 
   /** Refused or failed; {@code advice} is when to come again, 0 where nothing was said. */
-  void turnedAway(long advice) {
+  void rejected(long retryAfter) {
     state = State.AWAY;
-    Scenario.Front front = world.scenario().front();
-    if (++tries >= front.giveUp()) {
-      world.figures().gaveUp(classIndex);
+    Scenario.FrontEnd frontEnd = simulation.scenario().frontEnd();
+    if (++rejections >= frontEnd.maxRejections()) {
+      simulation.figures().gaveUp(classIndex);
       leave();
       return;
     }
-    long pause = Math.min(front.retryMost(), front.retry() << Math.min(20, tries - 1));
-    world.agenda().after(Math.max(advice, (long) (pause * (0.5 + world.retryDraw()))), this::come);
+    long delay = Math.min(frontEnd.maxRetryDelay(), frontEnd.retryDelay() << Math.min(20, rejections - 1));
+    simulation.scheduler().after(Math.max(retryAfter, (long) (delay * (0.5 + simulation.nextRetryJitter()))), this::requestConnection);
   }
 
   /** Moved, or broken off: comes again soon, and says so. */
-  void cutOff() {
-    stopSwing();
+  void connectionLost() {
+    cancelLoadChange();
     connection = null;
-    returned = true;
+    reconnecting = true;
     state = State.AWAY;
-    world.agenda().after((long) (world.scenario().front().move() * (0.5 + world.retryDraw())), this::come);
+    simulation.scheduler().after((long) (simulation.scenario().frontEnd().reconnectDelay() * (0.5 + simulation.nextRetryJitter())), this::requestConnection);
   }
 
   private void leave() {
-    stopSwing();
+    cancelLoadChange();
     if (state != State.GONE) {
       state = State.GONE;
-      world.clientLeft(this);
+      simulation.clientLeft(this);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Connection.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Connection.java
@@ -3,19 +3,19 @@
 /** A client's connection through a proxy to a server, from its {@code UP} to its end. */
 final class Connection {
   private final Client client;
-  private final String request;
+  private final String requestId;
   private final ProxyNode proxy;
   private final Server server;
-  private final int attempt;
+  private final int attemptNumber;
   private double load;
-  private boolean over;
+  private boolean ended;
 
-  Connection(Client client, String request, ProxyNode proxy, Server server, int attempt, double load) {
+  Connection(Client client, String requestId, ProxyNode proxy, Server server, int attemptNumber, double load) {
     this.client = client;
-    this.request = request;
+    this.requestId = requestId;
     this.proxy = proxy;
     this.server = server;
-    this.attempt = attempt;
+    this.attemptNumber = attemptNumber;
     this.load = load;
   }
 
@@ -23,8 +23,8 @@
     return client;
   }
 
-  String request() {
-    return request;
+  String requestId() {
+    return requestId;
   }
 
   ProxyNode proxy() {
@@ -35,8 +35,8 @@
     return server;
   }
 
-  int attempt() {
-    return attempt;
+  int attemptNumber() {
+    return attemptNumber;
   }
 
   /** Microseconds of work a second. */
@@ -48,17 +48,17 @@
     return client.group();
   }
 
-  void swingTo(double fresh) {
-    server.swing(fresh - load);
-    load = fresh;
+  void setLoad(double newLoad) {
+    server.changeLoad(newLoad - load);
+    load = newLoad;
   }
 
-  boolean isOver() {
-    return over;
+  boolean isEnded() {
+    return ended;
   }
 
   void end() {
-    over = true;
-    server.remove(this);
+    ended = true;
+    server.removeConnection(this);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Agenda.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/EventScheduler.java
@@ -7,17 +7,17 @@
  * planned. Times are whole microseconds from 0. Nothing reads a real clock, so that the same plans happen the same way on
  * any machine. One thread's.
  */
-public final class Agenda {
+public final class EventScheduler {
 
   /** An event that may be called off until it happens, also at the very instant that it would. */
-  public static final class Entry implements Comparable<Entry> {
-    private final long at;
-    private final long number;
+  public static final class ScheduledEvent implements Comparable<ScheduledEvent> {
+    private final long time;
+    private final long sequence;
     private Runnable task;
 
-    private Entry(long at, long number, Runnable task) {
-      this.at = at;
-      this.number = number;
+    private ScheduledEvent(long time, long sequence, Runnable task) {
+      this.time = time;
+      this.sequence = sequence;
       this.task = task;
     }
 
@@ -27,15 +27,15 @@
     }
 
     @Override
-    public int compareTo(Entry other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+    public int compareTo(ScheduledEvent other) {
+      return time != other.time ? Long.compare(time, other.time) : Long.compare(sequence, other.sequence);
     }
   }
 
-  private final PriorityQueue<Entry> entries = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
   private long now;
-  private long planned;
-  private long happened;
+  private long scheduledCount;
+  private long executedCount;
 
   /** Microseconds since the beginning. */
   public long now() {
@@ -43,29 +43,29 @@
   }
 
   /** Events that have happened so far. */
-  public long happened() {
-    return happened;
+  public long executedCount() {
+    return executedCount;
   }
 
   /** Plans an event at this time, or now where that has passed. */
-  public Entry at(long time, Runnable task) {
-    Entry entry = new Entry(Math.max(now, time), planned++, task);
-    entries.add(entry);
-    return entry;
+  public ScheduledEvent at(long time, Runnable task) {
+    ScheduledEvent event = new ScheduledEvent(Math.max(now, time), scheduledCount++, task);
+    queue.add(event);
+    return event;
   }
 
   /** Plans an event so many microseconds from now. */
-  public Entry after(long micros, Runnable task) {
-    return at(now + Math.max(0, micros), task);
+  public ScheduledEvent after(long delay, Runnable task) {
+    return at(now + Math.max(0, delay), task);
   }
 
   /** Lets everything happen up to and with this time, and makes it the present. */
-  public void runTo(long time) {
-    for (Entry next = entries.peek(); next != null && next.at <= time; next = entries.peek()) {
-      entries.poll();
+  public void runUntil(long time) {
+    for (ScheduledEvent next = queue.peek(); next != null && next.time <= time; next = queue.peek()) {
+      queue.poll();
       if (next.task != null) {
-        now = next.at;
-        happened++;
+        now = next.time;
+        executedCount++;
         Runnable task = next.task;
         next.task = null;
         task.run();
--- a/lab/src/main/java/lemondeal/lab/emulator/Fault.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Fault.java
@@ -10,7 +10,7 @@
  * @param factor how many times slower, or more; the zone's number for a cut; 1 where it has no meaning
  * @param length microseconds after which it is over; 0 for never
  */
-public record Fault(long at, Kind kind, int count, String whom, double factor, long length) {
+public record Fault(long startTime, Kind kind, int count, String target, double factor, long duration) {
 
   /** What can happen. */
   public enum Kind {
--- a/lab/src/main/java/lemondeal/lab/emulator/Figures.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Figures.java
@@ -12,7 +12,7 @@
   private static final double SAMPLE_SECONDS = 0.25;
 
   /** One class's. */
-  private static final class OfClass {
+  private static final class ClassFigures {
     private long clients;
     private long setUps;
     private long refused;
@@ -20,41 +20,41 @@
     private long moved;
     private long brokenOff;
     private long gaveUp;
-    private double asked;
+    private double requested;
     private double served;
     private final Histogram setUpMicros = new Histogram(2);
   }
 
   private final Scenario scenario;
-  private final List<OfClass> classes = new ArrayList<>();
+  private final List<ClassFigures> classes = new ArrayList<>();
   private final Map<Outcome, Long> outcomes = new LinkedHashMap<>();
-  private final List<double[]> course = new ArrayList<>();
-  private long sends;
-  private long crossings;
+  private final List<double[]> servedOverTime = new ArrayList<>();
+  private long sentAttempts;
+  private long crossZoneAttempts;
   private long probes;
-  private double spreadSum;
-  private double worstSum;
-  private double worstEver;
+  private double relativeDeviationSum;
+  private double maxOverMeanSum;
+  private double maxUtilization;
   private long samples;
-  private long mostHeld;
-  private double crossingSeconds;
+  private long maxConnections;
+  private double crossZoneSeconds;
   private double connectedSeconds;
 
   Figures(Scenario scenario) {
     this.scenario = scenario;
-    scenario.classes().forEach(one -> classes.add(new OfClass()));
+    scenario.classes().forEach(clientClass -> classes.add(new ClassFigures()));
   }
 
-  void client(int classIndex) {
+  void clientArrived(int classIndex) {
     classes.get(classIndex).clients++;
   }
 
-  void setUp(int classIndex, long micros) {
+  void setUpCompleted(int classIndex, long micros) {
     classes.get(classIndex).setUps++;
     classes.get(classIndex).setUpMicros.recordValue(Math.max(1, micros));
   }
 
-  void turnedAway(int classIndex, boolean refused) {
+  void rejected(int classIndex, boolean refused) {
     if (refused) {
       classes.get(classIndex).refused++;
     } else {
@@ -66,8 +66,8 @@
     classes.get(classIndex).moved++;
   }
 
-  void brokenOff(int classIndex, boolean politely) {
-    if (!politely) {
+  void brokenOff(int classIndex, boolean gracefully) {
+    if (!gracefully) {
       classes.get(classIndex).brokenOff++;
     }
   }
@@ -76,151 +76,151 @@
     classes.get(classIndex).gaveUp++;
   }
 
-  void sent(int classIndex, boolean crossing) {
-    sends++;
-    crossings += crossing ? 1 : 0;
+  void attemptSent(int classIndex, boolean crossZone) {
+    sentAttempts++;
+    crossZoneAttempts += crossZone ? 1 : 0;
   }
 
-  void ended(Outcome outcome) {
+  void attemptEnded(Outcome outcome) {
     outcomes.merge(outcome, 1L, Long::sum);
   }
 
-  void probed() {
+  void probeSent() {
     probes++;
   }
 
   /** Looks at the whole world, every {@link #SAMPLE_SECONDS}. */
-  void sample(Agenda agenda, List<Server> servers, long[] wanting) {
-    if (agenda.now() < scenario.settle() * Scenario.SECOND) {
+  void sample(EventScheduler scheduler, List<Server> servers, long[] activeClientsByClass) {
+    if (scheduler.now() < scenario.settleSeconds() * Scenario.SECOND) {
       return;
     }
-    double askedNow = 0;
+    double requestedNow = 0;
     double servedNow = 0;
     for (int i = 0; i < classes.size(); i++) {
       double worth = scenario.classes().get(i).worth() * SAMPLE_SECONDS;
-      classes.get(i).asked += wanting[i] * worth;
-      askedNow += wanting[i] * worth;
+      classes.get(i).requested += activeClientsByClass[i] * worth;
+      requestedNow += activeClientsByClass[i] * worth;
     }
-    double sum = 0;
-    double squares = 0;
-    double worst = 0;
-    int alive = 0;
-    long held = 0;
+    double utilizationSum = 0;
+    double squaredUtilizationSum = 0;
+    double maxServerUtilization = 0;
+    int runningServers = 0;
+    long openConnections = 0;
     for (Server server : servers) {
       server.update();
-      held += server.held();
+      openConnections += server.openConnections();
       for (int i = 0; i < classes.size(); i++) {
-        if (server.held(i) > 0) {
-          Scenario.ClientClass kind = scenario.classes().get(i);
-          double served = server.held(i) * server.inTime(kind.messageAim()) * kind.worth() * SAMPLE_SECONDS;
+        if (server.openConnections(i) > 0) {
+          Scenario.ClientClass clientClass = scenario.classes().get(i);
+          double served = server.openConnections(i) * server.shareInTime(clientClass.messageLatencyTarget()) * clientClass.worth() * SAMPLE_SECONDS;
           classes.get(i).served += served;
           servedNow += served;
         }
       }
       if (server.state() == Server.State.RUNNING) {
-        double use = server.loadShare();
-        sum += use;
-        squares += use * use;
-        worst = Math.max(worst, use);
-        alive++;
+        double utilization = server.nominalUtilization();
+        utilizationSum += utilization;
+        squaredUtilizationSum += utilization * utilization;
+        maxServerUtilization = Math.max(maxServerUtilization, utilization);
+        runningServers++;
       }
     }
     for (Server server : servers) {
-      for (Connection connection : server.held() < 2000 ? server.connections() : List.<Connection>of()) {
+      for (Connection connection : server.openConnections() < 2000 ? server.connections() : List.<Connection>of()) {
         connectedSeconds += SAMPLE_SECONDS;
-        crossingSeconds += connection.proxy().zone() != server.zone() ? SAMPLE_SECONDS : 0;
+        crossZoneSeconds += connection.proxy().zone() != server.zone() ? SAMPLE_SECONDS : 0;
       }
     }
-    mostHeld = Math.max(mostHeld, held);
-    if (alive > 0 && sum > 0) {
-      double mean = sum / alive;
-      spreadSum += Math.sqrt(Math.max(0, squares / alive - mean * mean)) / mean;
-      worstSum += worst / mean;
-      worstEver = Math.max(worstEver, worst);
+    maxConnections = Math.max(maxConnections, openConnections);
+    if (runningServers > 0 && utilizationSum > 0) {
+      double mean = utilizationSum / runningServers;
+      relativeDeviationSum += Math.sqrt(Math.max(0, squaredUtilizationSum / runningServers - mean * mean)) / mean;
+      maxOverMeanSum += maxServerUtilization / mean;
+      maxUtilization = Math.max(maxUtilization, maxServerUtilization);
       samples++;
     }
-    course.add(new double[] {agenda.now() / (double) Scenario.SECOND, askedNow == 0 ? 1 : servedNow / askedNow});
+    servedOverTime.add(new double[] {scheduler.now() / (double) Scenario.SECOND, requestedNow == 0 ? 1 : servedNow / requestedNow});
   }
 
   /** Seconds and the share of the worth served around them, over the whole run. */
-  public List<double[]> course() {
-    return course;
+  public List<double[]> servedOverTime() {
+    return servedOverTime;
   }
 
-  private static double share(double part, double whole) {
-    return whole <= 0 ? 0 : part / whole;
+  private static double share(double part, double total) {
+    return total <= 0 ? 0 : part / total;
   }
 
   /** All figures by name: shares between 0 and 1, times in milliseconds, counts as they are. */
-  public Map<String, Double> all() {
-    Map<String, Double> all = new LinkedHashMap<>();
-    double asked = 0;
+  public Map<String, Double> byName() {
+    Map<String, Double> figures = new LinkedHashMap<>();
+    double requested = 0;
     double served = 0;
-    long turned = 0;
+    long rejected = 0;
     long refused = 0;
     long failed = 0;
     long moved = 0;
-    long broken = 0;
+    long brokenOff = 0;
     long gaveUp = 0;
     long clients = 0;
     Histogram setUps = new Histogram(2);
-    for (OfClass one : classes) {
-      asked += one.asked;
-      served += one.served;
-      refused += one.refused;
-      failed += one.failed;
-      moved += one.moved;
-      broken += one.brokenOff;
-      gaveUp += one.gaveUp;
-      clients += one.clients;
-      setUps.add(one.setUpMicros);
+    for (ClassFigures classFigures : classes) {
+      requested += classFigures.requested;
+      served += classFigures.served;
+      refused += classFigures.refused;
+      failed += classFigures.failed;
+      moved += classFigures.moved;
+      brokenOff += classFigures.brokenOff;
+      gaveUp += classFigures.gaveUp;
+      clients += classFigures.clients;
+      setUps.add(classFigures.setUpMicros);
     }
-    turned = refused + failed;
-    all.put("served", share(served, asked));
-    all.put("worst-10s", worstTenSeconds());
-    all.put("clients", (double) clients);
-    all.put("setups", (double) setUps.getTotalCount());
-    all.put("setup-p50-ms", setUps.getValueAtPercentile(50) / 1000.0);
-    all.put("setup-p99-ms", setUps.getValueAtPercentile(99) / 1000.0);
-    all.put("turned-away", share(turned, turned + setUps.getTotalCount()));
-    all.put("refused", (double) refused);
-    all.put("failed", (double) failed);
-    all.put("moved", (double) moved);
-    all.put("broken-off", (double) broken);
-    all.put("gave-up", (double) gaveUp);
-    all.put("sends-per-setup", share(sends, setUps.getTotalCount()));
-    all.put("crossings", share(crossings, sends));
-    all.put("crossing-time", share(crossingSeconds, connectedSeconds));
-    all.put("probes", (double) probes);
-    all.put("spread", share(spreadSum, samples));
-    all.put("worst-over-mean", share(worstSum, samples));
-    all.put("worst-use", worstEver);
-    all.put("most-connections", (double) mostHeld);
+    rejected = refused + failed;
+    figures.put("served", share(served, requested));
+    figures.put("worst-10s", lowestTenSecondShare());
+    figures.put("clients", (double) clients);
+    figures.put("setups", (double) setUps.getTotalCount());
+    figures.put("setup-p50-ms", setUps.getValueAtPercentile(50) / 1000.0);
+    figures.put("setup-p99-ms", setUps.getValueAtPercentile(99) / 1000.0);
+    figures.put("turned-away", share(rejected, rejected + setUps.getTotalCount()));
+    figures.put("refused", (double) refused);
+    figures.put("failed", (double) failed);
+    figures.put("moved", (double) moved);
+    figures.put("broken-off", (double) brokenOff);
+    figures.put("gave-up", (double) gaveUp);
+    figures.put("sends-per-setup", share(sentAttempts, setUps.getTotalCount()));
+    figures.put("crossings", share(crossZoneAttempts, sentAttempts));
+    figures.put("crossing-time", share(crossZoneSeconds, connectedSeconds));
+    figures.put("probes", (double) probes);
+    figures.put("spread", share(relativeDeviationSum, samples));
+    figures.put("worst-over-mean", share(maxOverMeanSum, samples));
+    figures.put("worst-use", maxUtilization);
+    figures.put("most-connections", (double) maxConnections);
     for (Outcome outcome : Outcome.values()) {
-      all.put("ended-" + outcome.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'),
+      figures.put("ended-" + outcome.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'),
           (double) outcomes.getOrDefault(outcome, 0L));
     }
     for (int i = 0; i < classes.size(); i++) {
-      all.put("served-" + scenario.classes().get(i).name(), share(classes.get(i).served, classes.get(i).asked));
+      figures.put("served-" + scenario.classes().get(i).name(), share(classes.get(i).served, classes.get(i).requested));
     }
-    return all;
+    return figures;
   }
 
-  private double worstTenSeconds() {
+  private double lowestTenSecondShare() {
     int window = (int) Math.round(10 / SAMPLE_SECONDS);
-    double worst = 1;
-    for (int from = 0; from + window <= course.size(); from++) {
+    double lowest = 1;
+    for (int start = 0; start + window <= servedOverTime.size(); start++) {
       double sum = 0;
-      for (int i = from; i < from + window; i++) {
-        sum += course.get(i)[1];
+      for (int i = start; i < start + window; i++) {
+        sum += servedOverTime.get(i)[1];
       }
-      worst = Math.min(worst, sum / window);
+      lowest = Math.min(lowest, sum / window);
     }
-    return worst;
+    return lowest;
   }
 
   /** Microseconds between two samples. */
-  static long sampleEvery() {
+  static long sampleInterval() {
     return (long) (SAMPLE_SECONDS * Scenario.SECOND);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/PendingRequest.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/PendingRequest.java
@@ -7,32 +7,32 @@
   static final class Attempt {
     final int number;
     final Server server;
-    final long began;
-    boolean over;
-    Agenda.Entry timeout;
-    Server.Cancel job;
+    final long startTime;
+    boolean ended;
+    EventScheduler.ScheduledEvent timeoutTimer;
+    Server.JobHandle setUpJob;
 
-    Attempt(int number, Server server, long began) {
+    Attempt(int number, Server server, long startTime) {
       this.number = number;
       this.server = server;
-      this.began = began;
+      this.startTime = startTime;
     }
   }
 
   final Client client;
   final String id;
-  final long due;
-  final long arrived;
-  int attempts;
-  Attempt out;
+  final long deadline;
+  final long arrivalTime;
+  int attemptCount;
+  Attempt currentAttempt;
   boolean answered;
   Connection connection;
-  Agenda.Entry overdue;
+  EventScheduler.ScheduledEvent overdueTimer;
 
-  PendingRequest(Client client, String id, long due, long arrived) {
+  PendingRequest(Client client, String id, long deadline, long arrivalTime) {
     this.client = client;
     this.id = id;
-    this.due = due;
-    this.arrived = arrived;
+    this.deadline = deadline;
+    this.arrivalTime = arrivalTime;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/ProxyNode.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/ProxyNode.java
@@ -37,25 +37,25 @@
  * its last list.
  */
 final class ProxyNode {
-  private final World world;
+  private final Simulation simulation;
   private final int number;
   private final int zone;
-  private final Probes probes;
-  private final Map<String, PendingRequest> requests = new LinkedHashMap<>();
-  private final ArrayDeque<Event> waiting = new ArrayDeque<>();
-  private final Map<String, Boolean> slow = new HashMap<>();
+  private final Prober prober;
+  private final Map<String, PendingRequest> pendingRequests = new LinkedHashMap<>();
+  private final ArrayDeque<Event> eventQueue = new ArrayDeque<>();
+  private final Map<String, Boolean> slowServers = new HashMap<>();
   private Balancer module;
-  private ServerList lastList;
+  private ServerList lastFullList;
   private boolean alive;
-  private boolean busy;
-  private boolean looksAlive;
-  private int life;
+  private boolean handlingEvent;
+  private boolean believedAlive;
+  private int incarnation;
 
-  ProxyNode(World world, int number, int zone) {
-    this.world = world;
+  ProxyNode(Simulation simulation, int number, int zone) {
+    this.simulation = simulation;
     this.number = number;
     this.zone = zone;
-    probes = new Probes(world, this, this::tell);
+    prober = new Prober(simulation, this, this::handle);
   }
 
   int number() {
@@ -67,319 +67,319 @@
   }
 
   /** Grows with each start and death: what was begun before is void. */
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
-  boolean looksAlive() {
-    return looksAlive;
+  boolean believedAlive() {
+    return believedAlive;
   }
 
   // ---- Life and death ---------------------------------------------------------------------------
 
   /** Starts with a module that knows only the last list. */
-  void start(ServerList known) {
-    life++;
+  void start(ServerList initialList) {
+    incarnation++;
     alive = true;
-    looksAlive = true;
-    module = world.policy().make(number, world);
-    requests.clear();
-    waiting.clear();
-    slow.clear();
-    lastList = lastList == null ? known : lastList;
-    tell(new Start(world.seedOf(number, life), world.settings(number, zone)));
-    ServerList saved = new ServerList(lastList.version(), ListKind.SAVED, lastList.entries());
-    world.checks().listed(number, saved);
-    tell(saved);
+    believedAlive = true;
+    module = simulation.policyFactory().create(number, simulation);
+    pendingRequests.clear();
+    eventQueue.clear();
+    slowServers.clear();
+    lastFullList = lastFullList == null ? initialList : lastFullList;
+    handle(new Start(simulation.moduleSeed(number, incarnation), simulation.settings(number, zone)));
+    ServerList saved = new ServerList(lastFullList.version(), ListKind.SAVED, lastFullList.entries());
+    simulation.checks().listReceived(number, saved);
+    handle(saved);
   }
 
   /** Dies: its connections break, the front notices later. */
-  void die() {
+  void crash() {
     alive = false;
-    life++;
-    world.discovery().forget(this);
-    world.agenda().after(world.scenario().front().late(), () -> looksAlive = alive);
-    for (PendingRequest pending : List.copyOf(requests.values())) {
-      stopWaiting(pending);
-      if (pending.out != null) {
-        abandon(pending.out);
-        world.checks().attemptOver(pending.id);
+    incarnation++;
+    simulation.discovery().removeWatcher(this);
+    simulation.scheduler().after(simulation.scenario().frontEnd().detectionDelay(), () -> believedAlive = alive);
+    for (PendingRequest pending : List.copyOf(pendingRequests.values())) {
+      cancelOverdueTimer(pending);
+      if (pending.currentAttempt != null) {
+        cancelAttempt(pending.currentAttempt);
+        simulation.checks().attemptEnded(pending.id);
       }
       if (pending.connection != null) {
         pending.connection.end();
-        pending.client.cutOff();
+        pending.client.connectionLost();
       } else if (!pending.answered) {
-        world.checks().lost(pending.id);
-        pending.client.cutOff();
+        simulation.checks().lost(pending.id);
+        pending.client.connectionLost();
       }
     }
-    requests.clear();
+    pendingRequests.clear();
   }
 
   // ---- Towards the module -----------------------------------------------------------------------
 
   /** An action may cause the next event at once; that one waits until the actions of this one are done. */
-  private void tell(Event event) {
-    waiting.add(event);
-    if (busy) {
+  private void handle(Event event) {
+    eventQueue.add(event);
+    if (handlingEvent) {
       return;
     }
-    busy = true;
+    handlingEvent = true;
     try {
-      for (Event next = waiting.poll(); next != null; next = waiting.poll()) {
-        for (Action action : world.decide(this, module, next)) {
-          act(action);
+      for (Event next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
+        for (Action action : simulation.decide(this, module, next)) {
+          execute(action);
         }
       }
     } finally {
-      busy = false;
+      handlingEvent = false;
     }
   }
 
-  void listed(ServerList list) {
+  void listReceived(ServerList list) {
     if (alive) {
       if (list.kind() == ListKind.FULL) {
-        lastList = list;
+        lastFullList = list;
       }
-      world.checks().listed(number, list);
-      tell(list);
+      simulation.checks().listReceived(number, list);
+      handle(list);
     }
   }
 
   /** A chain of tests rather than a switch: pattern switches are only a preview in Java 17. */
-  private void act(Action action) {
-    if (action instanceof Send a) {
-      send(a);
-    } else if (action instanceof WakeAfter a) {
-      int at = life;
-      world.agenda().after(a.delay(), () -> {
-        if (life == at) {
-          tell(new Wake(a.token()));
+  private void execute(Action action) {
+    if (action instanceof Send command) {
+      send(command);
+    } else if (action instanceof WakeAfter command) {
+      int startIncarnation = incarnation;
+      simulation.scheduler().after(command.delay(), () -> {
+        if (incarnation == startIncarnation) {
+          handle(new Wake(command.token()));
         }
       });
-    } else if (action instanceof Refuse a) {
-      answer(a.id(), a.retryAfter(), "refused");
-    } else if (action instanceof Fail a) {
-      answer(a.id(), 0, "failed");
-    } else if (action instanceof Move a) {
-      move(a.id());
-    } else if (action instanceof CancelAttempt a) {
-      cancel(a);
-    } else if (action instanceof Probe a) {
-      probes.probe(a.server());
-    } else if (action instanceof Subscribe a) {
-      world.discovery().watch(this, a.on());
+    } else if (action instanceof Refuse command) {
+      sendFinalAnswer(command.id(), command.retryAfter(), "refused");
+    } else if (action instanceof Fail command) {
+      sendFinalAnswer(command.id(), 0, "failed");
+    } else if (action instanceof Move command) {
+      moveClient(command.id());
+    } else if (action instanceof CancelAttempt command) {
+      cancelByModule(command);
+    } else if (action instanceof Probe command) {
+      prober.sendProbe(command.server());
+    } else if (action instanceof Subscribe command) {
+      simulation.discovery().setWatching(this, command.on());
     } else if (action instanceof FetchList) {
-      world.discovery().call(this, false);
+      simulation.discovery().requestList(this, false);
     }
   }
 
   // ---- Requests ---------------------------------------------------------------------------------
 
-  void arrives(Client client, String id, long due) {
+  void requestReceived(Client client, String requestId, long deadline) {
     if (!alive) {
-      world.checks().lost(id);
-      client.turnedAway(0);
+      simulation.checks().lost(requestId);
+      client.rejected(0);
       return;
     }
-    PendingRequest pending = new PendingRequest(client, id, due, world.agenda().now());
-    requests.put(id, pending);
-    pending.overdue = world.agenda().at(due + world.scenario().rules().answerSlack(), () -> overdue(pending));
-    tell(new Arrived(new Request(id, due, client.classIndex(), client.key(),
-        client.group() < 0 ? null : "g" + client.group(), Double.NaN, false, client.returned(), 0, client.isRetry())));
+    PendingRequest pending = new PendingRequest(client, requestId, deadline, simulation.scheduler().now());
+    pendingRequests.put(requestId, pending);
+    pending.overdueTimer = simulation.scheduler().at(deadline + simulation.scenario().rules().answerSlack(), () -> deadlinePassed(pending));
+    handle(new Arrived(new Request(requestId, deadline, client.classIndex(), client.key(),
+        client.group() < 0 ? null : "g" + client.group(), Double.NaN, false, client.reconnecting(), 0, client.isRetry())));
   }
 
-  private static void stopWaiting(PendingRequest pending) {
-    if (pending.overdue != null) {
-      pending.overdue.cancel();
+  private static void cancelOverdueTimer(PendingRequest pending) {
+    if (pending.overdueTimer != null) {
+      pending.overdueTimer.cancel();
     }
   }
 
-  private void overdue(PendingRequest pending) {
+  private void deadlinePassed(PendingRequest pending) {
     if (!pending.answered) {
       pending.answered = true;
-      world.checks().overdue(pending.id);
-      pending.client.turnedAway(0);
-      tell(new ClientGone(pending.id));
-      forgetIfDone(pending);
+      simulation.checks().overdue(pending.id);
+      pending.client.rejected(0);
+      handle(new ClientGone(pending.id));
+      removeIfDone(pending);
     }
   }
 
-  private void forgetIfDone(PendingRequest pending) {
-    if (pending.answered && pending.out == null && pending.connection == null) {
-      requests.remove(pending.id);
+  private void removeIfDone(PendingRequest pending) {
+    if (pending.answered && pending.currentAttempt == null && pending.connection == null) {
+      pendingRequests.remove(pending.id);
     }
   }
 
-  private void answer(String id, long advice, String what) {
-    PendingRequest pending = requests.get(id);
-    world.checks().answered(id, what);
+  private void sendFinalAnswer(String requestId, long retryAfter, String answer) {
+    PendingRequest pending = pendingRequests.get(requestId);
+    simulation.checks().answered(requestId, answer);
     if (pending == null || pending.answered) {
       return;
     }
     pending.answered = true;
-    stopWaiting(pending);
-    world.figures().turnedAway(pending.client.classIndex(), what.equals("refused"));
-    world.agenda().after(world.latency(zone, pending.client.zone()), () -> pending.client.turnedAway(advice));
-    forgetIfDone(pending);
+    cancelOverdueTimer(pending);
+    simulation.figures().rejected(pending.client.classIndex(), answer.equals("refused"));
+    simulation.scheduler().after(simulation.latency(zone, pending.client.zone()), () -> pending.client.rejected(retryAfter));
+    removeIfDone(pending);
   }
 
-  private void send(Send a) {
-    PendingRequest pending = requests.get(a.id());
-    Server server = world.server(a.server());
-    world.checks().sent(a.id(), number, a.server(), server);
-    if (pending == null || pending.answered || pending.out != null || server == null) {
-      int unsent = pending == null ? 0 : pending.attempts++;
-      tell(new Ended(a.id(), unsent, a.server(), Outcome.NOT_SENT, 0, pending == null || pending.answered, null));
+  private void send(Send command) {
+    PendingRequest pending = pendingRequests.get(command.id());
+    Server server = simulation.server(command.server());
+    simulation.checks().sent(command.id(), number, command.server(), server);
+    if (pending == null || pending.answered || pending.currentAttempt != null || server == null) {
+      int attemptNumber = pending == null ? 0 : pending.attemptCount++;
+      handle(new Ended(command.id(), attemptNumber, command.server(), Outcome.NOT_SENT, 0, pending == null || pending.answered, null));
       return;
     }
-    Attempt attempt = new Attempt(pending.attempts++, server, world.agenda().now());
-    pending.out = attempt;
-    world.figures().sent(pending.client.classIndex(), server.zone() != zone);
-    long patience = a.timeout() > 0 ? a.timeout() : Math.max(1, pending.due - world.agenda().now());
-    attempt.timeout = world.agenda().after(patience, () -> ended(pending, attempt, Outcome.TIMED_OUT, null));
-    if (world.reaches(zone, server.zone())) {
-      world.agenda().after(world.latency(zone, server.zone()), () -> reaches(pending, attempt));
+    Attempt attempt = new Attempt(pending.attemptCount++, server, simulation.scheduler().now());
+    pending.currentAttempt = attempt;
+    simulation.figures().attemptSent(pending.client.classIndex(), server.zone() != zone);
+    long timeout = command.timeout() > 0 ? command.timeout() : Math.max(1, pending.deadline - simulation.scheduler().now());
+    attempt.timeoutTimer = simulation.scheduler().after(timeout, () -> attemptEnded(pending, attempt, Outcome.TIMED_OUT, null));
+    if (simulation.canReach(zone, server.zone())) {
+      simulation.scheduler().after(simulation.latency(zone, server.zone()), () -> attemptReachedServer(pending, attempt));
     }
   }
 
   /** The first line comes to its server. */
-  private void reaches(PendingRequest pending, Attempt attempt) {
+  private void attemptReachedServer(PendingRequest pending, Attempt attempt) {
     Server server = attempt.server;
-    if (attempt.over) {
+    if (attempt.ended) {
       return;
     }
     switch (server.state()) {
-      case DEAD -> back(pending, attempt, Outcome.NO_CONNECTION);
+      case DEAD -> replyFromServer(pending, attempt, Outcome.NO_CONNECTION);
       case HUNG -> { }
-      case DRAINING -> back(pending, attempt, Outcome.REFUSED);
+      case DRAINING -> replyFromServer(pending, attempt, Outcome.REFUSED);
       case RUNNING -> {
-        world.checks().reached(pending.id, server);
-        if (!server.hasRoom()) {
-          back(pending, attempt, Outcome.REFUSED);
+        simulation.checks().reached(pending.id, server);
+        if (!server.acceptsSetUp()) {
+          replyFromServer(pending, attempt, Outcome.REFUSED);
         } else {
-          attempt.job = server.setUp(world.setUpWork(pending.client.classIndex()),
-              () -> world.store().call(() -> up(pending, attempt)));
+          attempt.setUpJob = server.setUp(simulation.nextSetUpWork(pending.client.classIndex()),
+              () -> simulation.sessionStore().call(() -> setUpFinished(pending, attempt)));
         }
       }
       default -> throw new IllegalStateException("no such state: " + server.state());
     }
   }
 
-  private void back(PendingRequest pending, Attempt attempt, Outcome outcome) {
-    if (world.reaches(zone, attempt.server.zone())) {
-      world.agenda().after(world.latency(zone, attempt.server.zone()), () -> ended(pending, attempt, outcome, null));
+  private void replyFromServer(PendingRequest pending, Attempt attempt, Outcome outcome) {
+    if (simulation.canReach(zone, attempt.server.zone())) {
+      simulation.scheduler().after(simulation.latency(zone, attempt.server.zone()), () -> attemptEnded(pending, attempt, outcome, null));
     }
   }
 
   /** The server has set the connection up; its {@code UP} is on its way. */
-  private void up(PendingRequest pending, Attempt attempt) {
+  private void setUpFinished(PendingRequest pending, Attempt attempt) {
     Server server = attempt.server;
-    if (attempt.over || server.state() == Server.State.DEAD || server.state() == Server.State.HUNG) {
+    if (attempt.ended || server.state() == Server.State.DEAD || server.state() == Server.State.HUNG) {
       return;
     }
-    Connection made = new Connection(pending.client, pending.id, this, server, attempt.number,
-        pending.client.load() * world.swing(pending.client.classIndex()));
-    server.add(made);
-    if (!world.reaches(zone, server.zone())) {
+    Connection connection = new Connection(pending.client, pending.id, this, server, attempt.number,
+        pending.client.load() * simulation.nextLoadFactor(pending.client.classIndex()));
+    server.addConnection(connection);
+    if (!simulation.canReach(zone, server.zone())) {
       return;
     }
-    world.agenda().after(world.latency(zone, server.zone()), () -> {
-      if (attempt.over || made.isOver() || pending.answered) {
-        if (!made.isOver()) {
-          made.end();
+    simulation.scheduler().after(simulation.latency(zone, server.zone()), () -> {
+      if (attempt.ended || connection.isEnded() || pending.answered) {
+        if (!connection.isEnded()) {
+          connection.end();
         }
         return;
       }
-      established(pending, attempt, made);
+      established(pending, attempt, connection);
     });
   }
 
-  private void established(PendingRequest pending, Attempt attempt, Connection made) {
-    attempt.over = true;
-    attempt.timeout.cancel();
-    pending.out = null;
+  private void established(PendingRequest pending, Attempt attempt, Connection connection) {
+    attempt.ended = true;
+    attempt.timeoutTimer.cancel();
+    pending.currentAttempt = null;
     pending.answered = true;
-    pending.connection = made;
-    stopWaiting(pending);
-    world.checks().attemptOver(pending.id);
-    world.checks().answered(pending.id, "up");
-    tell(new Established(pending.id, attempt.number, attempt.server.name(), world.agenda().now() - attempt.began));
-    pending.client.connected(made, world.agenda().now() - pending.arrived);
+    pending.connection = connection;
+    cancelOverdueTimer(pending);
+    simulation.checks().attemptEnded(pending.id);
+    simulation.checks().answered(pending.id, "up");
+    handle(new Established(pending.id, attempt.number, attempt.server.name(), simulation.scheduler().now() - attempt.startTime));
+    pending.client.connectionEstablished(connection, simulation.scheduler().now() - pending.arrivalTime);
   }
 
-  private void ended(PendingRequest pending, Attempt attempt, Outcome outcome, LoadReport report) {
-    if (attempt.over) {
+  private void attemptEnded(PendingRequest pending, Attempt attempt, Outcome outcome, LoadReport report) {
+    if (attempt.ended) {
       return;
     }
-    abandon(attempt);
-    pending.out = null;
-    world.checks().attemptOver(pending.id);
-    world.figures().ended(outcome);
-    tell(new Ended(pending.id, attempt.number, attempt.server.name(), outcome, world.agenda().now() - attempt.began,
+    cancelAttempt(attempt);
+    pending.currentAttempt = null;
+    simulation.checks().attemptEnded(pending.id);
+    simulation.figures().attemptEnded(outcome);
+    handle(new Ended(pending.id, attempt.number, attempt.server.name(), outcome, simulation.scheduler().now() - attempt.startTime,
         pending.answered, report));
-    forgetIfDone(pending);
+    removeIfDone(pending);
   }
 
-  private static void abandon(Attempt attempt) {
-    attempt.over = true;
-    attempt.timeout.cancel();
-    if (attempt.job != null) {
-      attempt.job.cancel();
+  private static void cancelAttempt(Attempt attempt) {
+    attempt.ended = true;
+    attempt.timeoutTimer.cancel();
+    if (attempt.setUpJob != null) {
+      attempt.setUpJob.cancel();
     }
   }
 
-  private void cancel(CancelAttempt a) {
-    PendingRequest pending = requests.get(a.id());
-    if (pending != null && pending.out != null && pending.out.number == a.attempt()) {
-      ended(pending, pending.out, Outcome.CANCELLED, null);
+  private void cancelByModule(CancelAttempt command) {
+    PendingRequest pending = pendingRequests.get(command.id());
+    if (pending != null && pending.currentAttempt != null && pending.currentAttempt.number == command.attempt()) {
+      attemptEnded(pending, pending.currentAttempt, Outcome.CANCELLED, null);
     }
   }
 
   // ---- Standing connections ---------------------------------------------------------------------
 
-  private void move(String id) {
-    PendingRequest pending = requests.get(id);
-    world.checks().moved(id, pending != null && pending.connection != null);
+  private void moveClient(String requestId) {
+    PendingRequest pending = pendingRequests.get(requestId);
+    simulation.checks().moved(requestId, pending != null && pending.connection != null);
     if (pending != null && pending.connection != null) {
-      world.figures().moved(pending.client.classIndex());
-      over(pending, Outcome.CANCELLED);
-      pending.client.cutOff();
+      simulation.figures().moved(pending.client.classIndex());
+      closeConnection(pending, Outcome.CANCELLED);
+      pending.client.connectionLost();
     }
   }
 
   /** The client ends its connection: its life is over. */
-  void clientEnds(Connection connection) {
-    PendingRequest pending = requests.get(connection.request());
+  void closedByClient(Connection connection) {
+    PendingRequest pending = pendingRequests.get(connection.requestId());
     if (pending != null && pending.connection == connection) {
-      over(pending, Outcome.SERVED);
+      closeConnection(pending, Outcome.SERVED);
     }
   }
 
   /** The server's side has ended: it died, or left after its drain. */
-  void serverEnds(Connection connection, boolean politely) {
-    PendingRequest pending = requests.get(connection.request());
+  void closedByServer(Connection connection, boolean gracefully) {
+    PendingRequest pending = pendingRequests.get(connection.requestId());
     if (pending != null && pending.connection == connection) {
-      over(pending, politely ? Outcome.CANCELLED : Outcome.RESET);
-      world.figures().brokenOff(pending.client.classIndex(), politely);
-      pending.client.cutOff();
+      closeConnection(pending, gracefully ? Outcome.CANCELLED : Outcome.RESET);
+      simulation.figures().brokenOff(pending.client.classIndex(), gracefully);
+      pending.client.connectionLost();
     }
   }
 
-  private void over(PendingRequest pending, Outcome outcome) {
+  private void closeConnection(PendingRequest pending, Outcome outcome) {
     Connection connection = pending.connection;
     pending.connection = null;
     connection.end();
-    requests.remove(pending.id);
-    tell(new Ended(pending.id, connection.attempt(), connection.server().name(), outcome, 0, true, null));
+    pendingRequests.remove(pending.id);
+    handle(new Ended(pending.id, connection.attemptNumber(), connection.server().name(), outcome, 0, true, null));
   }
 
   /** How long a message takes at a server, once a second while that is long, and once more when it is not. */
-  void messages(Connection on, double millis, boolean late) {
-    String server = on.server().name();
-    if (alive && (late || slow.getOrDefault(server, false))) {
-      slow.put(server, late);
-      tell(new MessageDelay(on.request(), on.attempt(), server, millis));
+  void messageDelayMeasured(Connection connection, double millis, boolean isLate) {
+    String server = connection.server().name();
+    if (alive && (isLate || slowServers.getOrDefault(server, false))) {
+      slowServers.put(server, isLate);
+      handle(new MessageDelay(connection.requestId(), connection.attemptNumber(), server, millis));
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Draws.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/RandomStreams.java
@@ -15,24 +15,24 @@
  * name. A change in one part of the emulator leaves the draws of the others alone, so that runs with one seed stay
  * comparable. Generators and distributions are those of Commons RNG.
  */
-public final class Draws {
+public final class RandomStreams {
   private final long seed;
   private final Map<String, UniformRandomProvider> streams = new HashMap<>();
 
-  public Draws(long seed) {
+  public RandomStreams(long seed) {
     this.seed = seed;
   }
 
   /** The stream of this purpose; the same one each time. */
   public UniformRandomProvider stream(String purpose) {
-    return streams.computeIfAbsent(purpose, this::open);
+    return streams.computeIfAbsent(purpose, this::createGenerator);
   }
 
-  private UniformRandomProvider open(String purpose) {
-    CRC32C name = new CRC32C();
-    name.update(purpose.getBytes(StandardCharsets.UTF_8));
-    long mixed = seed * 0x9e3779b97f4a7c15L + name.getValue() * 0xbf58476d1ce4e5b9L + purpose.length();
-    return RandomSource.XO_RO_SHI_RO_128_PP.create(mixed);
+  private UniformRandomProvider createGenerator(String purpose) {
+    CRC32C checksum = new CRC32C();
+    checksum.update(purpose.getBytes(StandardCharsets.UTF_8));
+    long streamSeed = seed * 0x9e3779b97f4a7c15L + checksum.getValue() * 0xbf58476d1ce4e5b9L + purpose.length();
+    return RandomSource.XO_RO_SHI_RO_128_PP.create(streamSeed);
   }
 
   /** Gaps of a Poisson process and lives without memory, of mean 1. */
@@ -71,12 +71,12 @@
     }
     UniformRandomProvider stream = stream(purpose);
     return () -> {
-      double draw = stream.nextDouble();
-      int low = 0;
-      while (cumulative[low] < draw) {
-        low++;
+      double value = stream.nextDouble();
+      int index = 0;
+      while (cumulative[index] < value) {
+        index++;
       }
-      return low;
+      return index;
     };
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Scenario.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Scenario.java
@@ -23,9 +23,9 @@
  * @param rules figures of the rules
  * @param faults what goes wrong, in the order of the file
  */
-public record Scenario(int seconds, int settle, int zones, int proxies, List<Fleet> fleets, List<ClientClass> classes,
-    double perSecond, List<Burst> bursts, int groups, double groupZipf, double groupLoad, Network network, Store store,
-    Discovery discovery, Front front, Rules rules, List<Fault> faults) {
+public record Scenario(int seconds, int settleSeconds, int zoneCount, int proxyCount, List<ServerPool> pools, List<ClientClass> classes,
+    double clientsPerSecond, List<Burst> bursts, int groupCount, double groupSizeExponent, double groupLoad, Network network, Store store,
+    Discovery discovery, FrontEnd frontEnd, Rules rules, List<Fault> faults) {
 
   /** Microseconds of a second. */
   public static final long SECOND = 1_000_000;
@@ -41,8 +41,8 @@
    * @param warmWithin microseconds in which that rises evenly to all of it
    * @param choke share of its capacity that a full table takes
    */
-  public record Fleet(String name, int count, double cores, double weight, int slots, int room, double coldFrom,
-      long warmWithin, double choke) {}
+  public record ServerPool(String name, int count, double cores, double weight, int maxConnections, int maxWaitingSetUps, double coldCapacityShare,
+      long warmUpTime, double fullTableLoss) {}
 
   /**
    * Clients of one kind.
@@ -61,21 +61,21 @@
    * @param deadline after which the client waits no more
    * @param worth of a second in which it is served
    */
-  public record ClientClass(String name, double share, double load, double loadSigma, double swingSigma,
-      long changeEvery, long life, double lifeSigma, long setup, boolean setupWithoutMemory, long aim, long messageAim,
+  public record ClientClass(String name, double share, double load, double loadSigma, double loadChangeSigma,
+      long loadChangeInterval, long meanLifetime, double lifetimeSigma, long setUpWork, boolean exponentialSetUp, long latencyTarget, long messageLatencyTarget,
       long deadline, double worth) {}
 
   /** Arrivals by so much more for a while. */
-  public record Burst(long at, long length, double factor) {}
+  public record Burst(long startTime, long duration, double factor) {}
 
   /** One-way delays inside a zone and between two. */
-  public record Network(long near, long far) {}
+  public record Network(long delayInZone, long delayBetweenZones) {}
 
   /** Calls a second that the store works off, and how long each takes beside waiting. */
-  public record Store(double perSecond, long takes) {}
+  public record Store(double callsPerSecond, long callTime) {}
 
   /** Calls a second that discovery works off, how late a change is told, and how long a call waits at most. */
-  public record Discovery(double perSecond, long delay, long patience) {}
+  public record Discovery(double callsPerSecond, long updateDelay, long callTimeout) {}
 
   /**
    * How clients come back.
@@ -85,18 +85,18 @@
    * @param move pause of one that was moved or broken off
    * @param giveUp tries after which a client stays away
    */
-  public record Front(long late, long retry, long retryMost, long move, int giveUp) {}
+  public record FrontEnd(long detectionDelay, long retryDelay, long maxRetryDelay, long reconnectDelay, int maxRejections) {}
 
   /** Figures of the rules, as the settings tell them. */
-  public record Rules(long answerSlack, long drainGrace, double coldMultiple, long coldWindow) {}
+  public record Rules(long answerSlack, long drainGrace, double overloadMultiple, long overloadWindow) {}
 
   /** All servers, in the order of their fleets. */
-  public int servers() {
-    return fleets.stream().mapToInt(Fleet::count).sum();
+  public int serverCount() {
+    return pools.stream().mapToInt(ServerPool::count).sum();
   }
 
   /** Cores of all servers together. */
-  public double cores() {
-    return fleets.stream().mapToDouble(fleet -> fleet.count() * fleet.cores()).sum();
+  public double totalCores() {
+    return pools.stream().mapToDouble(pool -> pool.count() * pool.cores()).sum();
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Server.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Server.java
@@ -31,8 +31,8 @@
   /** Of a message alone on an idle core. */
   static final double MESSAGE_SECONDS = 0.004;
   /** Set-ups keep this share of a core however much the connections ask for. */
-  private static final double LEAST = 0.05;
-  private static final long STEP = 100_000;
+  private static final double MIN_SET_UP_SHARE = 0.05;
+  private static final long MAX_STEP = 100_000;
 
   /** Whether and how it lives. */
   public enum State { RUNNING, HUNG, DRAINING, DEAD }
@@ -40,77 +40,77 @@
   /** A set-up on its way through the server. */
   private static final class Job implements Comparable<Job> {
     private final double work;
-    private final Runnable done;
-    private final long number;
+    private final Runnable onDone;
+    private final long sequence;
     private double endsAt;
     private boolean cancelled;
 
-    Job(double work, Runnable done, long number) {
+    Job(double work, Runnable onDone, long sequence) {
       this.work = work;
-      this.done = done;
-      this.number = number;
+      this.onDone = onDone;
+      this.sequence = sequence;
     }
 
     @Override
     public int compareTo(Job other) {
-      return endsAt != other.endsAt ? Double.compare(endsAt, other.endsAt) : Long.compare(number, other.number);
+      return endsAt != other.endsAt ? Double.compare(endsAt, other.endsAt) : Long.compare(sequence, other.sequence);
     }
   }
 
   /** A way to call a job off. */
-  interface Cancel {
+  interface JobHandle {
     void cancel();
   }
 
-  private final Agenda agenda;
+  private final EventScheduler scheduler;
   private final String name;
-  private final Scenario.Fleet fleet;
+  private final Scenario.ServerPool pool;
   private final int zone;
-  private final int model;
+  private final int poolIndex;
   private final double groupLoad;
   private long startedAt;
   private State state = State.RUNNING;
-  private double slowness = 1;
+  private double slowdown = 1;
   private final Set<Connection> connections = new LinkedHashSet<>();
-  private final Map<Integer, Integer> groups = new HashMap<>();
-  private final int[] perClass;
+  private final Map<Integer, Integer> groupConnections = new HashMap<>();
+  private final int[] connectionsByClass;
   private double load;
   private double backlog;
   /** Work that each busy core has done since the beginning, in microseconds: the clock of the jobs. */
   private double workClock;
   private long updatedAt;
-  private final PriorityQueue<Job> inWork = new PriorityQueue<>();
-  private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-  private long jobs;
-  private Agenda.Entry next;
-
-  Server(Agenda agenda, String name, Scenario.Fleet fleet, int model, int zone, double groupLoad,
-      int classes, long startedAt) {
-    perClass = new int[classes];
-    this.agenda = agenda;
+  private final PriorityQueue<Job> jobsInService = new PriorityQueue<>();
+  private final ArrayDeque<Job> waitingJobs = new ArrayDeque<>();
+  private long jobCount;
+  private EventScheduler.ScheduledEvent nextCheck;
+
+  Server(EventScheduler scheduler, String name, Scenario.ServerPool pool, int poolIndex, int zone, double groupLoad,
+      int classCount, long startedAt) {
+    connectionsByClass = new int[classCount];
+    this.scheduler = scheduler;
     this.name = name;
-    this.fleet = fleet;
-    this.model = model;
+    this.pool = pool;
+    this.poolIndex = poolIndex;
     this.zone = zone;
     this.groupLoad = groupLoad;
     this.startedAt = startedAt;
-    updatedAt = agenda.now();
+    updatedAt = scheduler.now();
   }
 
   public String name() {
     return name;
   }
 
-  public Scenario.Fleet fleet() {
-    return fleet;
+  public Scenario.ServerPool pool() {
+    return pool;
   }
 
   public int zone() {
     return zone;
   }
 
-  int model() {
-    return model;
+  int poolIndex() {
+    return poolIndex;
   }
 
   public State state() {
@@ -122,13 +122,13 @@
     return startedAt;
   }
 
-  public int held() {
+  public int openConnections() {
     return connections.size();
   }
 
   /** Connections of this class. */
-  int held(int classIndex) {
-    return perClass[classIndex];
+  int openConnections(int classIndex) {
+    return connectionsByClass[classIndex];
   }
 
   Set<Connection> connections() {
@@ -136,196 +136,196 @@
   }
 
   /** Set-ups in work and waiting. */
-  public int queued() {
-    return inWork.size() + waiting.size();
+  public int setUpsInProgress() {
+    return jobsInService.size() + waitingJobs.size();
   }
 
   /** Load of the connections over the present capacity of the cores. */
-  public double use() {
-    double capacity = capacity(agenda.now());
+  public double utilization() {
+    double capacity = capacity(scheduler.now());
     return capacity <= 0 ? Double.POSITIVE_INFINITY : load / capacity;
   }
 
   /** Load of the connections over the capacity of the cores when warm and sound. */
-  public double loadShare() {
-    return load / (fleet.cores() * Scenario.SECOND);
+  public double nominalUtilization() {
+    return load / (pool.cores() * Scenario.SECOND);
   }
 
   /** Seconds that the backlog takes to work off at the present capacity. */
   double backlogSeconds() {
-    double capacity = capacity(agenda.now());
+    double capacity = capacity(scheduler.now());
     return capacity <= 0 ? Double.POSITIVE_INFINITY : backlog / capacity;
   }
 
   /** Microseconds of work a second that the cores give now. */
-  public double capacity(long at) {
+  public double capacity(long time) {
     if (state == State.DEAD || state == State.HUNG) {
       return 0;
     }
-    double full = fleet.slots() <= 0 ? 0 : Math.min(1, connections.size() / (double) fleet.slots());
-    return fleet.cores() * Scenario.SECOND / slowness * warmth(at) * (1 - fleet.choke() * full * full);
+    double occupancy = pool.maxConnections() <= 0 ? 0 : Math.min(1, connections.size() / (double) pool.maxConnections());
+    return pool.cores() * Scenario.SECOND / slowdown * warmUpShare(time) * (1 - pool.fullTableLoss() * occupancy * occupancy);
   }
 
   /** Share of its capacity that its start still leaves it. */
-  double warmth(long at) {
-    if (fleet.warmWithin() <= 0 || startedAt < 0 || at >= startedAt + fleet.warmWithin()) {
+  double warmUpShare(long time) {
+    if (pool.warmUpTime() <= 0 || startedAt < 0 || time >= startedAt + pool.warmUpTime()) {
       return 1;
     }
-    return fleet.coldFrom() + (1 - fleet.coldFrom()) * (at - startedAt) / fleet.warmWithin();
+    return pool.coldCapacityShare() + (1 - pool.coldCapacityShare()) * (time - startedAt) / pool.warmUpTime();
   }
 
   /** Share of messages answered within so many microseconds now. */
-  public double inTime(long aim) {
-    double behind = backlogSeconds();
-    double use = use();
-    double left = aim / (double) Scenario.SECOND - behind;
-    if (left <= 0 || use >= 1 || Double.isInfinite(behind)) {
+  public double shareInTime(long latencyTarget) {
+    double backlogDelay = backlogSeconds();
+    double utilization = utilization();
+    double remaining = latencyTarget / (double) Scenario.SECOND - backlogDelay;
+    if (remaining <= 0 || utilization >= 1 || Double.isInfinite(backlogDelay)) {
       return 0;
     }
-    return 1 - StrictMath.exp(-(1 - use) * left / (MESSAGE_SECONDS * slowness));
+    return 1 - StrictMath.exp(-(1 - utilization) * remaining / (MESSAGE_SECONDS * slowdown));
   }
 
   /** Milliseconds that a message takes now, on average. */
-  double messageMillis() {
-    double use = Math.min(use(), 0.999);
-    return 1000 * (backlogSeconds() + MESSAGE_SECONDS * slowness / (1 - use));
+  double meanMessageMillis() {
+    double utilization = Math.min(utilization(), 0.999);
+    return 1000 * (backlogSeconds() + MESSAGE_SECONDS * slowdown / (1 - utilization));
   }
 
   // ---- Changes ----------------------------------------------------------------------------------
 
   /** Brings everything up to the present. Called before whatever changes its capacity or load. */
   void update() {
-    long now = agenda.now();
+    long now = scheduler.now();
     while (updatedAt < now) {
-      long to = warmth(updatedAt) < 1 ? Math.min(now, updatedAt + STEP) : now;
-      double seconds = (to - updatedAt) / (double) Scenario.SECOND;
-      double capacity = capacity((updatedAt + to) / 2);
+      long stepEnd = warmUpShare(updatedAt) < 1 ? Math.min(now, updatedAt + MAX_STEP) : now;
+      double seconds = (stepEnd - updatedAt) / (double) Scenario.SECOND;
+      double capacity = capacity((updatedAt + stepEnd) / 2);
       backlog = Math.max(0, backlog + (load - capacity) * seconds);
-      workClock += speed(capacity) * seconds * Scenario.SECOND;
-      updatedAt = to;
+      workClock += setUpSpeed(capacity) * seconds * Scenario.SECOND;
+      updatedAt = stepEnd;
     }
     finishJobs();
   }
 
   /** How fast a core works on a set-up beside what the connections take. */
-  private double speed(double capacity) {
-    double whole = capacity / (fleet.cores() * Scenario.SECOND);
-    return capacity <= 0 ? 0 : whole * Math.max(LEAST, 1 - load / capacity);
+  private double setUpSpeed(double capacity) {
+    double capacityShare = capacity / (pool.cores() * Scenario.SECOND);
+    return capacity <= 0 ? 0 : capacityShare * Math.max(MIN_SET_UP_SHARE, 1 - load / capacity);
   }
 
   private void finishJobs() {
-    List<Job> done = new ArrayList<>(2);
-    while (!inWork.isEmpty() && inWork.peek().endsAt <= workClock + 1e-6) {
-      done.add(inWork.poll());
+    List<Job> finished = new ArrayList<>(2);
+    while (!jobsInService.isEmpty() && jobsInService.peek().endsAt <= workClock + 1e-6) {
+      finished.add(jobsInService.poll());
       startJobs();
     }
-    for (Job job : done) {
+    for (Job job : finished) {
       if (!job.cancelled) {
-        job.done.run();
+        job.onDone.run();
       }
     }
   }
 
   private void startJobs() {
-    while (inWork.size() < Math.max(1, (int) Math.round(fleet.cores())) && !waiting.isEmpty()) {
-      Job job = waiting.poll();
+    while (jobsInService.size() < Math.max(1, (int) Math.round(pool.cores())) && !waitingJobs.isEmpty()) {
+      Job job = waitingJobs.poll();
       if (!job.cancelled) {
         job.endsAt = workClock + job.work;
-        inWork.add(job);
+        jobsInService.add(job);
       }
     }
   }
 
   /** Plans a look at the time at which the next job ends, as far as can be said now. */
-  private void plan() {
-    if (next != null) {
-      next.cancel();
-      next = null;
+  private void scheduleCheck() {
+    if (nextCheck != null) {
+      nextCheck.cancel();
+      nextCheck = null;
     }
-    double speed = speed(capacity(agenda.now()));
-    if (!inWork.isEmpty() && speed > 0) {
-      long wait = Math.max(1, (long) Math.ceil((inWork.peek().endsAt - workClock) / speed));
-      next = agenda.after(warmth(agenda.now()) < 1 ? Math.min(wait, STEP) : wait, this::look);
+    double speed = setUpSpeed(capacity(scheduler.now()));
+    if (!jobsInService.isEmpty() && speed > 0) {
+      long wait = Math.max(1, (long) Math.ceil((jobsInService.peek().endsAt - workClock) / speed));
+      nextCheck = scheduler.after(warmUpShare(scheduler.now()) < 1 ? Math.min(wait, MAX_STEP) : wait, this::check);
     }
   }
 
-  private void look() {
-    next = null;
+  private void check() {
+    nextCheck = null;
     update();
-    plan();
+    scheduleCheck();
   }
 
   /** Whether a set-up may come in: it has a slot left and its room is not full. */
-  boolean hasRoom() {
+  boolean acceptsSetUp() {
     update();
-    return state == State.RUNNING && connections.size() + queued() < fleet.slots()
-        && waiting.size() < fleet.room();
+    return state == State.RUNNING && connections.size() + setUpsInProgress() < pool.maxConnections()
+        && waitingJobs.size() < pool.maxWaitingSetUps();
   }
 
   /** Takes a set-up of this much work in; {@code done} runs when it is ready. */
-  Cancel setUp(double work, Runnable done) {
+  JobHandle setUp(double work, Runnable onDone) {
     update();
-    Job job = new Job(work, done, jobs++);
-    waiting.add(job);
+    Job job = new Job(work, onDone, jobCount++);
+    waitingJobs.add(job);
     startJobs();
-    plan();
+    scheduleCheck();
     return () -> job.cancelled = true;
   }
 
-  void add(Connection connection) {
+  void addConnection(Connection connection) {
     update();
     connections.add(connection);
-    perClass[connection.client().classIndex()]++;
+    connectionsByClass[connection.client().classIndex()]++;
     load += connection.load();
-    if (connection.group() >= 0 && groups.merge(connection.group(), 1, Integer::sum) == 1) {
+    if (connection.group() >= 0 && groupConnections.merge(connection.group(), 1, Integer::sum) == 1) {
       load += groupLoad;
     }
-    plan();
+    scheduleCheck();
   }
 
-  void remove(Connection connection) {
+  void removeConnection(Connection connection) {
     update();
     if (connections.remove(connection)) {
-      perClass[connection.client().classIndex()]--;
+      connectionsByClass[connection.client().classIndex()]--;
       load = Math.max(0, load - connection.load());
-      if (connection.group() >= 0 && groups.merge(connection.group(), -1, Integer::sum) == 0) {
-        groups.remove(connection.group());
+      if (connection.group() >= 0 && groupConnections.merge(connection.group(), -1, Integer::sum) == 0) {
+        groupConnections.remove(connection.group());
         load = Math.max(0, load - groupLoad);
       }
     }
-    plan();
+    scheduleCheck();
   }
 
   /** A connection's load changes by so much. */
-  void swing(double by) {
+  void changeLoad(double difference) {
     update();
-    load = Math.max(0, load + by);
-    plan();
+    load = Math.max(0, load + difference);
+    scheduleCheck();
   }
 
-  void slow(double times) {
+  void setSlowdown(double factor) {
     update();
-    slowness = times;
-    plan();
+    slowdown = factor;
+    scheduleCheck();
   }
 
-  void become(State fresh) {
+  void setState(State newState) {
     update();
-    state = fresh;
-    if (fresh == State.DEAD) {
-      inWork.clear();
-      waiting.clear();
+    state = newState;
+    if (newState == State.DEAD) {
+      jobsInService.clear();
+      waitingJobs.clear();
       backlog = 0;
     }
-    plan();
+    scheduleCheck();
   }
 
   /** Starts again under its name, cold and with nothing. */
   void restart() {
     update();
     state = State.RUNNING;
-    startedAt = agenda.now();
-    slowness = 1;
-    plan();
+    startedAt = scheduler.now();
+    slowdown = 1;
+    scheduleCheck();
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/SessionStore.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/SessionStore.java
@@ -2,28 +2,28 @@
 
 /** The store that set-ups call: one queue, a fixed rate, and a fixed time of each call beside the waiting. */
 final class SessionStore {
-  private final Agenda agenda;
+  private final EventScheduler scheduler;
   private final Scenario.Store settings;
-  private double slowness = 1;
-  private long freeAt;
+  private double slowdown = 1;
+  private long nextFreeTime;
 
-  SessionStore(Agenda agenda, Scenario.Store settings) {
-    this.agenda = agenda;
+  SessionStore(EventScheduler scheduler, Scenario.Store settings) {
+    this.scheduler = scheduler;
     this.settings = settings;
   }
 
-  void slow(double times) {
-    slowness = times;
+  void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
   /** Runs {@code done} when the call is answered; at once where there is no store. */
-  void call(Runnable done) {
-    if (settings.perSecond() <= 0) {
-      done.run();
+  void call(Runnable onDone) {
+    if (settings.callsPerSecond() <= 0) {
+      onDone.run();
       return;
     }
-    long start = Math.max(agenda.now(), freeAt);
-    freeAt = start + (long) (Scenario.SECOND * slowness / settings.perSecond());
-    agenda.at(start + (long) (settings.takes() * slowness), done);
+    long start = Math.max(scheduler.now(), nextFreeTime);
+    nextFreeTime = start + (long) (Scenario.SECOND * slowdown / settings.callsPerSecond());
+    scheduler.at(start + (long) (settings.callTime() * slowdown), onDone);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/policy/Baseline.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/policy/Baseline.java
@@ -17,11 +17,11 @@
  * each one's own; none of them learns from failures, sheds, or spares cold servers, as their textbooks do not.
  */
 abstract class Baseline implements Balancer {
-  private static final long ADVICE = 500_000;
-  private static final long ASK_AGAIN = 1_000_000;
-  private static final long ASK_TOKEN = 0;
-  private static final long LOOK_TOKEN = 1;
-  private static final long LOOK_EVERY = 500_000;
+  private static final long RETRY_AFTER = 500_000;
+  private static final long SUBSCRIBE_RETRY_DELAY = 1_000_000;
+  private static final long SUBSCRIBE_TOKEN = 0;
+  private static final long MOVE_TOKEN = 1;
+  private static final long MOVE_INTERVAL = 500_000;
 
   /** One server that may be chosen. */
   static final class Target {
@@ -29,34 +29,34 @@
     final long hash;
     final double weight;
     /** Connections and attempts of this proxy's there. */
-    int open;
+    int openCount;
 
-    Target(String name, double weight, int open) {
+    Target(String name, double weight, int openCount) {
       this.name = name;
       this.weight = weight;
-      this.open = open;
+      this.openCount = openCount;
       hash = Hashes.of(name);
     }
   }
 
   /** One request that is known. */
-  private static final class Flow {
+  private static final class TrackedRequest {
     private final Request request;
     private final Set<String> tried = new HashSet<>();
-    private String at;
+    private String currentServer;
     private boolean established;
 
-    Flow(Request request) {
+    TrackedRequest(Request request) {
       this.request = request;
     }
   }
 
-  private final Map<String, ServerEntry> listed = new TreeMap<>();
+  private final Map<String, ServerEntry> serversByName = new TreeMap<>();
   private final Map<String, Target> targets = new TreeMap<>();
-  private final Map<String, Flow> flows = new LinkedHashMap<>();
+  private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
   private List<Target> ready = List.of();
   private Settings settings;
-  private boolean told;
+  private boolean listReceived;
   /** Draws of this proxy's own. */
   protected SplittableRandom random;
 
@@ -64,10 +64,10 @@
   abstract Target pick(Request request, Set<String> tried);
 
   /** Called when {@link #ready} has changed. */
-  void changed() { }
+  void readyServersChanged() { }
 
   /** Share of the clients at this server that are to leave it now; asked twice a second. */
-  double leaving(Target target) {
+  double shareToMove(Target target) {
     return 0;
   }
 
@@ -77,134 +77,134 @@
   }
 
   /** What the request is placed by: its group where groups share work, else its client. */
-  final long keyOf(Request request) {
+  final long keyHash(Request request) {
     return Hashes.of(settings.groupsShareWork() && request.group() != null ? request.group() : request.key());
   }
 
   @Override
   public final List<Action> on(long now, Event event) {
-    List<Action> out = new ArrayList<>(2);
+    List<Action> actions = new ArrayList<>(2);
     if (event instanceof Start e) {
       settings = e.settings();
       random = new SplittableRandom(e.seed());
-      out.add(new WakeAfter(1 + random.nextLong(100_000), ASK_TOKEN));
-      out.add(new WakeAfter(LOOK_EVERY, LOOK_TOKEN));
+      actions.add(new WakeAfter(1 + random.nextLong(100_000), SUBSCRIBE_TOKEN));
+      actions.add(new WakeAfter(MOVE_INTERVAL, MOVE_TOKEN));
     } else if (event instanceof ServerList e) {
-      listed(e, out);
+      updateServers(e, actions);
     } else if (event instanceof Arrived e) {
-      Flow flow = new Flow(e.request());
-      flows.put(e.request().id(), flow);
-      attempt(now, flow, out);
+      TrackedRequest tracked = new TrackedRequest(e.request());
+      requests.put(e.request().id(), tracked);
+      sendNextAttempt(now, tracked, actions);
     } else if (event instanceof Ended e) {
-      ended(now, e, out);
+      ended(now, e, actions);
     } else if (event instanceof ClientGone e) {
-      clientGone(e.id(), out);
-    } else if (event instanceof Established e && flows.containsKey(e.id())) {
-      flows.get(e.id()).established = true;
-    } else if (event instanceof Wake e && e.token() == LOOK_TOKEN) {
-      look(out);
+      clientGone(e.id(), actions);
+    } else if (event instanceof Established e && requests.containsKey(e.id())) {
+      requests.get(e.id()).established = true;
+    } else if (event instanceof Wake e && e.token() == MOVE_TOKEN) {
+      moveConnections(actions);
     } else if (event instanceof Wake) {
-      out.add(new Subscribe(true));
+      actions.add(new Subscribe(true));
     }
-    return out;
+    return actions;
   }
 
-  private void listed(ServerList list, List<Action> out) {
+  private void updateServers(ServerList list, List<Action> actions) {
     if (list.kind() == ListKind.FAILED) {
-      out.add(new WakeAfter(ASK_AGAIN / 2 + random.nextLong(ASK_AGAIN), ASK_TOKEN));
+      actions.add(new WakeAfter(SUBSCRIBE_RETRY_DELAY / 2 + random.nextLong(SUBSCRIBE_RETRY_DELAY), SUBSCRIBE_TOKEN));
       return;
     }
-    told |= list.kind() != ListKind.SAVED;
+    listReceived |= list.kind() != ListKind.SAVED;
     if (list.kind() != ListKind.CHANGES) {
-      listed.clear();
+      serversByName.clear();
     }
     for (ServerEntry entry : list.entries()) {
       if (entry.state() == ServerState.GONE) {
-        listed.remove(entry.server());
+        serversByName.remove(entry.server());
       } else {
-        listed.put(entry.server(), entry);
+        serversByName.put(entry.server(), entry);
       }
     }
-    List<Target> fresh = new ArrayList<>();
-    for (ServerEntry entry : listed.values()) {
-      Target before = targets.get(entry.server());
-      Target target = before != null && before.weight == entry.weight() ? before
-          : new Target(entry.server(), entry.weight(), before == null ? 0 : before.open);
+    List<Target> newReady = new ArrayList<>();
+    for (ServerEntry entry : serversByName.values()) {
+      Target previous = targets.get(entry.server());
+      Target target = previous != null && previous.weight == entry.weight() ? previous
+          : new Target(entry.server(), entry.weight(), previous == null ? 0 : previous.openCount);
       targets.put(entry.server(), target);
       if (entry.state() == ServerState.READY) {
-        fresh.add(target);
+        newReady.add(target);
       }
     }
-    targets.keySet().retainAll(listed.keySet());
-    ready = fresh;
-    changed();
+    targets.keySet().retainAll(serversByName.keySet());
+    ready = newReady;
+    readyServersChanged();
   }
 
-  private void look(List<Action> out) {
-    Map<String, Double> shares = new HashMap<>();
+  private void moveConnections(List<Action> actions) {
+    Map<String, Double> sharesToMove = new HashMap<>();
     for (Target target : targets.values()) {
-      double share = leaving(target);
+      double share = shareToMove(target);
       if (share > 0) {
-        shares.put(target.name, share);
+        sharesToMove.put(target.name, share);
       }
     }
-    if (!shares.isEmpty()) {
-      for (Flow flow : flows.values()) {
-        if (flow.established && random.nextDouble() < shares.getOrDefault(flow.at, 0.0)) {
-          out.add(new Move(flow.request.id()));
+    if (!sharesToMove.isEmpty()) {
+      for (TrackedRequest tracked : requests.values()) {
+        if (tracked.established && random.nextDouble() < sharesToMove.getOrDefault(tracked.currentServer, 0.0)) {
+          actions.add(new Move(tracked.request.id()));
         }
       }
     }
-    out.add(new WakeAfter(LOOK_EVERY, LOOK_TOKEN));
+    actions.add(new WakeAfter(MOVE_INTERVAL, MOVE_TOKEN));
   }
 
-  private void attempt(long now, Flow flow, List<Action> out) {
-    long left = flow.request.due() - now;
-    Target target = flow.tried.size() < settings.limits().maxAttempts() && left > 0 ? pick(flow.request, flow.tried)
+  private void sendNextAttempt(long now, TrackedRequest tracked, List<Action> actions) {
+    long timeLeft = tracked.request.due() - now;
+    Target target = tracked.tried.size() < settings.limits().maxAttempts() && timeLeft > 0 ? pick(tracked.request, tracked.tried)
         : null;
     if (target == null) {
-      flows.remove(flow.request.id());
-      out.add(new Refuse(flow.request.id(), ADVICE));
+      requests.remove(tracked.request.id());
+      actions.add(new Refuse(tracked.request.id(), RETRY_AFTER));
       return;
     }
-    flow.tried.add(target.name);
-    flow.at = target.name;
-    target.open++;
-    out.add(new Send(flow.request.id(), target.name, Math.max(1, left / 2)));
+    tracked.tried.add(target.name);
+    tracked.currentServer = target.name;
+    target.openCount++;
+    actions.add(new Send(tracked.request.id(), target.name, Math.max(1, timeLeft / 2)));
   }
 
-  private void ended(long now, Ended event, List<Action> out) {
-    Flow flow = flows.get(event.id());
-    if (flow == null) {
+  private void ended(long now, Ended event, List<Action> actions) {
+    TrackedRequest tracked = requests.get(event.id());
+    if (tracked == null) {
       return;
     }
-    leave(flow);
+    releaseServer(tracked);
     if (event.requestFinished()) {
-      flows.remove(event.id());
+      requests.remove(event.id());
     } else {
-      attempt(now, flow, out);
+      sendNextAttempt(now, tracked, actions);
     }
   }
 
-  private void leave(Flow flow) {
-    Target target = flow.at == null ? null : targets.get(flow.at);
+  private void releaseServer(TrackedRequest tracked) {
+    Target target = tracked.currentServer == null ? null : targets.get(tracked.currentServer);
     if (target != null) {
-      target.open--;
+      target.openCount--;
     }
-    flow.at = null;
+    tracked.currentServer = null;
   }
 
-  private void clientGone(String id, List<Action> out) {
-    Flow flow = flows.get(id);
-    if (flow != null && flow.at != null) {
-      out.add(new CancelAttempt(id, flow.tried.size() - 1));
+  private void clientGone(String id, List<Action> actions) {
+    TrackedRequest tracked = requests.get(id);
+    if (tracked != null && tracked.currentServer != null) {
+      actions.add(new CancelAttempt(id, tracked.tried.size() - 1));
     } else {
-      flows.remove(id);
+      requests.remove(id);
     }
   }
 
   @Override
   public final ServerSummary serverSummary(long now) {
-    return new ServerSummary(told, listed.size(), listed.size() - ready.size());
+    return new ServerSummary(listReceived, serversByName.size(), serversByName.size() - ready.size());
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/policy/Hashes.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/policy/Hashes.java
@@ -13,15 +13,15 @@
   }
 
   /** Joins two hashes so that every bit of both reaches every bit (the finalizer of MurmurHash3). */
-  static long join(long one, long other) {
-    long h = one ^ Long.rotateLeft(other, 32) * 0x9e3779b97f4a7c15L;
-    h = (h ^ (h >>> 33)) * 0xff51afd7ed558ccdL;
-    h = (h ^ (h >>> 33)) * 0xc4ceb9fe1a85ec53L;
-    return h ^ (h >>> 33);
+  static long combine(long first, long second) {
+    long mixed = first ^ Long.rotateLeft(second, 32) * 0x9e3779b97f4a7c15L;
+    mixed = (mixed ^ (mixed >>> 33)) * 0xff51afd7ed558ccdL;
+    mixed = (mixed ^ (mixed >>> 33)) * 0xc4ceb9fe1a85ec53L;
+    return mixed ^ (mixed >>> 33);
   }
 
   /** A hash as a number strictly between 0 and 1. */
-  static double unit(long hash) {
+  static double toUnitInterval(long hash) {
     return ((hash >>> 12) + 0.5) * 0x1.0p-52;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/policy/Policies.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/policy/Policies.java
@@ -10,26 +10,26 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 import lemondeal.Balancer.Request;
-import lemondeal.lab.emulator.PolicyMaker;
+import lemondeal.lab.emulator.PolicyFactory;
 import lemondeal.module.DecisionModule;
 
 /** The policies that an experiment may name: this project's own, and baselines as their literature has them. */
 public final class Policies {
-  private static final Map<String, PolicyMaker> BY_NAME = new LinkedHashMap<>();
+  private static final Map<String, PolicyFactory> BY_NAME = new LinkedHashMap<>();
 
   static {
-    BY_NAME.put("lemondeal", (node, truth) -> new DecisionModule());
-    BY_NAME.put("random", (node, truth) -> new RandomChoice());
-    BY_NAME.put("round-robin", (node, truth) -> new RoundRobin());
-    BY_NAME.put("least-connections", (node, truth) -> new Least(target -> target.open / target.weight));
-    BY_NAME.put("two-choices", (node, truth) -> new TwoChoices());
-    BY_NAME.put("rendezvous", (node, truth) -> new PlainRendezvous());
-    BY_NAME.put("modulo", (node, truth) -> new Modulo());
-    BY_NAME.put("carp", (node, truth) -> new Carp());
-    BY_NAME.put("ring", (node, truth) -> new Ring(Double.POSITIVE_INFINITY));
-    BY_NAME.put("ring-bounded", (node, truth) -> new Ring(1.25));
-    BY_NAME.put("maglev", (node, truth) -> new Maglev());
-    BY_NAME.put("full-knowledge", (node, truth) -> new FullKnowledge(truth));
+    BY_NAME.put("lemondeal", (proxyNumber, oracle) -> new DecisionModule());
+    BY_NAME.put("random", (proxyNumber, oracle) -> new RandomChoice());
+    BY_NAME.put("round-robin", (proxyNumber, oracle) -> new RoundRobin());
+    BY_NAME.put("least-connections", (proxyNumber, oracle) -> new LowestMeasure(target -> target.openCount / target.weight));
+    BY_NAME.put("two-choices", (proxyNumber, oracle) -> new TwoChoices());
+    BY_NAME.put("rendezvous", (proxyNumber, oracle) -> new PlainRendezvous());
+    BY_NAME.put("modulo", (proxyNumber, oracle) -> new Modulo());
+    BY_NAME.put("carp", (proxyNumber, oracle) -> new Carp());
+    BY_NAME.put("ring", (proxyNumber, oracle) -> new Ring(Double.POSITIVE_INFINITY));
+    BY_NAME.put("ring-bounded", (proxyNumber, oracle) -> new Ring(1.25));
+    BY_NAME.put("maglev", (proxyNumber, oracle) -> new Maglev());
+    BY_NAME.put("full-knowledge", (proxyNumber, oracle) -> new FullKnowledge(oracle));
   }
 
   private Policies() {}
@@ -40,7 +40,7 @@
   }
 
   /** Null where there is no such policy. */
-  public static PolicyMaker named(String name) {
+  public static PolicyFactory byName(String name) {
     return BY_NAME.get(name);
   }
 
@@ -52,13 +52,13 @@
       for (Target target : ready()) {
         total += tried.contains(target.name) ? 0 : target.weight;
       }
-      double draw = random.nextDouble() * total;
+      double remaining = random.nextDouble() * total;
       Target last = null;
       for (Target target : ready()) {
         if (!tried.contains(target.name)) {
           last = target;
-          draw -= target.weight;
-          if (draw < 0) {
+          remaining -= target.weight;
+          if (remaining < 0) {
             return target;
           }
         }
@@ -86,26 +86,26 @@
   }
 
   /** The one with the least of something; of those alike one by chance. */
-  static class Least extends Baseline {
+  static class LowestMeasure extends Baseline {
     private final ToDoubleFunction<Target> measure;
 
-    Least(ToDoubleFunction<Target> measure) {
+    LowestMeasure(ToDoubleFunction<Target> measure) {
       this.measure = measure;
     }
 
     @Override
     Target pick(Request request, Set<String> tried) {
       Target best = null;
-      double least = Double.POSITIVE_INFINITY;
-      int alike = 0;
+      double lowest = Double.POSITIVE_INFINITY;
+      int ties = 0;
       for (Target target : ready()) {
         if (!tried.contains(target.name)) {
           double value = measure.applyAsDouble(target);
-          if (best == null || value < least) {
+          if (best == null || value < lowest) {
             best = target;
-            least = value;
-            alike = 1;
-          } else if (value == least && random.nextInt(++alike) == 0) {
+            lowest = value;
+            ties = 1;
+          } else if (value == lowest && random.nextInt(++ties) == 0) {
             best = target;
           }
         }
@@ -118,27 +118,27 @@
    * What full knowledge allows: the least used server that takes a set-up, by the true state of all, and clients sent away
    * from those that are asked for more than they can give while others have room.
    */
-  static final class FullKnowledge extends Least {
-    private static final double FULL = 0.9;
+  static final class FullKnowledge extends LowestMeasure {
+    private static final double TARGET_UTILIZATION = 0.9;
 
-    private final PolicyMaker.Truth truth;
+    private final PolicyFactory.Oracle oracle;
 
-    FullKnowledge(PolicyMaker.Truth truth) {
-      super(target -> truth.takes(target.name) ? truth.use(target.name) : Double.POSITIVE_INFINITY);
-      this.truth = truth;
+    FullKnowledge(PolicyFactory.Oracle oracle) {
+      super(target -> oracle.acceptsSetUp(target.name) ? oracle.utilization(target.name) : Double.POSITIVE_INFINITY);
+      this.oracle = oracle;
     }
 
     @Override
-    double leaving(Target target) {
-      double use = truth.use(target.name);
-      double room = 0;
+    double shareToMove(Target target) {
+      double utilization = oracle.utilization(target.name);
+      double freeCapacity = 0;
       for (Target other : ready()) {
-        room += Math.max(0, FULL - truth.use(other.name)) * other.weight;
+        freeCapacity += Math.max(0, TARGET_UTILIZATION - oracle.utilization(other.name)) * other.weight;
       }
-      if (use <= FULL || room <= 0) {
+      if (utilization <= TARGET_UTILIZATION || freeCapacity <= 0) {
         return 0;
       }
-      return Double.isInfinite(use) ? 1 : Math.min(1 - FULL / use, room / (use * target.weight));
+      return Double.isInfinite(utilization) ? 1 : Math.min(1 - TARGET_UTILIZATION / utilization, freeCapacity / (utilization * target.weight));
     }
   }
 
@@ -146,14 +146,14 @@
   static final class TwoChoices extends Baseline {
     @Override
     Target pick(Request request, Set<String> tried) {
-      List<Target> left = new ArrayList<>(ready());
-      left.removeIf(target -> tried.contains(target.name));
-      if (left.isEmpty()) {
+      List<Target> candidates = new ArrayList<>(ready());
+      candidates.removeIf(target -> tried.contains(target.name));
+      if (candidates.isEmpty()) {
         return null;
       }
-      Target one = left.get(random.nextInt(left.size()));
-      Target other = left.get(random.nextInt(left.size()));
-      return other.open / other.weight < one.open / one.weight ? other : one;
+      Target first = candidates.get(random.nextInt(candidates.size()));
+      Target second = candidates.get(random.nextInt(candidates.size()));
+      return second.openCount / second.weight < first.openCount / first.weight ? second : first;
     }
   }
 
@@ -161,13 +161,13 @@
   static final class PlainRendezvous extends Baseline {
     @Override
     Target pick(Request request, Set<String> tried) {
-      long key = keyOf(request);
+      long key = keyHash(request);
       Target best = null;
-      double most = Double.NEGATIVE_INFINITY;
+      double highest = Double.NEGATIVE_INFINITY;
       for (Target target : ready()) {
-        double score = -target.weight / StrictMath.log(Hashes.unit(Hashes.join(key, target.hash)));
-        if (score > most && !tried.contains(target.name)) {
-          most = score;
+        double score = -target.weight / StrictMath.log(Hashes.toUnitInterval(Hashes.combine(key, target.hash)));
+        if (score > highest && !tried.contains(target.name)) {
+          highest = score;
           best = target;
         }
       }
@@ -176,10 +176,10 @@
   }
 
   /** The first of a table's targets from the key's place on that was not tried; null where there is none. */
-  private static Baseline.Target first(Baseline.Target[] table, long key, Set<String> tried) {
-    int from = table.length == 0 ? 0 : (int) Math.floorMod(key, (long) table.length);
+  private static Baseline.Target firstUntried(Baseline.Target[] table, long key, Set<String> tried) {
+    int start = table.length == 0 ? 0 : (int) Math.floorMod(key, (long) table.length);
     for (int i = 0; i < table.length; i++) {
-      Baseline.Target target = table[(from + i) % table.length];
+      Baseline.Target target = table[(start + i) % table.length];
       if (!tried.contains(target.name)) {
         return target;
       }
@@ -189,23 +189,23 @@
 
   /** The key's hash modulo the weights, each server standing as often as its weight says: what every change shuffles. */
   static final class Modulo extends Baseline {
-    private Target[] places = new Target[0];
+    private Target[] table = new Target[0];
 
     @Override
-    void changed() {
-      double least = ready().stream().mapToDouble(target -> target.weight).min().orElse(1);
-      List<Target> all = new ArrayList<>();
+    void readyServersChanged() {
+      double lowestWeight = ready().stream().mapToDouble(target -> target.weight).min().orElse(1);
+      List<Target> entries = new ArrayList<>();
       for (Target target : ready()) {
-        for (int i = 0; i < Math.max(1, Math.round(target.weight / least)); i++) {
-          all.add(target);
+        for (int i = 0; i < Math.max(1, Math.round(target.weight / lowestWeight)); i++) {
+          entries.add(target);
         }
       }
-      places = all.toArray(new Target[0]);
+      table = entries.toArray(new Target[0]);
     }
 
     @Override
     Target pick(Request request, Set<String> tried) {
-      return first(places, keyOf(request), tried);
+      return firstUntried(table, keyHash(request), tried);
     }
   }
 
@@ -213,14 +213,14 @@
   static final class Carp extends Baseline {
     @Override
     Target pick(Request request, Set<String> tried) {
-      long key = keyOf(request);
+      long key = keyHash(request);
       Target best = null;
-      double most = Double.NEGATIVE_INFINITY;
+      double highest = Double.NEGATIVE_INFINITY;
       for (Target target : ready()) {
         // The common divisor of all shares changes no comparison and is left out.
-        double score = target.weight * Hashes.unit(Hashes.join(key, target.hash));
-        if (score > most && !tried.contains(target.name)) {
-          most = score;
+        double score = target.weight * Hashes.toUnitInterval(Hashes.combine(key, target.hash));
+        if (score > highest && !tried.contains(target.name)) {
+          highest = score;
           best = target;
         }
       }
@@ -244,11 +244,11 @@
     }
 
     @Override
-    void changed() {
+    void readyServersChanged() {
       ring.clear();
       for (Target target : ready()) {
         for (int point = 0; point < Math.max(1, Math.round(POINTS * target.weight)); point++) {
-          ring.put(Hashes.join(target.hash, point), target);
+          ring.put(Hashes.combine(target.hash, point), target);
         }
       }
     }
@@ -256,24 +256,24 @@
     @Override
     Target pick(Request request, Set<String> tried) {
       double weights = 0;
-      int open = 1;
+      int connections = 1;
       for (Target target : ready()) {
         weights += target.weight;
-        open += target.open;
+        connections += target.openCount;
       }
-      long from = keyOf(request);
-      Target any = null;
-      for (Map<Long, Target> part : List.of(ring.tailMap(from), ring.headMap(from))) {
-        for (Target target : part.values()) {
+      long keyHash = keyHash(request);
+      Target fallback = null;
+      for (Map<Long, Target> arc : List.of(ring.tailMap(keyHash), ring.headMap(keyHash))) {
+        for (Target target : arc.values()) {
           if (!tried.contains(target.name)) {
-            any = any == null ? target : any;
-            if (target.open + 1 <= Math.ceil(bound * open * target.weight / weights)) {
+            fallback = fallback == null ? target : fallback;
+            if (target.openCount + 1 <= Math.ceil(bound * connections * target.weight / weights)) {
               return target;
             }
           }
         }
       }
-      return any;
+      return fallback;
     }
   }
 
@@ -285,7 +285,7 @@
     private Target[] table = new Target[0];
 
     @Override
-    void changed() {
+    void readyServersChanged() {
       List<Target> targets = new ArrayList<>(ready());
       if (targets.isEmpty()) {
         table = new Target[0];
@@ -293,8 +293,8 @@
       }
       targets.sort(Comparator.comparing(target -> target.name));
       double heaviest = targets.stream().mapToDouble(target -> target.weight).max().orElse(1);
-      Target[] fresh = new Target[SIZE];
-      int[] next = new int[targets.size()];
+      Target[] newTable = new Target[SIZE];
+      int[] nextSteps = new int[targets.size()];
       double[] credit = new double[targets.size()];
       for (int filled = 0; filled < SIZE; ) {
         for (int i = 0; i < targets.size() && filled < SIZE; i++) {
@@ -303,27 +303,27 @@
             credit[i] -= 1;
             long hash = targets.get(i).hash;
             int offset = (int) Math.floorMod(hash, (long) SIZE);
-            int skip = (int) Math.floorMod(Hashes.join(hash, 1), (long) SIZE - 1) + 1;
-            int place;
+            int skip = (int) Math.floorMod(Hashes.combine(hash, 1), (long) SIZE - 1) + 1;
+            int index;
             do {
-              place = (int) ((offset + (long) next[i]++ * skip) % SIZE);
-            } while (fresh[place] != null);
-            fresh[place] = targets.get(i);
+              index = (int) ((offset + (long) nextSteps[i]++ * skip) % SIZE);
+            } while (newTable[index] != null);
+            newTable[index] = targets.get(i);
             filled++;
           }
         }
       }
-      table = fresh;
+      table = newTable;
     }
 
     /** How many places this server has: for a test. */
-    long places(String name) {
+    long entryCount(String name) {
       return Arrays.stream(table).filter(target -> target.name.equals(name)).count();
     }
 
     @Override
     Target pick(Request request, Set<String> tried) {
-      return first(table, keyOf(request), tried);
+      return firstUntried(table, keyHash(request), tried);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/EpochsGrow.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/EpochsGrow.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 
 /** What a member tells of a zone's epoch never falls, over a start too if what it had kept was whole. */
-public final class EpochsGrow extends Checker {
+public final class EpochsGrow extends InvariantChecker {
   private final Map<String, Long> highest = new HashMap<>();
 
   @Override
-  public void started(long at, int member, boolean kept) {
-    if (!kept) {
+  public void onStart(long trueTime, int member, boolean stateIntact) {
+    if (!stateIntact) {
       highest.keySet().removeIf(key -> key.startsWith(member + "/"));
     }
   }
 
   @Override
-  public void wrote(long at, int member, int zone, long epoch, boolean votes) {
+  public void onReport(long trueTime, int member, int zone, long epoch, boolean votes) {
     Long before = highest.put(member + "/" + zone, epoch);
     if (before != null && before > epoch) {
-      breach(at + " ms: member " + member + " falls from epoch " + before + " to " + epoch + " of zone " + zone);
+      reportBreach(trueTime + " ms: member " + member + " falls from epoch " + before + " to " + epoch + " of zone " + zone);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/Fault.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/Fault.java
@@ -6,7 +6,7 @@
  * @param a what it hits, by kind: a zone, a vantage zone, a member, a server, or members as bits
  * @param b what else the kind needs
  */
-public record Fault(Kind kind, long from, long to, int a, int b) {
+public record Fault(Kind kind, long startMillis, long endMillis, int target, int parameter) {
 
   /** What can go wrong. */
   public enum Kind {
@@ -41,14 +41,14 @@
   }
 
   /** Members that are told apart as bits; in larger fleets some share one. */
-  static final int BITS = 30;
+  static final int MAX_MEMBER_BITS = 30;
 
   /** Whether a member is among those. */
-  static boolean among(int bits, int member) {
-    return (bits >> member % BITS & 1) == 1;
+  static boolean containsMember(int bits, int member) {
+    return (bits >> member % MAX_MEMBER_BITS & 1) == 1;
   }
 
-  boolean on(long at) {
-    return at >= from && at < to;
+  boolean isActive(long trueTime) {
+    return trueTime >= startMillis && trueTime < endMillis;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
@@ -4,37 +4,37 @@
 import java.util.Map;
 
 /** All zones open again in the end, and then each key goes where it went before anything was wrong. */
-public final class KeysReturn extends Checker {
-  private final Map<Integer, Integer> before = new HashMap<>();
-  private final Map<Integer, Integer> last = new HashMap<>();
-  private final Map<Integer, Long> lastAt = new HashMap<>();
-  private final long faultsFrom;
-  private final long calm;
+public final class KeysReturn extends InvariantChecker {
+  private final Map<Integer, Integer> serverBeforeFaults = new HashMap<>();
+  private final Map<Integer, Integer> lastServer = new HashMap<>();
+  private final Map<Integer, Long> lastSentAt = new HashMap<>();
+  private final long firstFaultAt;
+  private final long stableMillis;
 
   /**
    * @param faultsFrom when the first fault begins
    * @param calm milliseconds before the end in which all was well
    */
-  public KeysReturn(long faultsFrom, long calm) {
-    this.faultsFrom = faultsFrom;
-    this.calm = calm;
+  public KeysReturn(long firstFaultAt, long stableMillis) {
+    this.firstFaultAt = firstFaultAt;
+    this.stableMillis = stableMillis;
   }
 
   @Override
-  public void sent(long at, int member, int zone, int key, int server) {
-    (at < faultsFrom ? before : last).put(key, server);
-    lastAt.put(key, at);
+  public void onSend(long trueTime, int member, int zone, int key, int server) {
+    (trueTime < firstFaultAt ? serverBeforeFaults : lastServer).put(key, server);
+    lastSentAt.put(key, trueTime);
   }
 
   @Override
-  public void over(long at, boolean allOpen) {
-    if (!allOpen) {
-      breach(at + " ms: not all zones are open");
+  public void onEnd(long trueTime, boolean allZonesOpen) {
+    if (!allZonesOpen) {
+      reportBreach(trueTime + " ms: not all zones are open");
       return;
     }
-    before.forEach((key, server) -> {
-      if (lastAt.get(key) > at - calm && !server.equals(last.getOrDefault(key, server))) {
-        breach(at + " ms: key " + key + " goes to server " + last.get(key) + " and not back to " + server);
+    serverBeforeFaults.forEach((key, server) -> {
+      if (lastSentAt.get(key) > trueTime - stableMillis && !server.equals(lastServer.getOrDefault(key, server))) {
+        reportBreach(trueTime + " ms: key " + key + " goes to server " + lastServer.get(key) + " and not back to " + server);
       }
     });
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
@@ -6,28 +6,28 @@
  * A zone is left only after it, or the ways to it, failed for longer than a blip: not for shorter outages, servers that
  * flap, links that drop three in ten, overload, or members that stand still.
  */
-public final class LittleMovesNobody extends Checker {
-  private static final long BLIP = 1_000;
+public final class LittleMovesNobody extends InvariantChecker {
+  private static final long BLIP_MILLIS = 1_000;
   /** Evidence may be so old when the last vote is counted. */
-  private static final long RECENT = 6_000;
+  private static final long MAX_EVIDENCE_AGE_MILLIS = 6_000;
 
-  private final Script script;
+  private final FaultSchedule faultSchedule;
 
-  public LittleMovesNobody(Script script) {
-    this.script = script;
+  public LittleMovesNobody(FaultSchedule faultSchedule) {
+    this.faultSchedule = faultSchedule;
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decision decided) {
-    boolean reason = script.faults().stream().anyMatch(fault -> hits(fault, decided.zone())
-        && fault.to() - fault.from() >= BLIP && fault.from() + BLIP <= at && fault.to() + RECENT >= at);
-    if (decided.evacuates() && decided.countedHere() && !reason) {
-      breach(at + " ms: member " + member + " leaves zone " + decided.zone() + " for nothing that lasts");
+  public void onDecision(long trueTime, int member, Evacuation.Decision decision) {
+    boolean justified = faultSchedule.faults().stream().anyMatch(fault -> affects(fault, decision.zone())
+        && fault.endMillis() - fault.startMillis() >= BLIP_MILLIS && fault.startMillis() + BLIP_MILLIS <= trueTime && fault.endMillis() + MAX_EVIDENCE_AGE_MILLIS >= trueTime);
+    if (decision.evacuates() && decision.countedHere() && !justified) {
+      reportBreach(trueTime + " ms: member " + member + " leaves zone " + decision.zone() + " for nothing that lasts");
     }
   }
 
-  private static boolean hits(Fault fault, int zone) {
-    return fault.kind() == Fault.Kind.ZONE_DIES && fault.a() == zone
-        || (fault.kind() == Fault.Kind.WAY_CUT || fault.kind() == Fault.Kind.MEMBER_CUT) && fault.b() == zone;
+  private static boolean affects(Fault fault, int zone) {
+    return fault.kind() == Fault.Kind.ZONE_DIES && fault.target() == zone
+        || (fault.kind() == Fault.Kind.WAY_CUT || fault.kind() == Fault.Kind.MEMBER_CUT) && fault.parameter() == zone;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
@@ -5,33 +5,33 @@
 import lemondeal.evacuation.Evacuation;
 
 /** A member that knows that a zone is left sends nothing new there a second later. */
-public final class NoSendToLeftZone extends Checker {
-  private static final long GRACE = 1_000;
+public final class NoSendToLeftZone extends InvariantChecker {
+  private static final long GRACE_MILLIS = 1_000;
 
   private final Map<String, Long> leftSince = new HashMap<>();
 
   @Override
-  public void started(long at, int member, boolean kept) {
-    if (!kept) {
+  public void onStart(long trueTime, int member, boolean stateIntact) {
+    if (!stateIntact) {
       leftSince.keySet().removeIf(key -> key.startsWith(member + "/"));
     }
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decision decided) {
-    String key = member + "/" + decided.zone();
-    if (decided.evacuates()) {
-      leftSince.putIfAbsent(key, at);
+  public void onDecision(long trueTime, int member, Evacuation.Decision decision) {
+    String key = member + "/" + decision.zone();
+    if (decision.evacuates()) {
+      leftSince.putIfAbsent(key, trueTime);
     } else {
       leftSince.remove(key);
     }
   }
 
   @Override
-  public void sent(long at, int member, int zone, int key, int server) {
+  public void onSend(long trueTime, int member, int zone, int key, int server) {
     Long since = leftSince.get(member + "/" + zone);
-    if (since != null && at - since > GRACE) {
-      breach(at + " ms: member " + member + " sends to zone " + zone + ", left since " + since);
+    if (since != null && trueTime - since > GRACE_MILLIS) {
+      reportBreach(trueTime + " ms: member " + member + " sends to zone " + zone + ", left since " + since);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
@@ -13,75 +13,75 @@
  * return's decision. Once a majority knows that the zone is left and shares have had time to run out, it is the
  * budget of the beginning; no decision is older than the first member that knew it.
  */
-public final class SharesWithinBudget extends Checker {
+public final class SharesWithinBudget extends InvariantChecker {
   private static final double ROUNDING = 1e-9;
 
   /** What has been decided of one zone. */
-  private static final class Decisions {
+  private static final class ZoneHistory {
     long epoch;
     long returnedAt;
     boolean returned;
-    Set<Integer> knowLeft = new HashSet<>();
+    Set<Integer> evacuatedMembers = new HashSet<>();
     long majorityKnowsAt = Long.MAX_VALUE / 2;
   }
 
-  private final Map<Integer, Decisions> zones = new HashMap<>();
-  private final SlowStartRamp opening;
+  private final Map<Integer, ZoneHistory> zones = new HashMap<>();
+  private final SlowStartRamp slowStart;
   private final int members;
-  private final long life;
-  private double closest;
+  private final long leaseTtl;
+  private double peakBudgetUse;
 
   /** @param life milliseconds that a share lasts, clocks' drift included */
-  public SharesWithinBudget(SlowStartRamp opening, int members, long life) {
-    this.opening = opening;
+  public SharesWithinBudget(SlowStartRamp slowStart, int members, long leaseTtl) {
+    this.slowStart = slowStart;
     this.members = members;
-    this.life = life;
+    this.leaseTtl = leaseTtl;
   }
 
   @Override
-  public void decided(long at, int member, Evacuation.Decision decided) {
-    Decisions zone = zones.computeIfAbsent(decided.zone(), fresh -> new Decisions());
-    if (decided.epoch() > zone.epoch) {
-      zone.epoch = decided.epoch();
-      zone.knowLeft.clear();
-      zone.majorityKnowsAt = Long.MAX_VALUE / 2;
-      if (!decided.evacuates()) {
-        zone.returned = true;
-        zone.returnedAt = at;
+  public void onDecision(long trueTime, int member, Evacuation.Decision decision) {
+    ZoneHistory history = zones.computeIfAbsent(decision.zone(), newZone -> new ZoneHistory());
+    if (decision.epoch() > history.epoch) {
+      history.epoch = decision.epoch();
+      history.evacuatedMembers.clear();
+      history.majorityKnowsAt = Long.MAX_VALUE / 2;
+      if (!decision.evacuates()) {
+        history.returned = true;
+        history.returnedAt = trueTime;
       }
     }
-    if (decided.evacuates() && decided.epoch() == zone.epoch) {
-      zone.knowLeft.add(member);
-      if (zone.knowLeft.size() * 2 > members) {
-        zone.majorityKnowsAt = Math.min(zone.majorityKnowsAt, at);
+    if (decision.evacuates() && decision.epoch() == history.epoch) {
+      history.evacuatedMembers.add(member);
+      if (history.evacuatedMembers.size() * 2 > members) {
+        history.majorityKnowsAt = Math.min(history.majorityKnowsAt, trueTime);
       }
     }
   }
 
-  private double budget(Decisions zone, long at) {
-    if (zone.epoch % 2 == 1 && at > zone.majorityKnowsAt + life) {
-      return opening.initialRate();
+  private double budget(ZoneHistory history, long trueTime) {
+    if (history.epoch % 2 == 1 && trueTime > history.majorityKnowsAt + leaseTtl) {
+      return slowStart.initialRate();
     }
-    return zone.returned ? opening.rateAt(at - zone.returnedAt) : Double.POSITIVE_INFINITY;
+    return history.returned ? slowStart.rateAt(trueTime - history.returnedAt) : Double.POSITIVE_INFINITY;
   }
 
   @Override
-  public void shares(long at, int zone, double[] perSecond) {
-    Decisions decisions = zones.get(zone);
-    if (decisions == null) {
+  public void onRateLimits(long trueTime, int zone, double[] rates) {
+    ZoneHistory history = zones.get(zone);
+    if (history == null) {
       return;
     }
-    double sum = Arrays.stream(perSecond).sum();
-    double budget = budget(decisions, at);
-    closest = Double.isInfinite(budget) ? closest : Math.max(closest, sum / budget);
+    double sum = Arrays.stream(rates).sum();
+    double budget = budget(history, trueTime);
+    peakBudgetUse = Double.isInfinite(budget) ? peakBudgetUse : Math.max(peakBudgetUse, sum / budget);
     if (sum > budget + ROUNDING) {
-      breach(at + " ms: shares of zone " + zone + " are " + Arrays.toString(perSecond) + ", more than " + budget
-          + " in epoch " + decisions.epoch);
+      reportBreach(trueTime + " ms: shares of zone " + zone + " are " + Arrays.toString(rates) + ", more than " + budget
+          + " in epoch " + history.epoch);
     }
   }
 
   /** The largest part of a budget that was in use at once. */
-  public double closest() {
-    return closest;
+  public double peakBudgetUse() {
+    return peakBudgetUse;
   }
 }
