--- a/lab/src/main/java/lemondeal/lab/experiment/Charts.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Charts.java
@@ -36,12 +36,12 @@
   private Charts() {}
 
   /** A figure's mean by policy with its 95% interval; lines over the points of a sweep, bars where there is one. */
-  static void figure(Path file, String figure, Map<String, Map<String, Statistics.Mean>> byPolicyThenPoint)
+  static void figure(Path file, String figure, Map<String, Map<String, Statistics.Mean>> meansByPolicyAndPoint)
       throws IOException {
     DefaultStatisticalCategoryDataset data = new DefaultStatisticalCategoryDataset();
-    int points = byPolicyThenPoint.values().iterator().next().size();
-    byPolicyThenPoint.forEach((policy, byPoint) -> byPoint.forEach((point, mean) -> data.add(mean.mean(),
-        Double.isNaN(mean.half()) ? 0 : mean.half(), points == 1 ? "mean" : policy, points == 1 ? policy : point)));
+    int points = meansByPolicyAndPoint.values().iterator().next().size();
+    meansByPolicyAndPoint.forEach((policy, byPoint) -> byPoint.forEach((point, mean) -> data.add(mean.mean(),
+        Double.isNaN(mean.halfWidth()) ? 0 : mean.halfWidth(), points == 1 ? "mean" : policy, points == 1 ? policy : point)));
     JFreeChart chart = points == 1
         ? ChartFactory.createBarChart(figure, null, null, data, PlotOrientation.VERTICAL, false, false, false)
         : ChartFactory.createLineChart(figure, null, null, data, PlotOrientation.VERTICAL, true, false, false);
@@ -75,11 +75,11 @@
    *
    * @param point of the sweep, "" where there is one alone
    */
-  static void course(Path file, String point, Map<String, List<double[]>> byPolicy) throws IOException {
+  static void servedOverTime(Path file, String point, Map<String, List<double[]>> seriesByPolicy) throws IOException {
     XYSeriesCollection data = new XYSeriesCollection();
-    byPolicy.forEach((policy, course) -> {
+    seriesByPolicy.forEach((policy, samples) -> {
       XYSeries series = new XYSeries(policy);
-      course.forEach(at -> series.add(at[0], at[1]));
+      samples.forEach(sample -> series.add(sample[0], sample[1]));
       data.addSeries(series);
     });
     JFreeChart chart = ChartFactory.createXYLineChart("share of the worth served" + (point.isEmpty() ? "" : ", " + point), "seconds", null, data,
@@ -100,7 +100,7 @@
   }
 
   /** A hundredth of a pixel is enough. */
-  private static String number(double value) {
+  private static String formatCoordinate(double value) {
     double rounded = Math.round(value * 100) / 100.0;
     return rounded == Math.rint(rounded) ? Long.toString((long) rounded) : Double.toString(rounded);
   }
@@ -111,8 +111,8 @@
     SVGGraphics2D svg = new SVGGraphics2D(WIDTH, HEIGHT);
     // Ids of clips are random otherwise, and two runs that brought the same would differ.
     svg.setDefsKeyPrefix("c");
-    svg.setGeomDoubleConverter(Charts::number);
-    svg.setTransformDoubleConverter(Charts::number);
+    svg.setGeomDoubleConverter(Charts::formatCoordinate);
+    svg.setTransformDoubleConverter(Charts::formatCoordinate);
     chart.draw(svg, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
     Files.writeString(file, svg.getSVGDocument());
   }
--- a/lab/src/main/java/lemondeal/lab/experiment/Condition.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Condition.java
@@ -15,27 +15,27 @@
   record Side(String figure, String policy, double number) {}
 
   /** How it came out. */
-  record Verdict(String condition, boolean holds, String why) {}
+  record Verdict(String condition, boolean holds, String comparedValues) {}
 
   /**
    * @param means by policy, then by figure
    * @param first the policy that is meant where none is named
    */
-  Verdict judge(Map<String, Map<String, Double>> means, String first) {
-    double one = value(left, means, first);
-    double other = value(right, means, first);
+  Verdict evaluate(Map<String, Map<String, Double>> means, String firstPolicy) {
+    double leftValue = value(left, means, firstPolicy);
+    double rightValue = value(right, means, firstPolicy);
     boolean holds = switch (comparison) {
-      case "<" -> one < other;
-      case "<=" -> one <= other;
-      case ">" -> one > other;
-      case ">=" -> one >= other;
-      default -> one == other;
+      case "<" -> leftValue < rightValue;
+      case "<=" -> leftValue <= rightValue;
+      case ">" -> leftValue > rightValue;
+      case ">=" -> leftValue >= rightValue;
+      default -> leftValue == rightValue;
     };
-    return new Verdict(text, holds, String.format(Locale.ROOT, "%.4g against %.4g", one, other));
+    return new Verdict(text, holds, String.format(Locale.ROOT, "%.4g against %.4g", leftValue, rightValue));
   }
 
-  private static double value(Side side, Map<String, Map<String, Double>> means, String first) {
+  private static double value(Side side, Map<String, Map<String, Double>> means, String firstPolicy) {
     return side.figure() == null ? side.number()
-        : side.number() * means.get(side.policy() == null ? first : side.policy()).get(side.figure());
+        : side.number() * means.get(side.policy() == null ? firstPolicy : side.policy()).get(side.figure());
   }
 }
--- a/lab/src/main/java/lemondeal/lab/experiment/Experiment.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Experiment.java
@@ -15,13 +15,13 @@
  * @param file the file's content as it was read, kept with the results
  */
 record Experiment(String name, String question, List<String> policies, String baseline, List<Point> points,
-    List<Long> seeds, List<String> measure, List<Condition> expect, JsonNode file) {
+    List<Long> seeds, List<String> reportedFigures, List<Condition> expectations, JsonNode source) {
 
   /** One point of a sweep. */
   record Point(String name, Map<String, String> values, Scenario scenario) {}
 
   /** Runs in all. */
-  int runs() {
+  int runCount() {
     return policies.size() * points.size() * seeds.size();
   }
 }
--- a/lab/src/main/java/lemondeal/lab/experiment/ExperimentCommands.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExperimentCommands.java
@@ -18,12 +18,12 @@
 
 /** The commands on experiments: {@code run}, {@code compare} and {@code list}. */
 public final class ExperimentCommands {
-  private static final String ROWS = "rows.jsonl";
-  private static final String FILE = "experiment.yaml";
+  private static final String ROWS_FILE = "rows.jsonl";
+  private static final String EXPERIMENT_FILE = "experiment.yaml";
 
   private ExperimentCommands() {}
 
-  private static int faulty(CommandLine.Model.CommandSpec spec, String message) {
+  private static int usageError(CommandLine.Model.CommandSpec spec, String message) {
     spec.commandLine().getErr().println(message);
     return CommandLine.ExitCode.USAGE;
   }
@@ -49,36 +49,36 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
       if (threads != null && (threads < 1 || threads > 1024)) {
-        return faulty(spec, "--threads: found " + threads + "; allowed: 1 to 1024");
+        return usageError(spec, "--threads: found " + threads + "; allowed: 1 to 1024");
       }
       Experiment experiment;
       try {
         experiment = ExperimentReader.read(file);
-      } catch (FileFaults e) {
-        return faulty(spec, e.getMessage());
+      } catch (InvalidFileException e) {
+        return usageError(spec, e.getMessage());
       }
       Path folder = out == null ? Path.of("results", experiment.name()) : out;
       Files.createDirectories(folder);
-      String other = otherExperiment(folder, experiment);
-      if (!other.isEmpty()) {
-        return faulty(spec, other);
+      String conflict = otherExperiment(folder, experiment);
+      if (!conflict.isEmpty()) {
+        return usageError(spec, conflict);
       }
-      new YAMLMapper().writeValue(folder.resolve(FILE).toFile(), experiment.file());
-      List<Row> rows = new Runner(experiment, threads == null ? Runtime.getRuntime().availableProcessors() : threads,
-          System.err).run(folder.resolve(ROWS));
+      new YAMLMapper().writeValue(folder.resolve(EXPERIMENT_FILE).toFile(), experiment.source());
+      List<Row> rows = new ExperimentRunner(experiment, threads == null ? Runtime.getRuntime().availableProcessors() : threads,
+          System.err).run(folder.resolve(ROWS_FILE));
       Report report = new Report(experiment, rows);
       report.write(folder);
       spec.commandLine().getOut().println(report.markdown());
       spec.commandLine().getOut().println("kept in " + folder);
-      return report.isSound() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
+      return report.isSuccessful() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
     }
 
     /** Rows of another experiment must not be taken for this one's. */
     private static String otherExperiment(Path folder, Experiment experiment) throws IOException {
-      Path before = folder.resolve(FILE);
-      if (Files.exists(before) && Files.exists(folder.resolve(ROWS))
-          && !new YAMLMapper().readTree(before.toFile()).equals(new YAMLMapper().readTree(
-              new YAMLMapper().writeValueAsString(experiment.file())))) {
+      Path keptFile = folder.resolve(EXPERIMENT_FILE);
+      if (Files.exists(keptFile) && Files.exists(folder.resolve(ROWS_FILE))
+          && !new YAMLMapper().readTree(keptFile.toFile()).equals(new YAMLMapper().readTree(
+              new YAMLMapper().writeValueAsString(experiment.source())))) {
         return folder + " holds the rows of another experiment, or of this one before it was changed; allowed: another --out";
       }
       return "";
@@ -90,41 +90,41 @@
       description = "Compare two results of one experiment, paired by policy, point and seed: A is before, B is after.")
   public static final class Compare implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "A", description = "A folder of results.")
-    private Path before;
+    private Path beforeFolder;
 
     @Parameters(index = "1", paramLabel = "B", description = "Another.")
-    private Path after;
+    private Path afterFolder;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() throws IOException {
-      for (Path folder : List.of(before, after)) {
-        if (!Files.exists(folder.resolve(ROWS))) {
-          return faulty(spec, folder + " holds no results; allowed: a folder that 'lab run' left");
+      for (Path folder : List.of(beforeFolder, afterFolder)) {
+        if (!Files.exists(folder.resolve(ROWS_FILE))) {
+          return usageError(spec, folder + " holds no results; allowed: a folder that 'lab run' left");
         }
       }
-      Map<String, Row> one = RowFile.read(before.resolve(ROWS));
-      Map<String, Row> other = RowFile.read(after.resolve(ROWS));
+      Map<String, Row> beforeRows = RowFile.read(beforeFolder.resolve(ROWS_FILE));
+      Map<String, Row> afterRows = RowFile.read(afterFolder.resolve(ROWS_FILE));
       Map<String, List<Row>> groups = new LinkedHashMap<>();
-      one.values().stream().filter(row -> other.containsKey(row.key())).forEach(row -> groups.computeIfAbsent(
-          row.policy() + (row.point().isEmpty() ? "" : " at " + row.point()), name -> new ArrayList<>()).add(row));
+      beforeRows.values().stream().filter(row -> afterRows.containsKey(row.key())).forEach(row -> groups.computeIfAbsent(
+          row.policy() + (row.point().isEmpty() ? "" : " at " + row.point()), groupName -> new ArrayList<>()).add(row));
       if (groups.isEmpty()) {
-        return faulty(spec, before + " and " + after + " have no run in common");
+        return usageError(spec, beforeFolder + " and " + afterFolder + " have no run in common");
       }
       spec.commandLine().getOut().println("| runs | figure | before | after | difference |\n| --- | --- | --- | --- | --- |");
-      groups.forEach((name, rows) -> rows.get(0).figures().keySet().forEach(figure -> print(name, figure, rows, other)));
+      groups.forEach((groupName, rows) -> rows.get(0).figures().keySet().forEach(figure -> print(groupName, figure, rows, afterRows)));
       return CommandLine.ExitCode.OK;
     }
 
-    private void print(String name, String figure, List<Row> rows, Map<String, Row> other) {
-      List<Double> was = rows.stream().map(row -> row.figures().get(figure)).toList();
-      List<Double> is = rows.stream().map(row -> other.get(row.key()).figures().getOrDefault(figure, Double.NaN)).toList();
-      Statistics.Mean difference = Statistics.difference(is, was);
-      if (difference.isClear()) {
-        spec.commandLine().getOut().println(String.format(Locale.ROOT, "| %s | %s | %.4g | %.4g | %+.4g ±%.2g |", name, figure,
-            Statistics.mean(was).mean(), Statistics.mean(is).mean(), difference.mean(), difference.half()));
+    private void print(String groupName, String figure, List<Row> rows, Map<String, Row> afterRows) {
+      List<Double> beforeValues = rows.stream().map(row -> row.figures().get(figure)).toList();
+      List<Double> afterValues = rows.stream().map(row -> afterRows.get(row.key()).figures().getOrDefault(figure, Double.NaN)).toList();
+      Statistics.Mean difference = Statistics.difference(afterValues, beforeValues);
+      if (difference.isSignificant()) {
+        spec.commandLine().getOut().println(String.format(Locale.ROOT, "| %s | %s | %.4g | %.4g | %+.4g ±%.2g |", groupName, figure,
+            Statistics.mean(beforeValues).mean(), Statistics.mean(afterValues).mean(), difference.mean(), difference.halfWidth()));
       }
     }
   }
@@ -141,12 +141,12 @@
     @Override
     public Integer call() throws IOException {
       if (!Files.isDirectory(folder)) {
-        return faulty(spec, folder + " is no folder; allowed: one that holds folders of results");
+        return usageError(spec, folder + " is no folder; allowed: one that holds folders of results");
       }
       try (Stream<Path> folders = Files.list(folder)) {
-        for (Path one : folders.filter(path -> Files.exists(path.resolve(ROWS))).sorted().toList()) {
-          var file = new YAMLMapper().readTree(one.resolve(FILE).toFile());
-          spec.commandLine().getOut().println(one.getFileName() + ": " + RowFile.read(one.resolve(ROWS)).size()
+        for (Path resultFolder : folders.filter(path -> Files.exists(path.resolve(ROWS_FILE))).sorted().toList()) {
+          var file = new YAMLMapper().readTree(resultFolder.resolve(EXPERIMENT_FILE).toFile());
+          spec.commandLine().getOut().println(resultFolder.getFileName() + ": " + RowFile.read(resultFolder.resolve(ROWS_FILE)).size()
               + " runs; " + file.path("question").asText());
         }
       }
@@ -171,11 +171,11 @@
     @Override
     public Integer call() {
       if (keys < 1 || keys > 10_000_000) {
-        return faulty(spec, "--keys: found " + keys + "; allowed: 1 to 10000000");
+        return usageError(spec, "--keys: found " + keys + "; allowed: 1 to 10000000");
       }
       for (double weight : weights) {
         if (!(weight > 0 && weight <= 1000)) {
-          return faulty(spec, "--weights: found " + weight + "; allowed: above 0 to 1000");
+          return usageError(spec, "--weights: found " + weight + "; allowed: above 0 to 1000");
         }
       }
       spec.commandLine().getOut().print(new PlacementTable(keys, weights).markdown());
--- a/lab/src/main/java/lemondeal/lab/experiment/ExperimentFile.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExperimentFile.java
@@ -21,7 +21,7 @@
 /** An experiment's file as a tree, held to its schema; what is allowed at a place is the schema's own description. */
 final class ExperimentFile {
   private static final YAMLMapper YAML = YAMLMapper.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
-  private static final int SHOWN = 60;
+  private static final int MAX_SHOWN_LENGTH = 60;
   private static final JsonSchema SCHEMA = schema();
 
   private ExperimentFile() {}
@@ -40,61 +40,61 @@
     try {
       root = YAML.readTree(Files.readString(file));
     } catch (JsonProcessingException e) {
-      throw new FileFaults(file, List.of(e.getLocation() == null ? e.getOriginalMessage()
+      throw new InvalidFileException(file, List.of(e.getLocation() == null ? e.getOriginalMessage()
           : "line " + e.getLocation().getLineNr() + ", column " + e.getLocation().getColumnNr() + ": "
               + e.getOriginalMessage().lines().findFirst().orElse("no YAML")));
     } catch (IOException e) {
-      throw new FileFaults(file, List.of("can't be read: " + e.getMessage()));
+      throw new InvalidFileException(file, List.of("can't be read: " + e.getMessage()));
     }
-    List<String> faults = faults(root);
-    if (!faults.isEmpty()) {
-      throw new FileFaults(file, faults);
+    List<String> errors = validate(root);
+    if (!errors.isEmpty()) {
+      throw new InvalidFileException(file, errors);
     }
     return root;
   }
 
   /** What the schema finds wrong with a tree, in the order of places; empty where nothing is. */
-  static List<String> faults(JsonNode root) {
-    TreeSet<String> faults = new TreeSet<>();
+  static List<String> validate(JsonNode root) {
+    TreeSet<String> errors = new TreeSet<>();
     for (ValidationMessage message : SCHEMA.validate(root)) {
-      faults.add(fault(root, message));
+      errors.add(describe(root, message));
     }
-    return new ArrayList<>(faults);
+    return new ArrayList<>(errors);
   }
 
-  private static String fault(JsonNode root, ValidationMessage message) {
+  private static String describe(JsonNode root, ValidationMessage message) {
     JsonNodePath path = message.getInstanceLocation();
-    StringBuilder name = new StringBuilder();
+    StringBuilder location = new StringBuilder();
     JsonNode found = root;
-    JsonNode allowed = SCHEMA.getSchemaNode();
+    JsonNode schema = SCHEMA.getSchemaNode();
     for (int i = 0; i < path.getNameCount(); i++) {
       Object step = path.getElement(i);
-      boolean place = step instanceof Integer;
-      name.append(place ? "[" + step + "]" : (name.isEmpty() ? "" : ".") + step);
-      found = place ? found.path((Integer) step) : found.path(step.toString());
-      allowed = resolved(place ? allowed.path("items") : allowed.path("properties").has(step.toString())
-          ? allowed.path("properties").path(step.toString()) : allowed.path("additionalProperties"));
+      boolean isIndex = step instanceof Integer;
+      location.append(isIndex ? "[" + step + "]" : (location.isEmpty() ? "" : ".") + step);
+      found = isIndex ? found.path((Integer) step) : found.path(step.toString());
+      schema = resolveReference(isIndex ? schema.path("items") : schema.path("properties").has(step.toString())
+          ? schema.path("properties").path(step.toString()) : schema.path("additionalProperties"));
     }
-    String where = name.isEmpty() ? "the file" : name.toString();
+    String shownLocation = location.isEmpty() ? "the file" : location.toString();
     String key = message.getProperty();
     return switch (message.getType()) {
-      case "additionalProperties" -> where + ": unknown key '" + key + "'; allowed: " + description(allowed);
-      case "required" -> where + ": the key '" + key + "' is missing; allowed: "
-          + description(resolved(allowed.path("properties").path(key)));
-      default -> where + ": found " + shown(found) + "; allowed: " + description(allowed);
+      case "additionalProperties" -> shownLocation + ": unknown key '" + key + "'; allowed: " + allowedValues(schema);
+      case "required" -> shownLocation + ": the key '" + key + "' is missing; allowed: "
+          + allowedValues(resolveReference(schema.path("properties").path(key)));
+      default -> shownLocation + ": found " + abbreviate(found) + "; allowed: " + allowedValues(schema);
     };
   }
 
-  private static JsonNode resolved(JsonNode node) {
+  private static JsonNode resolveReference(JsonNode node) {
     return node.has("$ref") ? SCHEMA.getSchemaNode().at(node.get("$ref").asText().substring(1)) : node;
   }
 
-  private static String description(JsonNode node) {
+  private static String allowedValues(JsonNode node) {
     return node.path("description").asText("see docs/EXPERIMENTS.md");
   }
 
-  private static String shown(JsonNode found) {
+  private static String abbreviate(JsonNode found) {
     String text = found.toString();
-    return text.length() <= SHOWN ? text : text.substring(0, SHOWN) + "...";
+    return text.length() <= MAX_SHOWN_LENGTH ? text : text.substring(0, MAX_SHOWN_LENGTH) + "...";
   }
 }
--- a/lab/src/main/java/lemondeal/lab/experiment/Runner.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExperimentRunner.java
@@ -12,19 +12,19 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import lemondeal.lab.emulator.Breach;
-import lemondeal.lab.emulator.World;
+import lemondeal.lab.emulator.Simulation;
 import lemondeal.lab.emulator.policy.Policies;
 
 /** Plays an experiment's runs on several threads, each run on one; rows go to disk as they come in. */
-final class Runner {
-  private static final int TOLD = 20;
+final class ExperimentRunner {
+  private static final int PROGRESS_LINES = 20;
 
   private final Experiment experiment;
   private final int threads;
   private final PrintStream progress;
-  private int done;
+  private int finishedRuns;
 
-  Runner(Experiment experiment, int threads, PrintStream progress) {
+  ExperimentRunner(Experiment experiment, int threads, PrintStream progress) {
     this.experiment = experiment;
     this.threads = threads;
     this.progress = progress;
@@ -33,25 +33,25 @@
   /** All rows, in the experiment's order whatever the order in which they came in; those in the file are not played again. */
   List<Row> run(Path file) throws IOException, InterruptedException {
     Map<String, Row> rows = RowFile.read(file);
-    done = rows.size();
-    if (done > 0) {
-      progress.println(done + " of " + experiment.runs() + " runs are there already");
+    finishedRuns = rows.size();
+    if (finishedRuns > 0) {
+      progress.println(finishedRuns + " of " + experiment.runCount() + " runs are there already");
     }
-    Map<String, Future<Row>> out = new LinkedHashMap<>();
+    Map<String, Future<Row>> futures = new LinkedHashMap<>();
     ExecutorService pool = Executors.newFixedThreadPool(threads);
-    try (RowFile to = RowFile.append(file)) {
+    try (RowFile rowFile = RowFile.append(file)) {
       for (Experiment.Point point : experiment.points()) {
         for (long seed : experiment.seeds()) {
           for (String policy : experiment.policies()) {
             String key = Row.key(policy, point.name(), seed);
             if (!rows.containsKey(key)) {
-              out.put(key, pool.submit(() -> played(policy, point, seed, to)));
+              futures.put(key, pool.submit(() -> runOnce(policy, point, seed, rowFile)));
             }
           }
         }
       }
-      for (Map.Entry<String, Future<Row>> one : out.entrySet()) {
-        rows.put(one.getKey(), one.getValue().get());
+      for (Map.Entry<String, Future<Row>> entry : futures.entrySet()) {
+        rows.put(entry.getKey(), entry.getValue().get());
       }
     } catch (ExecutionException e) {
       throw new IOException("a run failed: " + e.getCause(), e);
@@ -62,32 +62,32 @@
   }
 
   private List<Row> inOrder(Map<String, Row> rows) {
-    List<Row> all = new ArrayList<>();
+    List<Row> ordered = new ArrayList<>();
     for (Experiment.Point point : experiment.points()) {
       for (String policy : experiment.policies()) {
         for (long seed : experiment.seeds()) {
-          all.add(rows.get(Row.key(policy, point.name(), seed)));
+          ordered.add(rows.get(Row.key(policy, point.name(), seed)));
         }
       }
     }
-    return all;
+    return ordered;
   }
 
-  private Row played(String policy, Experiment.Point point, long seed, RowFile to) throws IOException {
-    World.Result result = new World(point.scenario(), Policies.named(policy), seed).run();
+  private Row runOnce(String policy, Experiment.Point point, long seed, RowFile rowFile) throws IOException {
+    Simulation.Result result = new Simulation(point.scenario(), Policies.byName(policy), seed).run();
     List<Breach> breaches = result.breaches();
-    Row row = new Row(policy, point.name(), seed, result.figures(), result.course(), result.breachCounts(),
-        breaches.isEmpty() ? "" : breaches.get(0).toString(), Long.toHexString(result.digest()), result.events());
-    to.add(row);
-    tell();
+    Row row = new Row(policy, point.name(), seed, result.figures(), result.servedOverTime(), result.breachCounts(),
+        breaches.isEmpty() ? "" : breaches.get(0).toString(), Long.toHexString(result.digest()), result.eventCount());
+    rowFile.add(row);
+    reportProgress();
     return row;
   }
 
-  private synchronized void tell() {
-    done++;
-    int every = Math.max(1, experiment.runs() / TOLD);
-    if (done % every == 0 || done == experiment.runs()) {
-      progress.println(done + " of " + experiment.runs() + " runs");
+  private synchronized void reportProgress() {
+    finishedRuns++;
+    int interval = Math.max(1, experiment.runCount() / PROGRESS_LINES);
+    if (finishedRuns % interval == 0 || finishedRuns == experiment.runCount()) {
+      progress.println(finishedRuns + " of " + experiment.runCount() + " runs");
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/experiment/Expressions.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Expressions.java
@@ -18,20 +18,20 @@
   private Expressions() {}
 
   /** Ends the reading at the first mistake, and keeps it. */
-  private static final class Mistakes extends BaseErrorListener {
-    private ExpressionException first;
+  private static final class FirstErrorListener extends BaseErrorListener {
+    private ExpressionException firstError;
 
     @Override
-    public void syntaxError(Recognizer<?, ?> at, Object symbol, int line, int column, String message,
+    public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
         RecognitionException e) {
       if (symbol instanceof Token token) {
-        String allowed = ((Parser) at).getExpectedTokens().toString(ExperimentGrammarParser.VOCABULARY)
+        String allowed = ((Parser) recognizer).getExpectedTokens().toString(ExperimentGrammarParser.VOCABULARY)
             .replace("{", "").replace("}", "").replace("TIME", "a time, as 10s").replace("NUMBER", "a number")
             .replace("WORD", "a name").replace("COMPARISON", "<, <=, =, >=, >").replace("<EOF>", "the end");
-        first = new ExpressionException(column + 1, "found " + (token.getType() == Token.EOF ? "the end"
+        firstError = new ExpressionException(column + 1, "found " + (token.getType() == Token.EOF ? "the end"
             : "'" + token.getText() + "'") + "; allowed: " + allowed);
       } else {
-        first = new ExpressionException(column + 1, "found a character that no expression has; allowed: words, numbers,"
+        firstError = new ExpressionException(column + 1, "found a character that no expression has; allowed: words, numbers,"
             + " times and comparisons");
       }
       throw new ParseCancellationException();
@@ -39,17 +39,17 @@
   }
 
   private static <T> T parse(String text, Function<ExperimentGrammarParser, T> rule) throws ExpressionException {
-    Mistakes mistakes = new Mistakes();
+    FirstErrorListener errorListener = new FirstErrorListener();
     ExperimentGrammarLexer lexer = new ExperimentGrammarLexer(CharStreams.fromString(text));
     lexer.removeErrorListeners();
-    lexer.addErrorListener(mistakes);
+    lexer.addErrorListener(errorListener);
     ExperimentGrammarParser parser = new ExperimentGrammarParser(new CommonTokenStream(lexer));
     parser.removeErrorListeners();
-    parser.addErrorListener(mistakes);
+    parser.addErrorListener(errorListener);
     try {
       return rule.apply(parser);
     } catch (ParseCancellationException e) {
-      throw mistakes.first;
+      throw errorListener.firstError;
     }
   }
 
@@ -61,63 +61,63 @@
    * @param fleets names of which a fault may say "of"
    * @param zones how many zones there are
    */
-  static Fault fault(String text, Collection<String> fleets, int zones) throws ExpressionException {
-    ExperimentGrammarParser.FaultContext in = parse(text, ExperimentGrammarParser::fault);
-    long at = micros(in.TIME(0).getText());
-    long length = in.TIME().size() > 1 ? micros(in.TIME(1).getText()) : 0;
-    ExperimentGrammarParser.WhatContext what = in.what();
-    if (what instanceof ExperimentGrammarParser.SlowContext one) {
-      return some(at, Fault.Kind.SLOW, one.some(), number(one.NUMBER()), length, fleets, false);
-    } else if (what instanceof ExperimentGrammarParser.HangContext one) {
-      return some(at, Fault.Kind.HANG, one.some(), 1, length, fleets, false);
-    } else if (what instanceof ExperimentGrammarParser.KillContext one) {
-      return some(at, Fault.Kind.KILL, one.some(), 1, length, fleets, true);
-    } else if (what instanceof ExperimentGrammarParser.DrainContext one) {
-      return some(at, Fault.Kind.DRAIN, one.some(), 1, length, fleets, false);
-    } else if (what instanceof ExperimentGrammarParser.ReplaceContext one) {
-      return some(at, Fault.Kind.REPLACE, one.some(), 1, length, fleets, false);
-    } else if (what instanceof ExperimentGrammarParser.CutContext one) {
-      double zone = number(one.NUMBER());
-      if (zone != Math.rint(zone) || zone >= zones) {
-        throw new ExpressionException(column(one.NUMBER().getSymbol()), "found zone " + one.NUMBER().getText()
-            + "; allowed: 0 to " + (zones - 1));
+  static Fault parseFault(String text, Collection<String> poolNames, int zoneCount) throws ExpressionException {
+    ExperimentGrammarParser.FaultContext context = parse(text, ExperimentGrammarParser::fault);
+    long startTime = parseMicros(context.TIME(0).getText());
+    long duration = context.TIME().size() > 1 ? parseMicros(context.TIME(1).getText()) : 0;
+    ExperimentGrammarParser.WhatContext kindContext = context.what();
+    if (kindContext instanceof ExperimentGrammarParser.SlowContext matched) {
+      return parseTargets(startTime, Fault.Kind.SLOW, matched.some(), parseNumber(matched.NUMBER()), duration, poolNames, false);
+    } else if (kindContext instanceof ExperimentGrammarParser.HangContext matched) {
+      return parseTargets(startTime, Fault.Kind.HANG, matched.some(), 1, duration, poolNames, false);
+    } else if (kindContext instanceof ExperimentGrammarParser.KillContext matched) {
+      return parseTargets(startTime, Fault.Kind.KILL, matched.some(), 1, duration, poolNames, true);
+    } else if (kindContext instanceof ExperimentGrammarParser.DrainContext matched) {
+      return parseTargets(startTime, Fault.Kind.DRAIN, matched.some(), 1, duration, poolNames, false);
+    } else if (kindContext instanceof ExperimentGrammarParser.ReplaceContext matched) {
+      return parseTargets(startTime, Fault.Kind.REPLACE, matched.some(), 1, duration, poolNames, false);
+    } else if (kindContext instanceof ExperimentGrammarParser.CutContext matched) {
+      double zone = parseNumber(matched.NUMBER());
+      if (zone != Math.rint(zone) || zone >= zoneCount) {
+        throw new ExpressionException(column(matched.NUMBER().getSymbol()), "found zone " + matched.NUMBER().getText()
+            + "; allowed: 0 to " + (zoneCount - 1));
       }
-      return new Fault(at, Fault.Kind.CUT, 0, "", zone, length);
-    } else if (what instanceof ExperimentGrammarParser.DiscoveryContext) {
-      return new Fault(at, Fault.Kind.DISCOVERY, 0, "", 1, length);
-    } else if (what instanceof ExperimentGrammarParser.StoreContext one) {
-      return new Fault(at, Fault.Kind.STORE, 0, "", number(one.NUMBER()), length);
+      return new Fault(startTime, Fault.Kind.CUT, 0, "", zone, duration);
+    } else if (kindContext instanceof ExperimentGrammarParser.DiscoveryContext) {
+      return new Fault(startTime, Fault.Kind.DISCOVERY, 0, "", 1, duration);
+    } else if (kindContext instanceof ExperimentGrammarParser.StoreContext matched) {
+      return new Fault(startTime, Fault.Kind.STORE, 0, "", parseNumber(matched.NUMBER()), duration);
     }
-    ExperimentGrammarParser.ReconnectContext one = (ExperimentGrammarParser.ReconnectContext) what;
-    double share = number(one.NUMBER());
+    ExperimentGrammarParser.ReconnectContext matched = (ExperimentGrammarParser.ReconnectContext) kindContext;
+    double share = parseNumber(matched.NUMBER());
     if (share > 1) {
-      throw new ExpressionException(column(one.NUMBER().getSymbol()), "found " + one.NUMBER().getText()
+      throw new ExpressionException(column(matched.NUMBER().getSymbol()), "found " + matched.NUMBER().getText()
           + "; allowed: a share of the clients, 0 to 1");
     }
-    return new Fault(at, Fault.Kind.RECONNECT, 0, "clients", share, length);
+    return new Fault(startTime, Fault.Kind.RECONNECT, 0, "clients", share, duration);
   }
 
-  private static Fault some(long at, Fault.Kind kind, ExperimentGrammarParser.SomeContext in, double factor, long length,
-      Collection<String> fleets, boolean proxiesToo) throws ExpressionException {
-    String whom = in.name().getText();
-    boolean known = fleets.contains(whom) || whom.equals("servers") || proxiesToo && whom.equals("proxies");
+  private static Fault parseTargets(long startTime, Fault.Kind kind, ExperimentGrammarParser.SomeContext context, double factor, long duration,
+      Collection<String> poolNames, boolean allowProxies) throws ExpressionException {
+    String target = context.name().getText();
+    boolean known = poolNames.contains(target) || target.equals("servers") || allowProxies && target.equals("proxies");
     if (!known) {
-      throw new ExpressionException(column(in.name()), "found '" + whom + "'; allowed: " + String.join(", ", fleets)
-          + ", servers" + (proxiesToo ? ", proxies" : ""));
+      throw new ExpressionException(column(context.name()), "found '" + target + "'; allowed: " + String.join(", ", poolNames)
+          + ", servers" + (allowProxies ? ", proxies" : ""));
     }
     if (factor <= 0) {
       throw new ExpressionException(1, "found a factor of 0; allowed: above 0");
     }
-    double count = in.NUMBER() == null ? 0 : number(in.NUMBER());
-    if (in.NUMBER() != null && (count < 1 || count != Math.rint(count))) {
-      throw new ExpressionException(column(in.NUMBER().getSymbol()), "found " + in.NUMBER().getText()
+    double count = context.NUMBER() == null ? 0 : parseNumber(context.NUMBER());
+    if (context.NUMBER() != null && (count < 1 || count != Math.rint(count))) {
+      throw new ExpressionException(column(context.NUMBER().getSymbol()), "found " + context.NUMBER().getText()
           + "; allowed: a whole number from 1, or all");
     }
-    return new Fault(at, kind, (int) count, whom, factor, length);
+    return new Fault(startTime, kind, (int) count, target, factor, duration);
   }
 
   /** Microseconds of a time such as 10s, 1.5s, 200ms or 2m. */
-  static long micros(String text) {
+  static long parseMicros(String text) {
     double unit = text.endsWith("ms") ? 1_000 : text.endsWith("s") ? 1_000_000 : 60_000_000;
     return Math.round(Double.parseDouble(text.replaceAll("[a-z]", "")) * unit);
   }
@@ -125,38 +125,38 @@
   // ---- Conditions -------------------------------------------------------------------------------
 
   /** One condition over figures of these names and policies. */
-  static Condition condition(String text, Collection<String> figures, Collection<String> policies)
+  static Condition parseCondition(String text, Collection<String> figureNames, Collection<String> policyNames)
       throws ExpressionException {
-    ExperimentGrammarParser.ConditionContext in = parse(text, ExperimentGrammarParser::condition);
-    return new Condition(text, side(in.side(0), figures, policies), in.COMPARISON().getText(),
-        side(in.side(1), figures, policies));
+    ExperimentGrammarParser.ConditionContext context = parse(text, ExperimentGrammarParser::condition);
+    return new Condition(text, parseSide(context.side(0), figureNames, policyNames), context.COMPARISON().getText(),
+        parseSide(context.side(1), figureNames, policyNames));
   }
 
-  private static Condition.Side side(ExperimentGrammarParser.SideContext in, Collection<String> figures,
-      Collection<String> policies) throws ExpressionException {
-    if (in instanceof ExperimentGrammarParser.NumberContext number) {
+  private static Condition.Side parseSide(ExperimentGrammarParser.SideContext context, Collection<String> figureNames,
+      Collection<String> policyNames) throws ExpressionException {
+    if (context instanceof ExperimentGrammarParser.NumberContext number) {
       return new Condition.Side(null, null, Double.parseDouble(number.getText()));
     }
-    ExperimentGrammarParser.FigureContext figure = (ExperimentGrammarParser.FigureContext) in;
+    ExperimentGrammarParser.FigureContext figure = (ExperimentGrammarParser.FigureContext) context;
     String name = figure.name(0).getText();
-    if (!figures.contains(name)) {
+    if (!figureNames.contains(name)) {
       throw new ExpressionException(column(figure.name(0)), "found the figure '" + name + "'; allowed: "
-          + String.join(", ", figures));
+          + String.join(", ", figureNames));
     }
     String policy = figure.name().size() > 1 ? figure.name(1).getText() : null;
-    if (policy != null && !policies.contains(policy)) {
+    if (policy != null && !policyNames.contains(policy)) {
       throw new ExpressionException(column(figure.name(1)), "found the policy '" + policy + "'; allowed: "
-          + String.join(", ", policies));
+          + String.join(", ", policyNames));
     }
-    return new Condition.Side(name, policy, figure.NUMBER() == null ? 1 : number(figure.NUMBER()));
+    return new Condition.Side(name, policy, figure.NUMBER() == null ? 1 : parseNumber(figure.NUMBER()));
   }
 
-  private static double number(org.antlr.v4.runtime.tree.TerminalNode node) {
+  private static double parseNumber(org.antlr.v4.runtime.tree.TerminalNode node) {
     return Double.parseDouble(node.getText());
   }
 
-  private static int column(ParserRuleContext in) {
-    return column(in.getStart());
+  private static int column(ParserRuleContext context) {
+    return column(context.getStart());
   }
 
   private static int column(Token token) {
--- a/lab/src/main/java/lemondeal/lab/experiment/PlacementTable.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/PlacementTable.java
@@ -39,17 +39,17 @@
 
   /** Markdown. */
   String markdown() {
-    double total = 0;
+    double totalWeight = 0;
     for (double weight : weights) {
-      total += weight;
+      totalWeight += weight;
     }
-    int last = weights.length - 1;
-    double[] without = weights.clone();
-    without[0] = 0;
-    double[] more = java.util.Arrays.copyOf(weights, weights.length + 1);
-    more[weights.length] = weights[0];
-    double[] heavier = weights.clone();
-    heavier[last] *= 2;
+    int lastIndex = weights.length - 1;
+    double[] withoutFirst = weights.clone();
+    withoutFirst[0] = 0;
+    double[] withNewServer = java.util.Arrays.copyOf(weights, weights.length + 1);
+    withNewServer[weights.length] = weights[0];
+    double[] withHeavierLast = weights.clone();
+    withHeavierLast[lastIndex] *= 2;
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
         %d keys, %d servers. Shares: the largest distance of a server's share of the keys from its share of the weights, as a
         part of the latter. Moved: the share of all keys that go to another server than before.
@@ -57,57 +57,57 @@
         | policy | shares | moved: first leaves | moved: one joins | moved: last twice as heavy |
         | --- | --- | --- | --- | --- |
         | what must be | 0.000 | %.4f | %.4f | %.4f |
-        """, keys, weights.length, weights[0] / total, weights[0] / (total + weights[0]),
-        2 * weights[last] / (total + weights[last]) - weights[last] / total));
+        """, keys, weights.length, weights[0] / totalWeight, weights[0] / (totalWeight + weights[0]),
+        2 * weights[lastIndex] / (totalWeight + weights[lastIndex]) - weights[lastIndex] / totalWeight));
     for (String policy : POLICIES) {
-      Map<String, String> before = placed(policy, weights);
-      table.append(String.format(Locale.ROOT, "| %s | %.3f | %.4f | %.4f | %.4f |%n", policy, error(before, total),
-          moved(before, placed(policy, without)), moved(before, placed(policy, more)),
-          moved(before, placed(policy, heavier))));
+      Map<String, String> before = placeKeys(policy, weights);
+      table.append(String.format(Locale.ROOT, "| %s | %.3f | %.4f | %.4f | %.4f |%n", policy, largestShareError(before, totalWeight),
+          movedShare(before, placeKeys(policy, withoutFirst)), movedShare(before, placeKeys(policy, withNewServer)),
+          movedShare(before, placeKeys(policy, withHeavierLast))));
     }
     return table.toString();
   }
 
-  private double error(Map<String, String> placed, double total) {
+  private double largestShareError(Map<String, String> serverByKey, double totalWeight) {
     Map<String, Integer> counts = new HashMap<>();
-    placed.values().forEach(server -> counts.merge(server, 1, Integer::sum));
+    serverByKey.values().forEach(server -> counts.merge(server, 1, Integer::sum));
     double worst = 0;
     for (int i = 0; i < weights.length; i++) {
-      double share = counts.getOrDefault(name(i), 0) / (double) keys;
-      worst = Math.max(worst, Math.abs(share / (weights[i] / total) - 1));
+      double share = counts.getOrDefault(serverName(i), 0) / (double) keys;
+      worst = Math.max(worst, Math.abs(share / (weights[i] / totalWeight) - 1));
     }
     return worst;
   }
 
-  private double moved(Map<String, String> before, Map<String, String> after) {
-    int moved = 0;
-    for (Map.Entry<String, String> one : before.entrySet()) {
-      moved += one.getValue().equals(after.get(one.getKey())) ? 0 : 1;
+  private double movedShare(Map<String, String> before, Map<String, String> after) {
+    int movedKeys = 0;
+    for (Map.Entry<String, String> entry : before.entrySet()) {
+      movedKeys += entry.getValue().equals(after.get(entry.getKey())) ? 0 : 1;
     }
-    return moved / (double) keys;
+    return movedKeys / (double) keys;
   }
 
-  private static String name(int server) {
-    return "10.0.0." + server + ":80";
+  private static String serverName(int index) {
+    return "10.0.0." + index + ":80";
   }
 
   /** The server of each key, as a proxy with this list places it. */
-  private Map<String, String> placed(String policy, double[] listed) {
-    Balancer module = Policies.named(policy).make(0, null);
-    Balancer.RequestClass any = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, SECOND,
+  private Map<String, String> placeKeys(String policy, double[] listedWeights) {
+    Balancer module = Policies.byName(policy).create(0, null);
+    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, SECOND,
         2 * SECOND, 1, 0);
-    module.on(0, new Start(1, new Balancer.Settings(0, 1, 0, List.of(any), List.of(),
+    module.on(0, new Start(1, new Balancer.Settings(0, 1, 0, List.of(requestClass), List.of(),
         new Balancer.Rules(20_000, SECOND, 4, 2 * SECOND, 1, 0, 0),
         new Balancer.Limits(1, true, false, false, false, true, SECOND, SECOND), new Balancer.Prices(0, 0, 0, 0, 0),
         Balancer.WeightMeaning.NOMINAL, true, false, false, false, false, 1)));
     List<ServerEntry> entries = new ArrayList<>();
-    for (int i = 0; i < listed.length; i++) {
-      if (listed[i] > 0) {
-        entries.add(new ServerEntry(name(i), 0, 0, 0, 0, ServerState.READY, listed[i]));
+    for (int i = 0; i < listedWeights.length; i++) {
+      if (listedWeights[i] > 0) {
+        entries.add(new ServerEntry(serverName(i), 0, 0, 0, 0, ServerState.READY, listedWeights[i]));
       }
     }
     module.on(0, new ServerList(1, ListKind.FULL, entries));
-    Map<String, String> placed = new HashMap<>();
+    Map<String, String> serverByKey = new HashMap<>();
     for (int i = 0; i < keys; i++) {
       String key = "key-" + i;
       // Far enough apart that nothing of the request before counts any more.
@@ -115,12 +115,12 @@
       for (Action action : module.on(now, new Arrived(new Request(key, now + 2 * SECOND, 0, key, null, Double.NaN, false,
           false, 0, false)))) {
         if (action instanceof Send send) {
-          placed.put(key, send.server());
+          serverByKey.put(key, send.server());
           module.on(now + 1_000, new Established(key, 0, send.server(), 1_000));
           module.on(now + 2_000, new Ended(key, 0, send.server(), Outcome.SERVED, 2_000, true, null));
         }
       }
     }
-    return placed;
+    return serverByKey;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/experiment/Report.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Report.java
@@ -24,9 +24,9 @@
   }
 
   /** Whether every expectation held and the first policy kept every rule: that baselines break some may be the finding. */
-  boolean isSound() {
+  boolean isSuccessful() {
     String first = experiment.policies().get(0);
-    return verdicts().stream().allMatch(Condition.Verdict::holds)
+    return evaluateExpectations().stream().allMatch(Condition.Verdict::holds)
         && rows.stream().allMatch(row -> !row.policy().equals(first) || row.breaches().isEmpty());
   }
 
@@ -40,7 +40,7 @@
     return values;
   }
 
-  private List<Condition.Verdict> verdicts() {
+  private List<Condition.Verdict> evaluateExpectations() {
     Map<String, Map<String, Double>> means = new LinkedHashMap<>();
     String point = experiment.points().get(0).name();
     for (String policy : experiment.policies()) {
@@ -50,23 +50,23 @@
       }
       means.put(policy, byFigure);
     }
-    return experiment.expect().stream().map(one -> one.judge(means, experiment.policies().get(0))).toList();
+    return experiment.expectations().stream().map(expectation -> expectation.evaluate(means, experiment.policies().get(0))).toList();
   }
 
   /** Breaches by policy and rule, with the first of each. */
-  private Map<String, String> breaches() {
+  private Map<String, String> breachSummaries() {
     Map<String, Integer> counts = new LinkedHashMap<>();
-    Map<String, String> first = new LinkedHashMap<>();
+    Map<String, String> firstBreaches = new LinkedHashMap<>();
     for (Row row : rows) {
       row.breaches().forEach((rule, count) -> {
         counts.merge(row.policy() + " " + rule, count, Integer::sum);
-        first.putIfAbsent(row.policy() + " " + rule, "seed " + row.seed() + (row.point().isEmpty() ? "" : ", "
+        firstBreaches.putIfAbsent(row.policy() + " " + rule, "seed " + row.seed() + (row.point().isEmpty() ? "" : ", "
             + row.point()) + ": " + row.firstBreach());
       });
     }
-    Map<String, String> told = new LinkedHashMap<>();
-    counts.forEach((what, count) -> told.put(what, count + " times, first: " + first.get(what)));
-    return told;
+    Map<String, String> summaries = new LinkedHashMap<>();
+    counts.forEach((policyAndRule, count) -> summaries.put(policyAndRule, count + " times, first: " + firstBreaches.get(policyAndRule)));
+    return summaries;
   }
 
   // ---- Text -------------------------------------------------------------------------------------
@@ -74,7 +74,7 @@
   /** The report as Markdown; charts are named beside it. */
   String markdown() {
     StringBuilder text = new StringBuilder("# " + experiment.name() + "\n\n" + experiment.question() + "\n\n"
-        + experiment.runs() + " runs: " + experiment.policies().size() + " policies, " + experiment.points().size()
+        + experiment.runCount() + " runs: " + experiment.policies().size() + " policies, " + experiment.points().size()
         + " point" + (experiment.points().size() == 1 ? "" : "s") + ", " + experiment.seeds().size()
         + " seeds. Means with their 95% intervals; differences are paired by seed against " + experiment.baseline()
         + ", and called one only where their interval leaves 0 out.\n");
@@ -82,32 +82,32 @@
       text.append("\n## ").append(point.name().isEmpty() ? "Figures" : point.name()).append("\n\n").append(table(point));
     }
     text.append("\n## Verdict\n\n");
-    Map<String, String> breaches = breaches();
-    if (breaches.isEmpty()) {
+    Map<String, String> breachSummaries = breachSummaries();
+    if (breachSummaries.isEmpty()) {
       text.append("- every rule was kept in every run\n");
     }
-    breaches.forEach((what, told) -> text.append("- BROKEN by ").append(what).append(": ").append(told).append('\n'));
-    for (Condition.Verdict verdict : verdicts()) {
+    breachSummaries.forEach((policyAndRule, summary) -> text.append("- BROKEN by ").append(policyAndRule).append(": ").append(summary).append('\n'));
+    for (Condition.Verdict verdict : evaluateExpectations()) {
       text.append("- ").append(verdict.holds() ? "holds: " : "DOES NOT HOLD: ").append(verdict.condition()).append(" (")
-          .append(verdict.why()).append(")\n");
+          .append(verdict.comparedValues()).append(")\n");
     }
     text.append("\n## Charts\n\n![course](course.svg)\n");
-    experiment.measure().forEach(figure -> text.append("\n![").append(figure).append("](").append(figure).append(".svg)\n"));
+    experiment.reportedFigures().forEach(figure -> text.append("\n![").append(figure).append("](").append(figure).append(".svg)\n"));
     return text.toString();
   }
 
   private String table(Experiment.Point point) {
     StringBuilder table = new StringBuilder("| policy |");
-    experiment.measure().forEach(figure -> table.append(' ').append(figure).append(" |"));
-    table.append("\n| --- |").append(" --- |".repeat(experiment.measure().size())).append('\n');
+    experiment.reportedFigures().forEach(figure -> table.append(' ').append(figure).append(" |"));
+    table.append("\n| --- |").append(" --- |".repeat(experiment.reportedFigures().size())).append('\n');
     for (String policy : experiment.policies()) {
       table.append("| ").append(policy).append(" |");
-      for (String figure : experiment.measure()) {
+      for (String figure : experiment.reportedFigures()) {
         List<Double> values = values(policy, point.name(), figure);
-        table.append(' ').append(shown(Statistics.mean(values)));
+        table.append(' ').append(format(Statistics.mean(values)));
         if (!policy.equals(experiment.baseline())) {
           Statistics.Mean difference = Statistics.difference(values, values(experiment.baseline(), point.name(), figure));
-          table.append(difference.isClear() ? difference.mean() > 0 ? " ▲" : " ▼" : "");
+          table.append(difference.isSignificant() ? difference.mean() > 0 ? " ▲" : " ▼" : "");
         }
         table.append(" |");
       }
@@ -116,23 +116,23 @@
     return table.append("\n▲ and ▼: clearly above or below ").append(experiment.baseline()).append(".\n").toString();
   }
 
-  private static String shown(Statistics.Mean mean) {
+  private static String format(Statistics.Mean mean) {
     String format = Math.abs(mean.mean()) >= 100 ? "%.0f" : Math.abs(mean.mean()) >= 10 ? "%.1f" : "%.3f";
     return String.format(Locale.ROOT, format, mean.mean())
-        + (Double.isNaN(mean.half()) ? "" : " ±" + String.format(Locale.ROOT, format, mean.half()));
+        + (Double.isNaN(mean.halfWidth()) ? "" : " ±" + String.format(Locale.ROOT, format, mean.halfWidth()));
   }
 
   // ---- The folder -------------------------------------------------------------------------------
 
   /** Writes everything but the rows, which are there. */
   void write(Path folder) throws IOException {
-    new YAMLMapper().writeValue(folder.resolve("experiment.yaml").toFile(), experiment.file());
-    Files.writeString(folder.resolve("machine.txt"), machine());
-    try (Writer out = Files.newBufferedWriter(folder.resolve("rows.csv"));
-        CSVPrinter csv = new CSVPrinter(out, CSVFormat.DEFAULT)) {
-      List<Object> head = new ArrayList<>(List.of("policy", "point", "seed", "digest", "events", "breaches"));
-      head.addAll(rows.get(0).figures().keySet());
-      csv.printRecord(head);
+    new YAMLMapper().writeValue(folder.resolve("experiment.yaml").toFile(), experiment.source());
+    Files.writeString(folder.resolve("machine.txt"), machineDescription());
+    try (Writer writer = Files.newBufferedWriter(folder.resolve("rows.csv"));
+        CSVPrinter csv = new CSVPrinter(writer, CSVFormat.DEFAULT)) {
+      List<Object> header = new ArrayList<>(List.of("policy", "point", "seed", "digest", "events", "breaches"));
+      header.addAll(rows.get(0).figures().keySet());
+      csv.printRecord(header);
       for (Row row : rows) {
         List<Object> cells = new ArrayList<>(List.of(row.policy(), row.point(), row.seed(), row.digest(), row.events(),
             row.breaches().values().stream().mapToInt(Integer::intValue).sum()));
@@ -143,16 +143,16 @@
     charts(folder);
     String markdown = markdown();
     Files.writeString(folder.resolve("report.md"), markdown);
-    Files.writeString(folder.resolve("index.html"), new Page(experiment.name()).of(markdown, folder));
+    Files.writeString(folder.resolve("index.html"), new HtmlPage(experiment.name()).render(markdown, folder));
   }
 
-  private static String machine() {
+  private static String machineDescription() {
     return "java " + System.getProperty("java.version") + "\nos " + System.getProperty("os.name") + " "
         + System.getProperty("os.arch") + "\nprocessors " + Runtime.getRuntime().availableProcessors() + "\n";
   }
 
   private void charts(Path folder) throws IOException {
-    for (String figure : experiment.measure()) {
+    for (String figure : experiment.reportedFigures()) {
       Map<String, Map<String, Statistics.Mean>> means = new LinkedHashMap<>();
       for (String policy : experiment.policies()) {
         Map<String, Statistics.Mean> byPoint = new LinkedHashMap<>();
@@ -163,15 +163,15 @@
       }
       Charts.figure(folder.resolve(figure + ".svg"), figure, means);
     }
-    Map<String, List<double[]>> courses = new LinkedHashMap<>();
+    Map<String, List<double[]>> servedByPolicy = new LinkedHashMap<>();
     for (String policy : experiment.policies()) {
-      courses.put(policy, course(policy, experiment.points().get(0).name()));
+      servedByPolicy.put(policy, meanServedOverTime(policy, experiment.points().get(0).name()));
     }
-    Charts.course(folder.resolve("course.svg"), experiment.points().get(0).name(), courses);
+    Charts.servedOverTime(folder.resolve("course.svg"), experiment.points().get(0).name(), servedByPolicy);
   }
 
   /** The mean course of all seeds. */
-  private List<double[]> course(String policy, String point) {
+  private List<double[]> meanServedOverTime(String policy, String point) {
     List<double[]> sum = new ArrayList<>();
     int count = 0;
     for (Row row : rows) {
@@ -185,8 +185,8 @@
         }
       }
     }
-    for (double[] at : sum) {
-      at[1] /= count;
+    for (double[] sample : sum) {
+      sample[1] /= count;
     }
     return sum;
   }
--- a/lab/src/main/java/lemondeal/lab/experiment/RowFile.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/RowFile.java
@@ -19,10 +19,10 @@
 final class RowFile implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final Writer out;
+  private final Writer writer;
 
-  private RowFile(Writer out) {
-    this.out = out;
+  private RowFile(Writer writer) {
+    this.writer = writer;
   }
 
   /** The rows that are there, by their keys. */
@@ -31,7 +31,7 @@
     if (!Files.exists(file)) {
       return rows;
     }
-    long whole = 0;
+    long completeBytes = 0;
     for (String line : Files.readString(file).split("(?<=\n)")) {
       if (!line.endsWith("\n")) {
         break;
@@ -42,11 +42,11 @@
       } catch (JsonProcessingException e) {
         throw new IOException(file + " holds a line that is no row: " + e.getOriginalMessage(), e);
       }
-      whole += line.getBytes(StandardCharsets.UTF_8).length;
+      completeBytes += line.getBytes(StandardCharsets.UTF_8).length;
     }
-    if (whole < Files.size(file)) {
-      try (RandomAccessFile cut = new RandomAccessFile(file.toFile(), "rw")) {
-        cut.setLength(whole);
+    if (completeBytes < Files.size(file)) {
+      try (RandomAccessFile truncated = new RandomAccessFile(file.toFile(), "rw")) {
+        truncated.setLength(completeBytes);
       }
     }
     return rows;
@@ -59,13 +59,13 @@
   }
 
   synchronized void add(Row row) throws IOException {
-    out.write(JSON.writeValueAsString(row));
-    out.write('\n');
-    out.flush();
+    writer.write(JSON.writeValueAsString(row));
+    writer.write('\n');
+    writer.flush();
   }
 
   @Override
   public void close() throws IOException {
-    out.close();
+    writer.close();
   }
 }
--- a/lab/src/main/java/lemondeal/lab/experiment/Statistics.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Statistics.java
@@ -12,10 +12,10 @@
    *
    * @param half half the width of the 95% interval; not a number for a single value
    */
-  record Mean(double mean, double half, int count) {
+  record Mean(double mean, double halfWidth, int count) {
     /** Whether the interval leaves 0 out: only then is a difference called one. */
-    boolean isClear() {
-      return count > 1 && Math.abs(mean) > half;
+    boolean isSignificant() {
+      return count > 1 && Math.abs(mean) > halfWidth;
     }
   }
 
@@ -31,19 +31,19 @@
     if (count < 2) {
       return new Mean(mean, Double.NaN, count);
     }
-    double squares = 0;
+    double squaredDeviations = 0;
     for (double value : values) {
-      squares += (value - mean) * (value - mean);
+      squaredDeviations += (value - mean) * (value - mean);
     }
-    double error = Math.sqrt(squares / (count - 1) / count);
-    return new Mean(mean, error * TDistribution.of(count - 1).inverseSurvivalProbability(TAIL), count);
+    double standardError = Math.sqrt(squaredDeviations / (count - 1) / count);
+    return new Mean(mean, standardError * TDistribution.of(count - 1).inverseSurvivalProbability(TAIL), count);
   }
 
   /** The mean of the differences of two lists, paired by place. */
-  static Mean difference(List<Double> one, List<Double> other) {
+  static Mean difference(List<Double> first, List<Double> second) {
     List<Double> differences = new java.util.ArrayList<>();
-    for (int i = 0; i < one.size(); i++) {
-      differences.add(one.get(i) - other.get(i));
+    for (int i = 0; i < first.size(); i++) {
+      differences.add(first.get(i) - second.get(i));
     }
     return mean(differences);
   }
--- a/lab/src/main/java/lemondeal/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/FleetCountCommand.java
@@ -18,7 +18,7 @@
 @Command(name = "fleet-count", mixinStandardHelpOptions = true, exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {"0:counted", "2:bad use, or no traced line there"},
     description = "Count what all proxies did together, from logs written with GW_TRACE set, a file a proxy.")
-public final class FleetCommand implements Callable<Integer> {
+public final class FleetCountCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FOLDER", description = "Where the files ending in .log are.")
   private Path folder;
 
@@ -32,17 +32,17 @@
   @Override
   public Integer call() throws IOException {
     if (!Files.isDirectory(folder)) {
-      throw bad(folder + " is no folder; allowed: one with .log files");
+      throw usageError(folder + " is no folder; allowed: one with .log files");
     }
     Prices prices = config == null ? null : prices();
-    FleetCount count = FleetCount.of(folder);
+    FleetTraceCounts count = FleetTraceCounts.read(folder);
     if (count.isEmpty()) {
-      throw bad(folder + " has no traced line; allowed: logs of proxies started with GW_TRACE set");
+      throw usageError(folder + " has no traced line; allowed: logs of proxies started with GW_TRACE set");
     }
     PrintWriter out = spec.commandLine().getOut();
     out.print(count.report());
     if (prices != null) {
-      out.print(count.priced("probe", prices.probe()) + count.priced("move", prices.move()));
+      out.print(count.costLine("probe", prices.probe()) + count.costLine("move", prices.move()));
     }
     // The command line's writer keeps what is not ended by println.
     out.flush();
@@ -53,11 +53,11 @@
     try {
       return Config.read(Map.of("GW_CONFIG", config.toString())).settings().prices();
     } catch (ConfigException e) {
-      throw bad(e.getMessage());
+      throw usageError(e.getMessage());
     }
   }
 
-  private CommandLine.ParameterException bad(String what) {
-    return new CommandLine.ParameterException(spec.commandLine(), what);
+  private CommandLine.ParameterException usageError(String message) {
+    return new CommandLine.ParameterException(spec.commandLine(), message);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/fleet/FleetCount.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/FleetTraceCounts.java
@@ -16,9 +16,9 @@
  * What all proxies of a fleet did together, from their traced logs: for each second and for each server, and the time
  * that requests waited for their first attempt and for their answer. What is fine in one proxy shows only here.
  */
-final class FleetCount {
+final class FleetTraceCounts {
   /** Answers to a request; whichever comes first ends its waiting. */
-  private static final List<String> ANSWERS = List.of("up", "refuse", "fail", "gone");
+  private static final List<String> ANSWER_EVENTS = List.of("up", "refuse", "fail", "gone");
 
   private final List<TraceLine> lines = new ArrayList<>();
   private final TreeSet<String> proxies = new TreeSet<>();
@@ -26,21 +26,21 @@
   private final TreeMap<String, TreeMap<String, Integer>> byServer = new TreeMap<>();
   /** Clients by their keys, the same at every try and every proxy: a price is one a first try. */
   private final TreeSet<String> clients = new TreeSet<>();
-  private final List<Long> untilSent = new ArrayList<>();
-  private final List<Long> untilAnswered = new ArrayList<>();
+  private final List<Long> firstAttemptWaits = new ArrayList<>();
+  private final List<Long> answerWaits = new ArrayList<>();
 
   /** Reads every file of the folder whose name ends in {@code .log}; other lines than traced ones are passed over. */
-  static FleetCount of(Path folder) throws IOException {
-    FleetCount count = new FleetCount();
+  static FleetTraceCounts read(Path folder) throws IOException {
+    FleetTraceCounts count = new FleetTraceCounts();
     try (Stream<Path> files = Files.list(folder)) {
       for (Path file : files.filter(f -> f.toString().endsWith(".log")).sorted().toList()) {
         // A proxy that was killed may have ended in the middle of a line, or of a character.
         for (String line : new String(Files.readAllBytes(file), StandardCharsets.UTF_8).split("\n")) {
-          count.add(TraceLine.read(line));
+          count.add(TraceLine.parse(line));
         }
       }
     }
-    count.reckon();
+    count.aggregate();
     return count;
   }
 
@@ -51,42 +51,42 @@
   }
 
   /** Counts what was added, in the order of the wall clock. */
-  void reckon() {
+  void aggregate() {
     lines.sort((a, b) -> Long.compare(a.millis(), b.millis()));
-    Map<String, long[]> waiting = new TreeMap<>();
+    Map<String, long[]> pending = new TreeMap<>();
     for (TraceLine line : lines) {
       proxies.add(line.proxy());
       long second = (line.millis() - lines.get(0).millis()) / 1000;
-      one(bySecond, String.format("%4d s", second), line.kind());
+      increment(bySecond, String.format("%4d s", second), line.counterName());
       if (line.server() != null) {
-        one(byServer, line.server(), line.kind());
+        increment(byServer, line.server(), line.counterName());
       }
-      if (line.values().containsKey("key")) {
-        clients.add(line.values().get("key"));
+      if (line.fields().containsKey("key")) {
+        clients.add(line.fields().get("key"));
       }
-      waited(waiting, line);
+      recordWait(pending, line);
     }
   }
 
-  private static void one(Map<String, TreeMap<String, Integer>> table, String row, String kind) {
+  private static void increment(Map<String, TreeMap<String, Integer>> table, String row, String kind) {
     table.computeIfAbsent(row, r -> new TreeMap<>()).merge(kind, 1, Integer::sum);
   }
 
   /** A proxy's ids are its own, and a process started anew begins them anew: what a killed one left waits no more. */
-  private void waited(Map<String, long[]> waiting, TraceLine line) {
-    if (line.word().equals("start")) {
-      waiting.keySet().removeIf(id -> id.startsWith(line.proxy() + " "));
+  private void recordWait(Map<String, long[]> pending, TraceLine line) {
+    if (line.eventName().equals("start")) {
+      pending.keySet().removeIf(id -> id.startsWith(line.proxy() + " "));
       return;
     }
-    String id = line.proxy() + " " + line.values().get("id");
-    long[] arrived = waiting.get(id);
-    if (line.word().equals("arrived")) {
-      waiting.put(id, new long[] {line.millis(), 0});
-    } else if (arrived != null && line.word().equals("send") && arrived[1]++ == 0) {
-      untilSent.add(line.millis() - arrived[0]);
-    } else if (arrived != null && ANSWERS.contains(line.word())) {
-      untilAnswered.add(line.millis() - arrived[0]);
-      waiting.remove(id);
+    String id = line.proxy() + " " + line.fields().get("id");
+    long[] arrival = pending.get(id);
+    if (line.eventName().equals("arrived")) {
+      pending.put(id, new long[] {line.millis(), 0});
+    } else if (arrival != null && line.eventName().equals("send") && arrival[1]++ == 0) {
+      firstAttemptWaits.add(line.millis() - arrival[0]);
+    } else if (arrival != null && ANSWER_EVENTS.contains(line.eventName())) {
+      answerWaits.add(line.millis() - arrival[0]);
+      pending.remove(id);
     }
   }
 
@@ -96,19 +96,19 @@
   }
 
   /** What this cost of the result, at a price that is due in full at one for each first try. */
-  String priced(String kind, double price) {
+  String costLine(String kind, double price) {
     int firstTries = Math.max(1, clients.size());
     return String.format(Locale.ROOT, "%s: %d at %s for %d first tries, %.4f of the result%n", kind, total(kind), price,
         firstTries, total(kind) * price / firstTries);
   }
 
   /** How often at this server. */
-  int at(String server, String kind) {
+  int totalAtServer(String server, String kind) {
     return byServer.getOrDefault(server, new TreeMap<>()).getOrDefault(kind, 0);
   }
 
-  List<Long> untilSent() {
-    return untilSent;
+  List<Long> firstAttemptWaits() {
+    return firstAttemptWaits;
   }
 
   boolean isEmpty() {
@@ -119,13 +119,13 @@
   String report() {
     return proxies.size() + " proxies, " + lines.size() + " lines\n\n"
         + table("second", bySecond) + "\n" + table("server", byServer) + "\n"
-        + waits("first attempt", untilSent) + waits("answer", untilAnswered);
+        + waitLine("first attempt", firstAttemptWaits) + waitLine("answer", answerWaits);
   }
 
-  private static String table(String first, TreeMap<String, TreeMap<String, Integer>> rows) {
+  private static String table(String firstColumn, TreeMap<String, TreeMap<String, Integer>> rows) {
     TreeMap<String, Integer> sums = new TreeMap<>();
     rows.values().forEach(row -> row.forEach((kind, n) -> sums.merge(kind, n, Integer::sum)));
-    StringBuilder text = new StringBuilder("| " + first + " | " + String.join(" | ", sums.keySet()) + " |\n|");
+    StringBuilder text = new StringBuilder("| " + firstColumn + " | " + String.join(" | ", sums.keySet()) + " |\n|");
     text.append(" --- |".repeat(sums.size() + 1)).append('\n');
     rows.forEach((name, row) -> text.append(row(name, row, sums)));
     return text.append(row("all", sums, sums)).toString();
@@ -137,10 +137,10 @@
     return text.append('\n').toString();
   }
 
-  private static String waits(String until, List<Long> waits) {
+  private static String waitLine(String milestone, List<Long> waits) {
     List<Long> sorted = waits.stream().sorted().toList();
     String line = "until the %s, ms: median %d, 99th percentile %d, most %d (%d requests)%n";
-    return sorted.isEmpty() ? "" : String.format(line, until, sorted.get(sorted.size() / 2), sorted.get(sorted.size() * 99 / 100), sorted.get(sorted.size() - 1),
+    return sorted.isEmpty() ? "" : String.format(line, milestone, sorted.get(sorted.size() / 2), sorted.get(sorted.size() * 99 / 100), sorted.get(sorted.size() - 1),
         sorted.size());
   }
 }
--- a/lab/src/main/java/lemondeal/lab/fleet/TraceLine.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/TraceLine.java
@@ -12,34 +12,34 @@
  * @param word what happened: {@code arrived}, {@code send}, {@code ended} and so on
  * @param values the names and values behind it, in their order
  */
-record TraceLine(String proxy, long millis, String word, Map<String, String> values) {
-  private static final Pattern LINE = Pattern.compile("\\btrace (\\S+) (\\d{1,18}) ([a-z]+)([^\"]*)");
+record TraceLine(String proxy, long millis, String eventName, Map<String, String> fields) {
+  private static final Pattern PATTERN = Pattern.compile("\\btrace (\\S+) (\\d{1,18}) ([a-z]+)([^\"]*)");
 
   /** The line, or null where it is another one. */
-  static TraceLine read(String line) {
-    Matcher found = LINE.matcher(line);
-    if (!found.find()) {
+  static TraceLine parse(String line) {
+    Matcher matcher = PATTERN.matcher(line);
+    if (!matcher.find()) {
       return null;
     }
-    Map<String, String> values = new LinkedHashMap<>();
-    for (String part : found.group(4).trim().split(" ")) {
-      int equals = part.indexOf('=');
+    Map<String, String> fields = new LinkedHashMap<>();
+    for (String field : matcher.group(4).trim().split(" ")) {
+      int equals = field.indexOf('=');
       if (equals > 0) {
-        values.put(part.substring(0, equals), part.substring(equals + 1));
+        fields.put(field.substring(0, equals), field.substring(equals + 1));
       }
     }
-    return new TraceLine(found.group(1), Long.parseLong(found.group(2)), found.group(3), values);
+    return new TraceLine(matcher.group(1), Long.parseLong(matcher.group(2)), matcher.group(3), fields);
   }
 
   /** What this line is counted as: the word, and how it ended where that matters. */
-  String kind() {
-    String outcome = values.get("outcome");
-    boolean told = outcome != null && !(word.equals("probed") && outcome.equals("SERVED"));
-    return told ? word + " " + outcome.toLowerCase(java.util.Locale.ROOT) : word;
+  String counterName() {
+    String outcome = fields.get("outcome");
+    boolean hasOutcome = outcome != null && !(eventName.equals("probed") && outcome.equals("SERVED"));
+    return hasOutcome ? eventName + " " + outcome.toLowerCase(java.util.Locale.ROOT) : eventName;
   }
 
   /** The server it is about, or null. */
   String server() {
-    return values.get("server");
+    return fields.get("server");
   }
 }
--- a/lab/src/main/java/lemondeal/lab/measure/ClaimRate.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ClaimThroughput.java
@@ -9,22 +9,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Stream;
-import lemondeal.claims.CasClaims;
+import lemondeal.claims.CasClaimService;
 import lemondeal.claims.CasStore;
 import lemondeal.claims.Claim;
 import lemondeal.claims.ClaimAnswer;
 import lemondeal.claims.DiskStore;
 import lemondeal.claims.FleetStore;
 import lemondeal.claims.MemoryStore;
-import lemondeal.lab.claims.ClaimStoreServer;
+import lemondeal.lab.claims.FakeClaimStore;
 import lemondeal.log.PlainLog;
 
 /** Claims a second of each maker: new sessions, claimed and settled, a bounded number under way. */
-final class ClaimRate {
-  private static final int UNDER_WAY = 64;
-  private static final long LEASE = 10_000;
+final class ClaimThroughput {
+  private static final int MAX_IN_FLIGHT = 64;
+  private static final long LEASE_MILLIS = 10_000;
 
-  private ClaimRate() {}
+  private ClaimThroughput() {}
 
   /** Claims a second over about so many milliseconds. */
   static double memory(long millis) throws InterruptedException {
@@ -35,7 +35,7 @@
     Path folder = Files.createTempDirectory("lemondeal-claims");
     try {
       return rate(DiskStore.open(folder, Integer.MAX_VALUE, System::currentTimeMillis, new PlainLog(System.err)),
-          UNDER_WAY, millis);
+          MAX_IN_FLIGHT, millis);
     } finally {
       try (Stream<Path> files = Files.walk(folder)) {
         files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
@@ -44,37 +44,37 @@
   }
 
   static double fleet(long millis) throws IOException, InterruptedException {
-    try (ClaimStoreServer server = new ClaimStoreServer()) {
-      return rate(FleetStore.open(List.of(server.address()), null, 5000, new PlainLog(System.err)), UNDER_WAY, millis);
+    try (FakeClaimStore server = new FakeClaimStore()) {
+      return rate(FleetStore.open(List.of(server.address()), null, 5000, new PlainLog(System.err)), MAX_IN_FLIGHT, millis);
     }
   }
 
-  private static double rate(CasStore store, int underWay, long millis) throws InterruptedException {
-    CasClaims claims = new CasClaims(store, System::currentTimeMillis);
-    run(claims, 0, underWay, millis / 4);
-    double rate = run(claims, 1, underWay, millis);
+  private static double rate(CasStore store, int maxInFlight, long millis) throws InterruptedException {
+    CasClaimService claims = new CasClaimService(store, System::currentTimeMillis);
+    run(claims, 0, maxInFlight, millis / 4);
+    double rate = run(claims, 1, maxInFlight, millis);
     claims.close();
     return rate;
   }
 
-  private static double run(CasClaims claims, int round, int underWay, long millis) throws InterruptedException {
-    Semaphore places = new Semaphore(underWay);
+  private static double run(CasClaimService claims, int round, int maxInFlight, long millis) throws InterruptedException {
+    Semaphore permits = new Semaphore(maxInFlight);
     AtomicLong granted = new AtomicLong();
-    long begun = System.nanoTime();
-    long end = begun + TimeUnit.MILLISECONDS.toNanos(millis);
-    for (long i = 0; System.nanoTime() < end; i++) {
-      places.acquire();
-      Claim claim = new Claim(String.format("%016x%016x", round, i), 16, "h", LEASE,
-          System.currentTimeMillis() + LEASE);
+    long startNanos = System.nanoTime();
+    long endNanos = startNanos + TimeUnit.MILLISECONDS.toNanos(millis);
+    for (long i = 0; System.nanoTime() < endNanos; i++) {
+      permits.acquire();
+      Claim claim = new Claim(String.format("%016x%016x", round, i), 16, "h", LEASE_MILLIS,
+          System.currentTimeMillis() + LEASE_MILLIS);
       claims.claim(claim, answer -> {
-        if (answer instanceof ClaimAnswer.Granted won) {
+        if (answer instanceof ClaimAnswer.Granted grant) {
           granted.incrementAndGet();
-          claims.settle(claim, won.fence());
+          claims.commit(claim, grant.fence());
         }
-        places.release();
+        permits.release();
       });
     }
-    places.acquire(underWay);
-    return granted.get() * 1e9 / (System.nanoTime() - begun);
+    permits.acquire(maxInFlight);
+    return granted.get() * 1e9 / (System.nanoTime() - startNanos);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import lemondeal.lab.Lines;
-import lemondeal.lab.ServeProcess;
-import lemondeal.lab.consul.ConsulSite;
-import lemondeal.lab.consul.ConsulStandIn;
-import lemondeal.lab.consul.ShortClients;
+import lemondeal.lab.LineConnection;
+import lemondeal.lab.ProxyProcess;
+import lemondeal.lab.consul.ConsulTestCluster;
+import lemondeal.lab.consul.FakeConsul;
+import lemondeal.lab.consul.ShortConnectionClients;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -44,7 +44,7 @@
 
   // ---- Drains ---------------------------------------------------------------------------------
 
-  private record Kind(String name, Consumer<String> change, Consumer<String> undo) {}
+  private record ChangeKind(String name, Consumer<String> change, Consumer<String> undo) {}
 
   private String drains() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder("""
@@ -54,33 +54,33 @@
         | change | plays | median ms | 99th ms | worst ms | after 1 s |
         | --- | --- | --- | --- | --- | --- |
         """);
-    try (ConsulSite site = new ConsulSite(3, 8, DAMPING); ShortClients clients = new ShortClients(site::front, 24, ConsulSite.CLASS)) {
-      ConsulStandIn consul = site.consul();
-      List<Kind> kinds = List.of(
-          new Kind("critical check", key -> consul.catalogue().status(key, "critical"), key -> consul.catalogue().status(key, "passing")),
-          new Kind("node leaves (serfHealth)", key -> consul.catalogue().check(key, "serfHealth", "critical"),
-              key -> consul.catalogue().check(key, "serfHealth", "passing")),
-          new Kind("maintenance", key -> consul.catalogue().maintenance(key, true), key -> consul.catalogue().maintenance(key, false)),
-          new Kind("warning with weight 0", key -> consul.catalogue().status(key, "warning"), key -> consul.catalogue().status(key, "passing")));
-      for (Kind kind : kinds) {
+    try (ConsulTestCluster site = new ConsulTestCluster(3, 8, DAMPING); ShortConnectionClients clients = new ShortConnectionClients(site::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
+      FakeConsul consul = site.consul();
+      List<ChangeKind> kinds = List.of(
+          new ChangeKind("critical check", key -> consul.catalogue().setStatus(key, "critical"), key -> consul.catalogue().setStatus(key, "passing")),
+          new ChangeKind("node leaves (serfHealth)", key -> consul.catalogue().setCheck(key, "serfHealth", "critical"),
+              key -> consul.catalogue().setCheck(key, "serfHealth", "passing")),
+          new ChangeKind("maintenance", key -> consul.catalogue().setMaintenance(key, true), key -> consul.catalogue().setMaintenance(key, false)),
+          new ChangeKind("warning with weight 0", key -> consul.catalogue().setStatus(key, "warning"), key -> consul.catalogue().setStatus(key, "passing")));
+      for (ChangeKind kind : kinds) {
         Histogram delays = new Histogram(3);
-        int late = 0;
-        for (int play = 0; play < repeats; play++) {
-          String name = "s-" + (1 + play % 8);
+        int lateCount = 0;
+        for (int round = 0; round < repeats; round++) {
+          String name = "s-" + (1 + round % 8);
           if (kind.name().startsWith("warning")) {
-            consul.catalogue().change(site.key(name), instance -> instance.warningWeight(0));
+            consul.catalogue().update(site.consulKey(name), instance -> instance.setWarningWeight(0));
           }
           long delay = drain(site, name, kind.change());
           delays.recordValue(delay);
-          late += delay > 1000 ? 1 : 0;
-          kind.undo().accept(site.key(name));
+          lateCount += delay > 1000 ? 1 : 0;
+          kind.undo().accept(site.consulKey(name));
           Thread.sleep(1500);
         }
         table.append(String.format(Locale.ROOT, "| %s | %d | %d | %d | %d | %d |%n", kind.name(), repeats,
-            delays.getValueAtPercentile(50), delays.getValueAtPercentile(99), delays.getMaxValue(), late));
+            delays.getValueAtPercentile(50), delays.getValueAtPercentile(99), delays.getMaxValue(), lateCount));
         progress.println("consul: " + kind.name() + " done");
       }
-      clients.end();
+      clients.stop();
       table.append("\nRequests without their one final answer: ").append(clients.breaches().size())
           .append("; answers: ").append(clients.counts()).append(".\n");
     }
@@ -88,19 +88,19 @@
   }
 
   /** Milliseconds from the change to the last new work at that server. */
-  private static long drain(ConsulSite site, String name, Consumer<String> change) throws InterruptedException {
-    long until = System.nanoTime() + 10_000 * MILLI;
-    long since = System.nanoTime();
-    while (site.server(name).lastOpenNanos() < since) {
-      if (System.nanoTime() > until) {
+  private static long drain(ConsulTestCluster site, String name, Consumer<String> change) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + 10_000 * MILLI;
+    long startNanos = System.nanoTime();
+    while (site.server(name).lastOpenNanos() < startNanos) {
+      if (System.nanoTime() > deadlineNanos) {
         throw new IllegalStateException(name + " gets no work before its change");
       }
       Thread.sleep(10);
     }
-    long changed = System.nanoTime();
-    change.accept(site.key(name));
+    long changedNanos = System.nanoTime();
+    change.accept(site.consulKey(name));
     Thread.sleep(2500);
-    return Math.max(0, site.server(name).lastOpenNanos() - changed) / MILLI;
+    return Math.max(0, site.server(name).lastOpenNanos() - changedNanos) / MILLI;
   }
 
   // ---- Sizes ----------------------------------------------------------------------------------
@@ -115,35 +115,35 @@
         | --- | --- | --- | --- | --- | --- |
         """, seconds));
     for (int size : sizes) {
-      try (ConsulSite site = new ConsulSite(0, 0, DAMPING + "\nmost_instances: 200000")) {
-        ConsulStandIn consul = site.consul();
+      try (ConsulTestCluster site = new ConsulTestCluster(0, 0, DAMPING + "\nmost_instances: 200000")) {
+        FakeConsul consul = site.consul();
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < size; i++) {
           // Nothing listens there: with no clients nothing is dialled.
-          keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulSite.SERVICE, "x-" + i, 1 + i % 60_000));
+          keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulTestCluster.SERVICE, "x-" + i, 1 + i % 60_000));
         }
         site.startProxy(0, 1);
-        ServeProcess proxy = site.proxies().get(0);
+        ProxyProcess proxy = site.proxies().get(0);
         Thread.sleep(2000);
-        ProcessFigures before = ProcessFigures.of(proxy.pid());
+        ProcessUsage before = ProcessUsage.of(proxy.pid());
         Histogram pings = new Histogram(3);
-        long end = System.nanoTime() + seconds * 1000 * MILLI;
+        long endNanos = System.nanoTime() + seconds * 1000 * MILLI;
         int changes = Math.max(1, size / 100);
-        int turn = 0;
+        int round = 0;
         long nextChange = System.nanoTime();
-        while (System.nanoTime() < end) {
+        while (System.nanoTime() < endNanos) {
           if (System.nanoTime() >= nextChange) {
             for (int i = 0; i < changes; i++) {
-              String key = keys.get((turn * changes + i) % size);
-              consul.catalogue().status(key, turn % 2 == 0 ? "critical" : "passing");
+              String key = keys.get((round * changes + i) % size);
+              consul.catalogue().setStatus(key, round % 2 == 0 ? "critical" : "passing");
             }
-            turn++;
+            round++;
             nextChange += 1000 * MILLI;
           }
           pings.recordValue(ping(proxy));
           Thread.sleep(20);
         }
-        ProcessFigures after = ProcessFigures.of(proxy.pid());
+        ProcessUsage after = ProcessUsage.of(proxy.pid());
         table.append(String.format(Locale.ROOT, "| %d | %.1f%% | %d | %.2f | %.2f | %.2f |%n", size,
             100 * (after.cpuSeconds() - before.cpuSeconds()) / seconds, after.residentKilobytes() / 1024,
             pings.getValueAtPercentile(50) / 1000.0, pings.getValueAtPercentile(99) / 1000.0,
@@ -158,13 +158,13 @@
    * Microseconds from a connection's start to its {@code PONG}: accepting and answering both wait for the I/O thread. A
    * connection of its own each time, since one that sends no first line is ended after a while.
    */
-  private static long ping(ServeProcess proxy) throws IOException {
-    long sent = System.nanoTime();
-    try (Lines ping = Lines.to(proxy.address())) {
-      ping.patience(5000);
-      ping.write("PING");
-      ping.read();
-      return Math.max(1, (System.nanoTime() - sent) / 1000);
+  private static long ping(ProxyProcess proxy) throws IOException {
+    long startNanos = System.nanoTime();
+    try (LineConnection connection = LineConnection.connect(proxy.address())) {
+      connection.setReadTimeout(5000);
+      connection.writeLines("PING");
+      connection.readLine();
+      return Math.max(1, (System.nanoTime() - startNanos) / 1000);
     } catch (SocketTimeoutException e) {
       return 5_000_000;
     }
@@ -181,24 +181,24 @@
         | --- | --- | --- | --- | --- |
         """, seconds));
     for (int fleet : fleets) {
-      try (ConsulSite site = new ConsulSite(0, 8, DAMPING)) {
+      try (ConsulTestCluster site = new ConsulTestCluster(0, 8, DAMPING)) {
         for (int i = 0; i < fleet; i++) {
           site.startProxy(i, fleet);
         }
-        ConsulStandIn consul = site.consul();
+        FakeConsul consul = site.consul();
         Thread.sleep(2000);
-        long before = consul.calls();
-        long end = System.nanoTime() + seconds * 1000 * MILLI;
-        for (int turn = 0; System.nanoTime() < end; turn++) {
-          consul.catalogue().status(site.key("s-" + (1 + turn % 8)), turn % 16 < 8 ? "warning" : "passing");
+        long before = consul.queryCount();
+        long endNanos = System.nanoTime() + seconds * 1000 * MILLI;
+        for (int round = 0; System.nanoTime() < endNanos; round++) {
+          consul.catalogue().setStatus(site.consulKey("s-" + (1 + round % 8)), round % 16 < 8 ? "warning" : "passing");
           Thread.sleep(1000);
         }
-        double calm = (consul.calls() - before) / (double) seconds;
-        consul.mood(ConsulStandIn.Mood.FAILS);
+        double calm = (consul.queryCount() - before) / (double) seconds;
+        consul.setResponseMode(FakeConsul.ResponseMode.FAILS);
         Thread.sleep(2000);
-        before = consul.calls();
+        before = consul.queryCount();
         Thread.sleep(seconds * 1000L);
-        double failing = (consul.calls() - before) / (double) seconds;
+        double failing = (consul.queryCount() - before) / (double) seconds;
         table.append(String.format(Locale.ROOT, "| %d | %.1f | %.2f | %.1f | %.2f |%n", fleet, calm, calm / fleet,
             failing, failing / fleet));
         progress.println("consul: " + fleet + " proxies done");
--- a/lab/src/main/java/lemondeal/lab/measure/EmulatorReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/EmulatorReport.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 import lemondeal.lab.emulator.Scenario;
-import lemondeal.lab.emulator.World;
+import lemondeal.lab.emulator.Simulation;
 import lemondeal.lab.emulator.policy.Policies;
 import org.openjdk.jmh.results.RunResult;
 import org.openjdk.jmh.runner.Runner;
@@ -51,18 +51,18 @@
 
   private String row(int[] size, String policy) {
     Scenario scenario = new Scenario(size[3], 0, 3, size[1],
-        List.of(new Scenario.Fleet("link", size[0], 8, 8, 10_000, 10_000, 0.3, 8 * SECOND, 0)),
+        List.of(new Scenario.ServerPool("link", size[0], 8, 8, 10_000, 10_000, 0.3, 8 * SECOND, 0)),
         List.of(new Scenario.ClientClass("chat", 1, 2_000, 0.8, 0, 0, 600 * SECOND, 1, 2_000, false, 500_000, 300_000,
             2 * SECOND, 1)), size[2], List.of(), 0, 0, 0, new Scenario.Network(500, 1_500), new Scenario.Store(0, 0),
-        new Scenario.Discovery(500, 300_000, 2 * SECOND), new Scenario.Front(2 * SECOND, 200_000, 4 * SECOND, 200_000, 12),
+        new Scenario.Discovery(500, 300_000, 2 * SECOND), new Scenario.FrontEnd(2 * SECOND, 200_000, 4 * SECOND, 200_000, 12),
         new Scenario.Rules(20_000, SECOND, 4, 2 * SECOND), List.of());
-    long began = System.nanoTime();
-    World.Result result = new World(scenario, Policies.named(policy), 1).run();
-    double seconds = (System.nanoTime() - began) / 1e9;
+    long startNanos = System.nanoTime();
+    Simulation.Result result = new Simulation(scenario, Policies.byName(policy), 1).run();
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
     long heap = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     progress.println("emulator: " + size[0] + " servers, " + policy + " done");
     return String.format(Locale.ROOT, "| %d | %d | %.0f | %s | %d | %.0f | %.1f | %.0f | %d |%n", size[0], size[1],
-        result.figures().get("clients"), policy, result.events(), result.events() / seconds, seconds,
+        result.figures().get("clients"), policy, result.eventCount(), result.eventCount() / seconds, seconds,
         result.figures().get("most-connections"), heap >> 20);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/measure/ProcessFigures.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ProcessUsage.java
@@ -5,16 +5,16 @@
 import java.nio.file.Path;
 
 /** What the kernel says of a process (Linux alone). */
-record ProcessFigures(double cpuSeconds, long residentKilobytes) {
+record ProcessUsage(double cpuSeconds, long residentKilobytes) {
   /** The kernel's clock ticks a second, the same on all machines of today. */
-  private static final double TICKS = 100;
-  private static final int USER_TICKS = 11;
+  private static final double TICKS_PER_SECOND = 100;
+  private static final int UTIME_FIELD = 11;
 
-  static ProcessFigures of(long pid) throws IOException {
+  static ProcessUsage of(long pid) throws IOException {
     String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
     String status = Files.readString(Path.of("/proc/" + pid + "/status"));
-    return new ProcessFigures((Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[USER_TICKS + 1])) / TICKS,
+    return new ProcessUsage((Long.parseLong(fields[UTIME_FIELD]) + Long.parseLong(fields[UTIME_FIELD + 1])) / TICKS_PER_SECOND,
         Long.parseLong(status.replaceAll("(?s).*VmRSS:\\s+([0-9]+).*", "$1")));
   }
 }
--- a/lab/src/main/java/lemondeal/lab/measure/TokenBenchmark.java
+++ b/lab/src/main/java/lemondeal/lab/measure/TokenBenchmark.java
@@ -27,21 +27,21 @@
 @Fork(value = 1, jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m"})
 public class TokenBenchmark {
   private final TokenCodec codec = new TokenCodec();
-  private final Key key = new Key("k20261201000000", Instant.EPOCH, new byte[Key.BYTES]);
+  private final Key key = new Key("k20261201000000", Instant.EPOCH, new byte[Key.SECRET_BYTES]);
   private final KeyRing ring = new KeyRing(key.id(), List.of(key));
   private final Token token = new Token("0123456789abcdef".repeat(2), 48, "order-sync", "0011223344556677", 123_456,
       7890, "s-5be2a07c", 1_700_000_000_000L, 1_700_000_060_000L);
-  private final String text = codec.write(token, key);
+  private final String text = codec.encode(token, key);
 
   /** Makes a token. */
   @Benchmark
   public String made() {
-    return codec.write(token, key);
+    return codec.encode(token, key);
   }
 
   /** Checks a token that is good. */
   @Benchmark
   public Token checked() throws TokenException {
-    return codec.read(text, ring);
+    return codec.decode(text, ring);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/site/SiteFault.java
+++ b/lab/src/main/java/lemondeal/lab/site/ClusterFault.java
@@ -15,16 +15,16 @@
  * @param passage how bytes pass meanwhile; null where it is no fault of the network
  * @param lengthMillis 0 where it has no end
  */
-public record SiteFault(long atMillis, Kind kind, List<Integer> from, List<Integer> to, boolean bothWays,
-    Passage passage, long lengthMillis) {
+public record ClusterFault(long startMillis, Kind kind, List<Integer> fromProxies, List<Integer> toProxies, boolean bothDirections,
+    NetworkConditions conditions, long durationMillis) {
 
   /** What can happen: between proxies, or (STOP, KILL) to them. */
   public enum Kind { CUT, STALL, DELAY, LOSE, THROTTLE, STOP, KILL }
 
   private static final String TIME = "\\d+(?:\\.\\d+)?(?:ms|s|m)";
-  private static final String WHO = "all|n\\d+(?:,n\\d+)*";
-  private static final Pattern FORM = Pattern.compile("at (?<at>" + TIME + ")"
-      + " (?<kind>cut|stall|delay|lose|throttle|stop|kill) (?<from>" + WHO + ")(?: (?<way>to|from) (?<to>" + WHO + "))?"
+  private static final String PROXIES = "all|n\\d+(?:,n\\d+)*";
+  private static final Pattern SYNTAX = Pattern.compile("at (?<at>" + TIME + ")"
+      + " (?<kind>cut|stall|delay|lose|throttle|stop|kill) (?<from>" + PROXIES + ")(?: (?<way>to|from) (?<to>" + PROXIES + "))?"
       + "(?: by (?<by>" + TIME + "|[0-9.]+))?(?: spread (?<spread>" + TIME + "))?(?: for (?<for>" + TIME + "))?");
 
   /**
@@ -35,34 +35,34 @@
    *
    * @throws IllegalArgumentException where it has another form
    */
-  public static SiteFault read(String text) {
-    Matcher in = FORM.matcher(text);
-    if (!in.matches()) {
+  public static ClusterFault parse(String text) {
+    Matcher matcher = SYNTAX.matcher(text);
+    if (!matcher.matches()) {
       throw new IllegalArgumentException("found '" + text + "'; allowed: at TIME KIND WHO [to|from WHO] [by AMOUNT"
           + " [spread TIME]] [for TIME]");
     }
-    Kind kind = Kind.valueOf(in.group("kind").toUpperCase(Locale.ROOT));
-    return new SiteFault(millis(in.group("at")), kind, places(in.group("from")), places(in.group("to")),
-        !"to".equals(in.group("way")), passage(kind, in), millis(in.group("for")));
+    Kind kind = Kind.valueOf(matcher.group("kind").toUpperCase(Locale.ROOT));
+    return new ClusterFault(parseMillis(matcher.group("at")), kind, proxyIndexes(matcher.group("from")), proxyIndexes(matcher.group("to")),
+        !"to".equals(matcher.group("way")), conditions(kind, matcher), parseMillis(matcher.group("for")));
   }
 
-  private static Passage passage(Kind kind, Matcher in) {
+  private static NetworkConditions conditions(Kind kind, Matcher matcher) {
     return switch (kind) {
-      case CUT -> Passage.CUT;
-      case STALL -> Passage.STALLED;
-      case DELAY -> Passage.delayed(millis(in.group("by")), millis(in.group("spread")));
-      case LOSE -> Passage.lossy(Double.parseDouble(in.group("by")));
-      case THROTTLE -> Passage.slow(Integer.parseInt(in.group("by")));
+      case CUT -> NetworkConditions.CUT;
+      case STALL -> NetworkConditions.STALLED;
+      case DELAY -> NetworkConditions.delayed(parseMillis(matcher.group("by")), parseMillis(matcher.group("spread")));
+      case LOSE -> NetworkConditions.lossy(Double.parseDouble(matcher.group("by")));
+      case THROTTLE -> NetworkConditions.throttled(Integer.parseInt(matcher.group("by")));
       case STOP, KILL -> null;
     };
   }
 
-  private static List<Integer> places(String who) {
-    return who == null || who.equals("all") ? List.of()
-        : Arrays.stream(who.split(",")).map(name -> Integer.parseInt(name.substring(1))).toList();
+  private static List<Integer> proxyIndexes(String names) {
+    return names == null || names.equals("all") ? List.of()
+        : Arrays.stream(names.split(",")).map(name -> Integer.parseInt(name.substring(1))).toList();
   }
 
-  private static long millis(String time) {
+  private static long parseMillis(String time) {
     if (time == null) {
       return 0;
     }
@@ -72,15 +72,15 @@
   }
 
   /** Whether what one proxy sends to another is concerned. */
-  boolean concerns(int sender, int receiver) {
-    return isFrom(sender) && isTo(receiver) || bothWays && isFrom(receiver) && isTo(sender);
+  boolean affects(int sender, int receiver) {
+    return isSource(sender) && isDestination(receiver) || bothDirections && isSource(receiver) && isDestination(sender);
   }
 
-  private boolean isFrom(int proxy) {
-    return from.isEmpty() || from.contains(proxy);
+  private boolean isSource(int proxy) {
+    return fromProxies.isEmpty() || fromProxies.contains(proxy);
   }
 
-  private boolean isTo(int proxy) {
-    return to.isEmpty() || to.contains(proxy);
+  private boolean isDestination(int proxy) {
+    return toProxies.isEmpty() || toProxies.contains(proxy);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/site/FleetSite.java
+++ b/lab/src/main/java/lemondeal/lab/site/FleetTestCluster.java
@@ -11,22 +11,22 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import lemondeal.lab.ServeProcess;
+import lemondeal.lab.ProxyProcess;
 
 /**
  * A fleet of real proxies on loopback that tell each other rows, with a {@link Relay} in each direction of each pair. A
  * proxy is named {@code n} and its place; they stand in the zones {@code a} and {@code b} in turn. Ended with its
  * owner.
  */
-public final class FleetSite implements AutoCloseable {
-  private static final String SIGHT = "\"event\":\"fleet-sight\"";
+public final class FleetTestCluster implements AutoCloseable {
+  private static final String VISIBILITY_EVENT = "\"event\":\"fleet-sight\"";
 
   private final Path folder;
   private final int count;
-  private final List<InetSocketAddress> listens = new ArrayList<>();
+  private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
   private final Relay[][] relays;
-  private final ServeProcess[] proxies;
-  private final String more;
+  private final ProxyProcess[] proxies;
+  private final String extraFleetSettings;
   private final InetSocketAddress discovery;
 
   /**
@@ -35,24 +35,24 @@
    * @param more lines of the operator's section {@code fleet} beside the members; PLACE in them is the proxy's place
    * @param discovery where the proxies list their servers
    */
-  public FleetSite(int count, long seed, String more, InetSocketAddress discovery) throws IOException {
+  public FleetTestCluster(int count, long seed, String extraFleetSettings, InetSocketAddress discovery) throws IOException {
     this.count = count;
-    this.more = more;
+    this.extraFleetSettings = extraFleetSettings;
     this.discovery = discovery;
     folder = Files.createTempDirectory("lemondeal-fleet");
     relays = new Relay[count][count];
-    proxies = new ServeProcess[count];
-    List<ServerSocket> held = new ArrayList<>();
+    proxies = new ProxyProcess[count];
+    List<ServerSocket> reservedSockets = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      held.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
-      listens.add((InetSocketAddress) held.get(i).getLocalSocketAddress());
+      reservedSockets.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+      listenAddresses.add((InetSocketAddress) reservedSockets.get(i).getLocalSocketAddress());
     }
-    for (ServerSocket socket : held) {
+    for (ServerSocket socket : reservedSockets) {
       socket.close();
     }
     for (int from = 0; from < count; from++) {
       for (int to = 0; to < count; to++) {
-        relays[from][to] = from == to ? null : new Relay(listens.get(to), seed + from * count + to);
+        relays[from][to] = from == to ? null : new Relay(listenAddresses.get(to), seed + from * count + to);
       }
     }
   }
@@ -62,18 +62,18 @@
     return count;
   }
 
-  public static String name(int i) {
+  public static String proxyName(int i) {
     return "n" + i;
   }
 
   /** Starts the proxy of this place, or starts it again. */
-  public ServeProcess start(int i) throws IOException, InterruptedException {
-    proxies[i] = ServeProcess.start(config(i, true), operatorFile(i));
+  public ProxyProcess start(int i) throws IOException, InterruptedException {
+    proxies[i] = ProxyProcess.start(writeConfig(i, true), writeOperatorFile(i));
     return proxies[i];
   }
 
   /** The platform's configuration of a proxy; {@code mayTell}: whether it says that proxies may tell each other. */
-  public Path config(int i, boolean mayTell) throws IOException {
+  public Path writeConfig(int i, boolean peersAllowed) throws IOException {
     return Files.writeString(folder.resolve("proxy-" + i + ".json"), """
         {"name":"%s","listen":"127.0.0.1:0","admin_addr":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"%x",
          "limits":{"sockets":4096,"memory_mb":192},
@@ -86,28 +86,28 @@
              "coldFrom":0.35,"warmWithin":9000000,"askEvery":10000000},
            "prices":{"crossZone":0.03,"waste":0.2,"probe":0.0023,"moves":0.01},
            "profiles":[{"name":"chat","semantics":"idempotent","aim":500000,"hardLimit":2000000}]}}
-        """.formatted(name(i), discovery.getPort(), i + 1, i, count, mayTell));
+        """.formatted(proxyName(i), discovery.getPort(), i + 1, i, count, peersAllowed));
   }
 
   /** The operator's own file of a proxy. */
-  public Path operatorFile(int i) throws IOException {
+  public Path writeOperatorFile(int i) throws IOException {
     StringBuilder members = new StringBuilder();
     for (int other = 0; other < count; other++) {
-      InetSocketAddress address = other == i ? listens.get(i) : relays[i][other].address();
-      members.append("    - {name: %s, zone: %s, address: '127.0.0.1:%d'}\n".formatted(name(other),
+      InetSocketAddress address = other == i ? listenAddresses.get(i) : relays[i][other].address();
+      members.append("    - {name: %s, zone: %s, address: '127.0.0.1:%d'}\n".formatted(proxyName(other),
           other % 2 == 0 ? "a" : "b", address.getPort()));
     }
     return Files.writeString(folder.resolve("operator-" + i + ".yaml"),
-        "version: 1\nlog: {format: json}\nfleet:\n  members:\n" + members + more.replace("PLACE", Integer.toString(i)).indent(2));
+        "version: 1\nlog: {format: json}\nfleet:\n  members:\n" + members + extraFleetSettings.replace("PLACE", Integer.toString(i)).indent(2));
   }
 
-  public ServeProcess proxy(int i) {
+  public ProxyProcess proxy(int i) {
     return proxies[i];
   }
 
   /** Where this proxy hears the others. */
-  public InetSocketAddress listen(int i) {
-    return listens.get(i);
+  public InetSocketAddress listenAddress(int i) {
+    return listenAddresses.get(i);
   }
 
   /** What one proxy sends to another passes here. */
@@ -116,11 +116,11 @@
   }
 
   /** From now on bytes between this proxy and all others pass so, both ways. */
-  public void let(int i, Passage passage) {
+  public void setConditions(int i, NetworkConditions conditions) {
     for (int other = 0; other < count; other++) {
       if (other != i) {
-        relays[i][other].let(passage);
-        relays[other][i].let(passage);
+        relays[i][other].setConditions(conditions);
+        relays[other][i].setConditions(conditions);
       }
     }
   }
@@ -131,10 +131,10 @@
   }
 
   /** Whom the proxy has in sight by its log, as it says: names with blanks between. Null before it has said any. */
-  public String sight(int i) {
+  public String visibleMembers(int i) {
     String last = null;
     for (String line : proxies[i].log()) {
-      if (line.contains(SIGHT)) {
+      if (line.contains(VISIBILITY_EVENT)) {
         int from = line.indexOf("\"in_sight\":\"") + "\"in_sight\":\"".length();
         last = line.substring(from, line.indexOf('"', from));
       }
@@ -143,15 +143,15 @@
   }
 
   /** Waits until the proxy has exactly these in sight; how long that took, in milliseconds. */
-  public long awaitSight(int i, String names, long patienceSeconds) throws IOException, InterruptedException {
-    long begin = System.nanoTime();
-    while (!names.equals(sight(i))) {
-      if (System.nanoTime() - begin > patienceSeconds * 1_000_000_000L) {
-        throw new IOException(name(i) + " has " + sight(i) + " in sight, not " + names + ": " + proxies[i].log());
+  public long awaitVisibleMembers(int i, String names, long timeoutSeconds) throws IOException, InterruptedException {
+    long startNanos = System.nanoTime();
+    while (!names.equals(visibleMembers(i))) {
+      if (System.nanoTime() - startNanos > timeoutSeconds * 1_000_000_000L) {
+        throw new IOException(proxyName(i) + " has " + visibleMembers(i) + " in sight, not " + names + ": " + proxies[i].log());
       }
       Thread.sleep(10);
     }
-    return (System.nanoTime() - begin) / 1_000_000;
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
   @Override
--- a/lab/src/main/java/lemondeal/lab/site/Relay.java
+++ b/lab/src/main/java/lemondeal/lab/site/Relay.java
@@ -21,30 +21,30 @@
  * come.
  */
 public final class Relay implements AutoCloseable {
-  private static final int PIECE = 4096;
+  private static final int CHUNK_BYTES = 4096;
   /** What is under way at most; beyond, the sender is held up, as by a full network. */
-  private static final int PIECES = 256;
-  private static final int DIAL_MILLIS = 2_000;
-  private static final byte[] END = {};
+  private static final int MAX_QUEUED_CHUNKS = 256;
+  private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+  private static final byte[] END_OF_STREAM = {};
 
-  private record Piece(byte[] bytes, long dueNanos) {}
+  private record Chunk(byte[] bytes, long dueNanos) {}
 
   private final ServerSocket socket;
   private final InetSocketAddress target;
   private final SplittableRandom random;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-  private final Object change = new Object();
-  private Passage passage = Passage.OPEN;
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+  private final Object conditionsLock = new Object();
+  private NetworkConditions conditions = NetworkConditions.OPEN;
   private boolean closed;
 
   public Relay(InetSocketAddress target, long seed) throws IOException {
     this.target = target;
     random = new SplittableRandom(seed);
     socket = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-    daemon(this::accept);
+    startDaemon(this::accept);
   }
 
-  private static void daemon(Runnable task) {
+  private static void startDaemon(Runnable task) {
     Thread thread = new Thread(null, task, "relay", 256 * 1024);
     thread.setDaemon(true);
     thread.start();
@@ -55,19 +55,19 @@
   }
 
   /** From now on bytes pass so, those under way among them. */
-  public void let(Passage fresh) {
-    synchronized (change) {
-      passage = fresh;
-      change.notifyAll();
+  public void setConditions(NetworkConditions newConditions) {
+    synchronized (conditionsLock) {
+      conditions = newConditions;
+      conditionsLock.notifyAll();
     }
-    if (fresh.way() == Passage.Way.CUT) {
-      open.forEach(Relay::reset);
+    if (newConditions.mode() == NetworkConditions.Mode.CUT) {
+      openSockets.forEach(Relay::reset);
     }
   }
 
-  private Passage passage() {
-    synchronized (change) {
-      return passage;
+  private NetworkConditions currentConditions() {
+    synchronized (conditionsLock) {
+      return conditions;
     }
   }
 
@@ -84,11 +84,11 @@
     try {
       while (true) {
         Socket from = socket.accept();
-        open.add(from);
-        if (passage().way() == Passage.Way.CUT) {
-          end(from, from);
+        openSockets.add(from);
+        if (currentConditions().mode() == NetworkConditions.Mode.CUT) {
+          resetBoth(from, from);
         } else {
-          daemon(() -> join(from));
+          startDaemon(() -> forward(from));
         }
       }
     } catch (IOException e) {
@@ -96,126 +96,126 @@
     }
   }
 
-  private void join(Socket from) {
+  private void forward(Socket from) {
     Socket to = new Socket();
-    open.add(to);
+    openSockets.add(to);
     try {
-      awaitPassage();
-      to.connect(target, DIAL_MILLIS);
+      awaitNotStalled();
+      to.connect(target, CONNECT_TIMEOUT_MILLIS);
       from.setTcpNoDelay(true);
       to.setTcpNoDelay(true);
     } catch (IOException | InterruptedException e) {
-      end(from, to);
+      resetBoth(from, to);
       return;
     }
-    BlockingQueue<Piece> pieces = new ArrayBlockingQueue<>(PIECES);
-    AtomicInteger ways = new AtomicInteger(2);
-    daemon(() -> write(pieces, from, to, ways));
-    daemon(() -> back(to, from, ways));
-    read(from, pieces, to);
+    BlockingQueue<Chunk> chunks = new ArrayBlockingQueue<>(MAX_QUEUED_CHUNKS);
+    AtomicInteger openDirections = new AtomicInteger(2);
+    startDaemon(() -> writeChunks(chunks, from, to, openDirections));
+    startDaemon(() -> forwardReplies(to, from, openDirections));
+    readChunks(from, chunks, to);
   }
 
-  private void read(Socket from, BlockingQueue<Piece> pieces, Socket to) {
-    byte[] buffer = new byte[PIECE];
+  private void readChunks(Socket from, BlockingQueue<Chunk> chunks, Socket to) {
+    byte[] buffer = new byte[CHUNK_BYTES];
     long due = 0;
     try {
       InputStream in = from.getInputStream();
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        Passage now = passage();
-        if (draw() < now.resetShare()) {
-          end(from, to);
+        NetworkConditions current = currentConditions();
+        if (nextRandom() < current.resetShare()) {
+          resetBoth(from, to);
           return;
         }
-        long held = now.delayMillis() + (long) (-Math.log(1 - draw()) * now.jitterMillis());
-        due = Math.max(due, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(held));
-        pieces.put(new Piece(Arrays.copyOf(buffer, count), due));
+        long delayMillis = current.delayMillis() + (long) (-Math.log(1 - nextRandom()) * current.jitterMillis());
+        due = Math.max(due, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMillis));
+        chunks.put(new Chunk(Arrays.copyOf(buffer, count), due));
       }
-      pieces.put(new Piece(END, due));
+      chunks.put(new Chunk(END_OF_STREAM, due));
     } catch (IOException | InterruptedException e) {
-      end(from, to);
+      resetBoth(from, to);
     }
   }
 
-  private double draw() {
+  private double nextRandom() {
     synchronized (random) {
       return random.nextDouble();
     }
   }
 
-  private void write(BlockingQueue<Piece> pieces, Socket from, Socket to, AtomicInteger ways) {
+  private void writeChunks(BlockingQueue<Chunk> chunks, Socket from, Socket to, AtomicInteger openDirections) {
     try {
       while (true) {
-        Piece piece = pieces.take();
-        TimeUnit.NANOSECONDS.sleep(piece.dueNanos() - System.nanoTime());
-        Passage now = awaitPassage();
-        if (piece.bytes() == END) {
+        Chunk chunk = chunks.take();
+        TimeUnit.NANOSECONDS.sleep(chunk.dueNanos() - System.nanoTime());
+        NetworkConditions current = awaitNotStalled();
+        if (chunk.bytes() == END_OF_STREAM) {
           to.shutdownOutput();
-          ended(ways, from, to);
+          onDirectionEnd(openDirections, from, to);
           return;
         }
-        to.getOutputStream().write(piece.bytes());
-        if (now.bytesPerSecond() > 0) {
-          TimeUnit.MILLISECONDS.sleep(piece.bytes().length * 1000L / now.bytesPerSecond());
+        to.getOutputStream().write(chunk.bytes());
+        if (current.bytesPerSecond() > 0) {
+          TimeUnit.MILLISECONDS.sleep(chunk.bytes().length * 1000L / current.bytesPerSecond());
         }
       }
     } catch (IOException | InterruptedException e) {
-      end(from, to);
+      resetBoth(from, to);
     }
   }
 
-  private void back(Socket to, Socket from, AtomicInteger ways) {
-    byte[] buffer = new byte[PIECE];
+  private void forwardReplies(Socket to, Socket from, AtomicInteger openDirections) {
+    byte[] buffer = new byte[CHUNK_BYTES];
     try {
       InputStream in = to.getInputStream();
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        awaitPassage();
+        awaitNotStalled();
         from.getOutputStream().write(buffer, 0, count);
       }
       from.shutdownOutput();
-      ended(ways, from, to);
+      onDirectionEnd(openDirections, from, to);
     } catch (IOException | InterruptedException e) {
-      end(from, to);
+      resetBoth(from, to);
     }
   }
 
   /** Waits while everything is held. */
-  private Passage awaitPassage() throws InterruptedException {
-    synchronized (change) {
-      while (passage.way() == Passage.Way.STALLED && !closed) {
-        change.wait();
+  private NetworkConditions awaitNotStalled() throws InterruptedException {
+    synchronized (conditionsLock) {
+      while (conditions.mode() == NetworkConditions.Mode.STALLED && !closed) {
+        conditionsLock.wait();
       }
-      return passage;
+      return conditions;
     }
   }
 
   /** An end passes as an end: a reset would look like a server that died. Closed once both ways have ended. */
-  private void ended(AtomicInteger ways, Socket from, Socket to) throws IOException {
-    if (ways.decrementAndGet() == 0) {
-      open.remove(from);
-      open.remove(to);
+  private void onDirectionEnd(AtomicInteger openDirections, Socket from, Socket to) throws IOException {
+    if (openDirections.decrementAndGet() == 0) {
+      openSockets.remove(from);
+      openSockets.remove(to);
       from.close();
       to.close();
     }
   }
 
-  private void end(Socket one, Socket other) {
+  private void resetBoth(Socket one, Socket other) {
     reset(one);
     reset(other);
-    open.remove(one);
-    open.remove(other);
+    openSockets.remove(one);
+    openSockets.remove(other);
   }
 
   @Override
   public void close() {
-    synchronized (change) {
+    synchronized (conditionsLock) {
       closed = true;
-      change.notifyAll();
+      conditionsLock.notifyAll();
     }
     try {
       socket.close();
     } catch (IOException e) {
       // Closed already.
     }
-    open.forEach(Relay::reset);
+    openSockets.forEach(Relay::reset);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/site/ZoneServers.java
+++ b/lab/src/main/java/lemondeal/lab/site/ZoneServers.java
@@ -5,61 +5,61 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemondeal.lab.Listing;
+import lemondeal.lab.FakeDiscovery;
 import lemondeal.lab.stream.SessionStore;
-import lemondeal.lab.stream.StreamServer;
+import lemondeal.lab.stream.ResumableServer;
 
 /** Stand-in servers in zones, each behind a {@link Relay}, so that a whole zone can vanish and return. */
 public final class ZoneServers implements AutoCloseable {
-  private record Behind(StreamServer server, Relay relay) {}
+  private record RelayedServer(ResumableServer server, Relay relay) {}
 
-  private final Listing listing = new Listing();
-  private final Map<String, List<Behind>> zones = new LinkedHashMap<>();
+  private final FakeDiscovery discovery = new FakeDiscovery();
+  private final Map<String, List<RelayedServer>> zones = new LinkedHashMap<>();
 
   /** So many servers in each zone, all listed. */
-  public ZoneServers(int each, String... names) throws IOException {
-    for (String zone : names) {
-      List<Behind> servers = new ArrayList<>();
-      for (int i = 0; i < each; i++) {
-        StreamServer server = new StreamServer(new SessionStore());
-        Behind behind = new Behind(server, new Relay(server.address(), 31L * zones.size() + i));
-        servers.add(behind);
-        listing.list("s-" + zone + i, behind.relay.address(), zone, "in_service");
+  public ZoneServers(int serversPerZone, String... zoneNames) throws IOException {
+    for (String zone : zoneNames) {
+      List<RelayedServer> servers = new ArrayList<>();
+      for (int i = 0; i < serversPerZone; i++) {
+        ResumableServer server = new ResumableServer(new SessionStore());
+        RelayedServer relayed = new RelayedServer(server, new Relay(server.address(), 31L * zones.size() + i));
+        servers.add(relayed);
+        discovery.putInstance("s-" + zone + i, relayed.relay.address(), zone, "in_service");
       }
       zones.put(zone, servers);
     }
   }
 
-  public Listing listing() {
-    return listing;
+  public FakeDiscovery discovery() {
+    return discovery;
   }
 
   /** From now on what comes to the servers of this zone passes so. */
-  public void let(String zone, Passage passage) {
-    zones.get(zone).forEach(behind -> behind.relay.let(passage));
+  public void setConditions(String zone, NetworkConditions conditions) {
+    zones.get(zone).forEach(relayed -> relayed.relay.setConditions(conditions));
   }
 
   /** First lines that came to each server of the zone so far. */
-  public List<Integer> opened(String zone) {
-    return zones.get(zone).stream().map(behind -> behind.server.opened()).toList();
+  public List<Integer> openCounts(String zone) {
+    return zones.get(zone).stream().map(relayed -> relayed.server.openCount()).toList();
   }
 
   /** First lines that came to the zone so far. */
-  public int openedIn(String zone) {
-    return opened(zone).stream().mapToInt(Integer::intValue).sum();
+  public int openCount(String zone) {
+    return openCounts(zone).stream().mapToInt(Integer::intValue).sum();
   }
 
   /** Connections that stand in the zone. */
-  public int standing(String zone) {
-    return zones.get(zone).stream().mapToInt(behind -> behind.server.standing()).sum();
+  public int openConnections(String zone) {
+    return zones.get(zone).stream().mapToInt(relayed -> relayed.server.openConnections()).sum();
   }
 
   @Override
   public void close() {
-    zones.values().forEach(servers -> servers.forEach(behind -> {
-      behind.relay.close();
-      behind.server.kill();
+    zones.values().forEach(servers -> servers.forEach(relayed -> {
+      relayed.relay.close();
+      relayed.server.kill();
     }));
-    listing.close();
+    discovery.close();
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/Attempt.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Attempt.java
@@ -10,13 +10,13 @@
   /** Whether the server may have acted on it: all but those that it turned away. */
   volatile boolean mayHaveRun = true;
   /** Whether the server would see the proxy end this connection. */
-  volatile boolean watched = true;
+  volatile boolean closeDetectable = true;
   /** When the connection ended, or 0. */
   volatile long endedAt;
   /** Whether the server ended it, or stopped answering on it, before the proxy did. */
-  volatile boolean brokenByServer;
+  volatile boolean abandonedByServer;
   /** When the server stopped to serve it, or 0. */
-  volatile long brokenAt;
+  volatile long abandonedAt;
   volatile String receipt;
 
   Attempt(ServerIdentity server, int proxy, long receivedAt, boolean relayed) {
@@ -24,18 +24,18 @@
     this.proxy = proxy;
     this.receivedAt = receivedAt;
     this.relayed = relayed;
-    watched = !relayed;
+    closeDetectable = !relayed;
   }
 
   /** The server serves this connection no more, in whatever way. */
-  void broken() {
-    if (brokenAt == 0) {
-      brokenAt = System.nanoTime();
-      brokenByServer = true;
+  void markAbandoned() {
+    if (abandonedAt == 0) {
+      abandonedAt = System.nanoTime();
+      abandonedByServer = true;
     }
   }
 
-  void ended() {
+  void markEnded() {
     if (endedAt == 0) {
       endedAt = System.nanoTime();
     }
--- a/lab/src/main/java/lemondeal/lab/soak/BadClient.java
+++ b/lab/src/main/java/lemondeal/lab/soak/BadClient.java
@@ -4,7 +4,7 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.util.concurrent.TimeUnit;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 
 /** A client that does not keep to the protocol, and is owed an error or an end within three seconds. */
 final class BadClient implements Runnable {
@@ -29,17 +29,17 @@
     }
   }
 
-  private static final long LIMIT_MILLIS = 3_000;
-  private static final int CONNECT_MILLIS = 3_000;
+  private static final long MAX_KEPT_MILLIS = 3_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
   /** Ids of bad clients, apart from those of others. */
   private static final long FIRST_ID = 0x7f00000000000000L;
 
-  private final Ledger ledger;
+  private final RuleChecker checker;
   private final SoakProxy proxy;
   private final Kind kind;
 
-  BadClient(Ledger ledger, SoakProxy proxy, Kind kind) {
-    this.ledger = ledger;
+  BadClient(RuleChecker checker, SoakProxy proxy, Kind kind) {
+    this.checker = checker;
     this.proxy = proxy;
     this.kind = kind;
   }
@@ -47,25 +47,25 @@
   @Override
   public void run() {
     SoakProxy.Incarnation target = proxy.incarnation();
-    ledger.count(Ledger.Count.BAD_CLIENTS);
+    checker.increment(RuleChecker.Counter.BAD_CLIENTS);
     Socket socket = new Socket();
     try {
-      socket.connect(proxy.address(), CONNECT_MILLIS);
+      socket.connect(proxy.address(), CONNECT_TIMEOUT_MILLIS);
     } catch (IOException e) {
       return;
     }
-    long begun = System.nanoTime();
-    try (Lines lines = new Lines(socket)) {
-      lines.patience((int) (LIMIT_MILLIS + ledger.allowanceMillis()));
-      lines.raw(kind.text.formatted(FIRST_ID + begun));
+    long startedAt = System.nanoTime();
+    try (LineConnection lines = new LineConnection(socket)) {
+      lines.setReadTimeout((int) (MAX_KEPT_MILLIS + checker.allowanceMillis()));
+      lines.writeRaw(kind.text.formatted(FIRST_ID + startedAt));
       if (kind == Kind.ENDS_AT_ONCE) {
-        lines.end();
+        lines.shutdownOutput();
       }
-      lines.read();
+      lines.readLine();
     } catch (SocketTimeoutException e) {
       if (!target.killed() && proxy.incarnation() == target) {
-        ledger.violated(Rule.BAD_CLIENT_KEPT, kind + " at proxy " + proxy.number() + " was kept for "
-            + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun) + " ms");
+        checker.reportViolation(Rule.BAD_CLIENT_KEPT, kind + " at proxy " + proxy.number() + " was kept for "
+            + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt) + " ms");
       }
     } catch (IOException e) {
       // An end, if not a polite one.
--- a/lab/src/main/java/lemondeal/lab/soak/DiscoveryEndpoint.java
+++ b/lab/src/main/java/lemondeal/lab/soak/DiscoveryEndpoint.java
@@ -18,25 +18,25 @@
   enum Mode { UP, DOWN, SILENT, SLOW, UNAVAILABLE, DRIBBLES }
 
   private static final int BACKLOG = 64;
-  private static final long HEARTBEAT_MILLIS = 2_000;
-  private static final long SLOW_MILLIS = 2_500;
-  private static final long DRIBBLE_MILLIS = 300;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 2_000;
+  private static final long SLOW_ANSWER_MILLIS = 2_500;
+  private static final long DRIBBLE_INTERVAL_MILLIS = 300;
 
   private final ServerListing listing;
-  private final DrainRule drains;
+  private final DrainChecker drainChecker;
   private final int proxy;
   private final int port;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
   private volatile ServerSocket socket;
   private volatile Mode mode = Mode.UP;
   /** Watches of an earlier epoch have fallen silent. */
-  private volatile int epoch;
+  private volatile int watchEpoch;
   /** Counts the proxy's processes: what is still written to one that has ended tells the next one nothing. */
-  private volatile int process;
+  private volatile int processNumber;
 
-  DiscoveryEndpoint(ServerListing listing, DrainRule drains, int proxy) throws IOException {
+  DiscoveryEndpoint(ServerListing listing, DrainChecker drainChecker, int proxy) throws IOException {
     this.listing = listing;
-    this.drains = drains;
+    this.drainChecker = drainChecker;
     this.proxy = proxy;
     socket = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     port = socket.getLocalPort();
@@ -48,47 +48,47 @@
   }
 
   /** From now on it answers so; a watch ends when it goes down. */
-  synchronized void mode(Mode fresh) throws IOException {
+  synchronized void mode(Mode newMode) throws IOException {
     boolean wasDown = mode == Mode.DOWN;
     boolean wasUp = mode == Mode.UP;
-    mode = fresh;
-    if (fresh == Mode.DOWN && !wasDown) {
+    mode = newMode;
+    if (newMode == Mode.DOWN && !wasDown) {
       socket.close();
-      open.forEach(DiscoveryEndpoint::reset);
-    } else if (fresh != Mode.DOWN && wasDown) {
-      socket = ListeningSockets.listenAgain(address(), BACKLOG);
+      openConnections.forEach(DiscoveryEndpoint::reset);
+    } else if (newMode != Mode.DOWN && wasDown) {
+      socket = ListeningSockets.rebind(address(), BACKLOG);
       accept(socket);
     }
     if (!wasUp && !wasDown) {
       // A call or watch of before may be silent still.
-      drains.silenced(proxy);
+      drainChecker.watchesStalled(proxy);
     }
-    drains.reachable(proxy, fresh == Mode.UP);
+    drainChecker.setReachable(proxy, newMode == Mode.UP);
   }
 
   /** All open watches fall silent and stay open; new calls are answered. */
-  void silenceWatches() {
-    epoch++;
-    drains.silenced(proxy);
+  void stallWatches() {
+    watchEpoch++;
+    drainChecker.watchesStalled(proxy);
   }
 
   /** The proxy's process begins. */
   void processStarted() {
-    process++;
+    processNumber++;
   }
 
-  private void written(int toProcess, ServerListing.Changes changes) {
-    if (toProcess == process) {
-      drains.written(proxy, changes.entries());
+  private void recordNotified(int toProcessNumber, ServerListing.Changes changes) {
+    if (toProcessNumber == processNumber) {
+      drainChecker.recordNotified(proxy, changes.entries());
     }
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket listener) {
     Threads.start("discovery-accept", () -> {
       try {
         while (true) {
-          Socket accepted = from.accept();
-          open.add(accepted);
+          Socket accepted = listener.accept();
+          openConnections.add(accepted);
           Threads.start("discovery", () -> answer(accepted));
         }
       } catch (IOException e) {
@@ -107,7 +107,7 @@
   }
 
   private void answer(Socket accepted) {
-    int caller = process;
+    int callerProcessNumber = processNumber;
     try (accepted) {
       String request = readRequest(accepted.getInputStream());
       if (request == null) {
@@ -122,7 +122,7 @@
           write(accepted, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
           return;
         }
-        case SLOW -> Threads.sleepMillis(SLOW_MILLIS);
+        case SLOW -> Threads.sleepMillis(SLOW_ANSWER_MILLIS);
         case DRIBBLES -> {
           dribble(accepted);
           return;
@@ -130,18 +130,18 @@
         default -> { }
       }
       if (request.contains("stream=1")) {
-        watch(accepted, caller, Long.parseLong(request.replaceAll("(?s).*index=(-?\\d+).*", "$1")));
+        watch(accepted, callerProcessNumber, Long.parseLong(request.replaceAll("(?s).*index=(-?\\d+).*", "$1")));
       } else {
-        ServerListing.Changes all = listing.all();
+        ServerListing.Changes all = listing.currentList();
         String body = ServerListing.json(all, true, proxy);
         write(accepted, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length() + "\r\n\r\n"
             + body);
-        written(caller, all);
+        recordNotified(callerProcessNumber, all);
       }
     } catch (IOException | InterruptedException e) {
       // The proxy ended the call, or discovery went down.
     } finally {
-      open.remove(accepted);
+      openConnections.remove(accepted);
     }
   }
 
@@ -170,12 +170,12 @@
   private void dribble(Socket accepted) throws IOException {
     for (char c : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".toCharArray()) {
       write(accepted, String.valueOf(c));
-      Threads.sleepMillis(DRIBBLE_MILLIS);
+      Threads.sleepMillis(DRIBBLE_INTERVAL_MILLIS);
     }
   }
 
   /** What is written to a watch that the proxy has ended, or that its process has left, is told to nobody. */
-  private static boolean isEndedByCaller(Socket accepted) throws IOException {
+  private static boolean isClosedByProxy(Socket accepted) throws IOException {
     accepted.setSoTimeout(1);
     try {
       return accepted.getInputStream().read() < 0;
@@ -186,29 +186,29 @@
     }
   }
 
-  private void watch(Socket accepted, int caller, long since) throws IOException, InterruptedException {
-    int mine = epoch;
+  private void watch(Socket accepted, int callerProcessNumber, long sinceVersion) throws IOException, InterruptedException {
+    int openedInEpoch = watchEpoch;
     write(accepted, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-    ServerListing.Changes news = since <= 0 ? listing.all() : listing.changes(since);
-    boolean whole = since <= 0;
-    long told = since;
+    ServerListing.Changes changes = sinceVersion <= 0 ? listing.currentList() : listing.changes(sinceVersion);
+    boolean fullList = sinceVersion <= 0;
+    long sentVersion = sinceVersion;
     while (!accepted.isClosed()) {
-      if (isEndedByCaller(accepted)) {
+      if (isClosedByProxy(accepted)) {
         return;
       }
-      if (mine != epoch || mode == Mode.SILENT) {
+      if (openedInEpoch != watchEpoch || mode == Mode.SILENT) {
         readRequest(accepted.getInputStream());
         return;
       }
-      if (whole || !news.entries().isEmpty()) {
-        writeChunk(accepted, ServerListing.json(news, whole, proxy) + "\n");
-        written(caller, news);
-        told = news.version();
-        whole = false;
+      if (fullList || !changes.entries().isEmpty()) {
+        writeChunk(accepted, ServerListing.json(changes, fullList, proxy) + "\n");
+        recordNotified(callerProcessNumber, changes);
+        sentVersion = changes.version();
+        fullList = false;
       } else {
         writeChunk(accepted, "\n");
       }
-      news = listing.awaitChanges(told, HEARTBEAT_MILLIS);
+      changes = listing.awaitChanges(sentVersion, HEARTBEAT_INTERVAL_MILLIS);
     }
   }
 
@@ -219,6 +219,6 @@
     } catch (IOException e) {
       // Closed already.
     }
-    open.forEach(DiscoveryEndpoint::reset);
+    openConnections.forEach(DiscoveryEndpoint::reset);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/Trouble.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Fault.java
@@ -8,7 +8,7 @@
  * @param target the proxy or server that it hits, by number
  * @param amount what else was drawn for it: a count, a choice or a size
  */
-record Trouble(Kind kind, long atMillis, long forMillis, int target, int amount) {
+record Fault(Kind kind, long startMillis, long durationMillis, int target, int drawnValue) {
   /** What can go wrong. */
   enum Kind {
     // Proxies.
@@ -28,6 +28,6 @@
 
   @Override
   public String toString() {
-    return "%d ms: %s of %d for %d ms (%d)".formatted(atMillis, kind, target, forMillis, amount);
+    return "%d ms: %s of %d for %d ms (%d)".formatted(startMillis, kind, target, durationMillis, drawnValue);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/FaultShim.java
+++ b/lab/src/main/java/lemondeal/lab/soak/FaultShim.java
@@ -31,18 +31,18 @@
 
   private static final String SOURCE = "/lemondeal/lab/soak/fault_shim.c";
   private static final String CONTROL_VARIABLE = "SOAK_SHIM_CONTROL";
-  private static final int WALL_OFFSET = 0;
+  private static final int WALL_CLOCK_OFFSET = 0;
   private static final int BYTES_AT_ONCE_OFFSET = 56;
-  private static final int SIZE = 64;
-  private static final int COUNT_OFFSET = 4;
+  private static final int CONTROL_SIZE = 64;
+  private static final int FAILURE_COUNT_OFFSET = 4;
 
   private final Path library;
-  private final Path file;
+  private final Path controlFile;
   private final MappedByteBuffer control;
 
-  private FaultShim(Path library, Path file, MappedByteBuffer control) {
+  private FaultShim(Path library, Path controlFile, MappedByteBuffer control) {
     this.library = library;
-    this.file = file;
+    this.controlFile = controlFile;
     this.control = control;
   }
 
@@ -59,20 +59,20 @@
     Path library = folder.resolve("fault_shim.so");
     Process compiler = new ProcessBuilder("gcc", "-O2", "-shared", "-fPIC", "-o", library.toString(), source.toString(),
         "-ldl").redirectErrorStream(true).start();
-    String said = new String(compiler.getInputStream().readAllBytes());
+    String compilerOutput = new String(compiler.getInputStream().readAllBytes());
     if (compiler.waitFor() != 0) {
-      throw new IOException("the fault shim does not compile: " + said);
+      throw new IOException("the fault shim does not compile: " + compilerOutput);
     }
     return library;
   }
 
   /** Makes the control file of one process, in which nothing fails. */
-  static FaultShim create(Path library, Path file) throws IOException {
-    Files.write(file, new byte[SIZE]);
-    try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-      MappedByteBuffer control = channel.map(FileChannel.MapMode.READ_WRITE, 0, SIZE);
+  static FaultShim create(Path library, Path controlFile) throws IOException {
+    Files.write(controlFile, new byte[CONTROL_SIZE]);
+    try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+      MappedByteBuffer control = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_SIZE);
       control.order(ByteOrder.nativeOrder());
-      return new FaultShim(library, file, control);
+      return new FaultShim(library, controlFile, control);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -80,30 +80,30 @@
 
   /** What the process is to be started with. */
   Map<String, String> environment() {
-    return Map.of("LD_PRELOAD", library.toString(), CONTROL_VARIABLE, file.toString());
+    return Map.of("LD_PRELOAD", library.toString(), CONTROL_VARIABLE, controlFile.toString());
   }
 
   /** From now on the wall clock differs by this from the machine's; the monotonic clock runs on. */
   void stepWallClock(Duration offset) {
-    control.putLong(WALL_OFFSET, offset.toNanos());
+    control.putLong(WALL_CLOCK_OFFSET, offset.toNanos());
   }
 
   /** So many of the next calls fail with this error. */
-  void fail(SystemCall call, Errno error, int times) {
+  void failNext(SystemCall call, Errno error, int count) {
     control.putInt(call.offset, error.number);
-    control.putInt(call.offset + COUNT_OFFSET, times);
+    control.putInt(call.offset + FAILURE_COUNT_OFFSET, count);
   }
 
   /** From now on no socket is read or written in larger pieces; 0 for no bound. */
-  void bytesAtOnce(int most) {
-    control.putInt(BYTES_AT_ONCE_OFFSET, most);
+  void limitSocketBytes(int max) {
+    control.putInt(BYTES_AT_ONCE_OFFSET, max);
   }
 
   /** All is well again but for the wall clock, which stays where it was stepped to. */
-  void heal() {
+  void clearFaults() {
     for (SystemCall call : SystemCall.values()) {
-      control.putInt(call.offset + COUNT_OFFSET, 0);
+      control.putInt(call.offset + FAILURE_COUNT_OFFSET, 0);
     }
-    bytesAtOnce(0);
+    limitSocketBytes(0);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/LagMonitor.java
+++ b/lab/src/main/java/lemondeal/lab/soak/LagMonitor.java
@@ -12,11 +12,11 @@
   /** Beside what was measured: pauses of the proxies' own collections, and of pipes and schedulers between. */
   private static final long MARGIN_MILLIS = 150;
   /** The worst lag counts for this long. */
-  private static final long MEMORY_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long WORST_LAG_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  private final AtomicLong worst = new AtomicLong();
-  private volatile long worstAt = System.nanoTime();
-  private volatile boolean over;
+  private final AtomicLong worstLagNanos = new AtomicLong();
+  private volatile long worstLagSeenAt = System.nanoTime();
+  private volatile boolean closed;
 
   LagMonitor() {
     Threads.start("lag-monitor", this::measure);
@@ -24,12 +24,12 @@
 
   private void measure() {
     long due = System.nanoTime() + PERIOD_NANOS;
-    while (!over) {
+    while (!closed) {
       Threads.sleepNanos(due - System.nanoTime());
       long now = System.nanoTime();
-      if (now - due > worst.get() || now - worstAt > MEMORY_NANOS) {
-        worst.set(now - due);
-        worstAt = now;
+      if (now - due > worstLagNanos.get() || now - worstLagSeenAt > WORST_LAG_RETENTION_NANOS) {
+        worstLagNanos.set(now - due);
+        worstLagSeenAt = now;
       }
       due = now + PERIOD_NANOS;
     }
@@ -37,11 +37,11 @@
 
   /** By how many milliseconds a limit is to be widened now. */
   long allowanceMillis() {
-    return MARGIN_MILLIS + TimeUnit.NANOSECONDS.toMillis(worst.get());
+    return MARGIN_MILLIS + TimeUnit.NANOSECONDS.toMillis(worstLagNanos.get());
   }
 
   @Override
   public void close() {
-    over = true;
+    closed = true;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/ListeningSockets.java
+++ b/lab/src/main/java/lemondeal/lab/soak/ListeningSockets.java
@@ -7,25 +7,25 @@
 
 /** Listening sockets that come back at an address that they had before. */
 final class ListeningSockets {
-  private static final int BIND_TRIES = 250;
-  private static final long BIND_PAUSE_MILLIS = 20;
+  private static final int MAX_BIND_RETRIES = 250;
+  private static final long BIND_RETRY_DELAY_MILLIS = 20;
 
   private ListeningSockets() {}
 
   /** The connections of before, and others that were given the port meanwhile, may hold the address for some seconds. */
-  static ServerSocket listenAgain(InetSocketAddress address, int backlog) throws IOException {
+  static ServerSocket rebind(InetSocketAddress address, int backlog) throws IOException {
     for (int i = 0; ; i++) {
-      ServerSocket fresh = new ServerSocket();
+      ServerSocket socket = new ServerSocket();
       try {
-        fresh.setReuseAddress(true);
-        fresh.bind(address, backlog);
-        return fresh;
+        socket.setReuseAddress(true);
+        socket.bind(address, backlog);
+        return socket;
       } catch (BindException e) {
-        fresh.close();
-        if (i == BIND_TRIES) {
+        socket.close();
+        if (i == MAX_BIND_RETRIES) {
           throw e;
         }
-        Threads.sleepMillis(BIND_PAUSE_MILLIS);
+        Threads.sleepMillis(BIND_RETRY_DELAY_MILLIS);
       }
     }
   }
--- a/lab/src/main/java/lemondeal/lab/soak/RequestClass.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RequestClass.java
@@ -28,7 +28,7 @@
   }
 
   /** Whether a second server may run what a first one may have run. */
-  boolean mayRunAgainAt(ServerIdentity first, ServerIdentity second) {
+  boolean mayRepeatAt(ServerIdentity first, ServerIdentity second) {
     return switch (this) {
       case READ, KEYED_ALL -> true;
       case KEYED_ZONE -> first.zone().equals(second.zone());
--- a/lab/src/main/java/lemondeal/lab/soak/RequestRecord.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RequestRecord.java
@@ -8,7 +8,7 @@
   final String id;
   final RequestClass requestClass;
   /** When the client closed its connection before an answer, or 0. */
-  volatile long goneAt;
+  volatile long clientClosedAt;
   private final List<Attempt> attempts = new ArrayList<>();
 
   RequestRecord(String id, RequestClass requestClass) {
@@ -17,9 +17,9 @@
   }
 
   synchronized List<Attempt> add(Attempt attempt) {
-    List<Attempt> before = List.copyOf(attempts);
+    List<Attempt> earlierAttempts = List.copyOf(attempts);
     attempts.add(attempt);
-    return before;
+    return earlierAttempts;
   }
 
   synchronized List<Attempt> attempts() {
--- a/lab/src/main/java/lemondeal/lab/soak/Ledger.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RuleChecker.java
@@ -12,49 +12,49 @@
  * The oracle: what clients and servers saw, held against the rules as it comes. Nothing that a proxy says of itself
  * goes in here but what it counts as its own violations.
  */
-final class Ledger {
+final class RuleChecker {
   /** WIRE: an attempt must end before the next begins; the protocol page lengthens every limit by this. */
   private static final long SLACK_MILLIS = 50;
   /** A client that closes or cancels has gone: no attempt begins later than this. */
-  private static final long GONE_MILLIS = 100;
+  private static final long MAX_START_AFTER_CLOSE_MILLIS = 100;
   /** Violations kept with their details; beyond, only counts go up. */
-  private static final int KEPT = 200;
+  private static final int MAX_KEPT_VIOLATIONS = 200;
 
-  private final long beganAt = System.nanoTime();
+  private final long startedAt = System.nanoTime();
   private final Map<String, RequestRecord> requests = new ConcurrentHashMap<>();
-  private final Map<Count, AtomicLong> counts = new EnumMap<>(Count.class);
+  private final Map<Counter, AtomicLong> counters = new EnumMap<>(Counter.class);
   private final List<Violation> violations = new ArrayList<>();
-  private final LagMonitor lag;
+  private final LagMonitor lagMonitor;
   private final long repeatWindowMillis;
   private volatile boolean closed;
 
   /** What a soak counts, so that a run that tested nothing can be told from a clean one. */
-  enum Count {
+  enum Counter {
     REQUESTS, SERVED, REFUSED, FAILED, EXCUSED, BAD_CLIENTS, LEAVERS, MOVED, LINES, ATTEMPTS, REPEATS, FAULTS, STARTS
   }
 
-  Ledger(LagMonitor lag, long repeatWindowMillis) {
-    this.lag = lag;
+  RuleChecker(LagMonitor lagMonitor, long repeatWindowMillis) {
+    this.lagMonitor = lagMonitor;
     this.repeatWindowMillis = repeatWindowMillis;
-    for (Count count : Count.values()) {
-      counts.put(count, new AtomicLong());
+    for (Counter counter : Counter.values()) {
+      counters.put(counter, new AtomicLong());
     }
   }
 
-  long millis() {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt);
+  long elapsedMillis() {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
   }
 
   long allowanceMillis() {
-    return lag.allowanceMillis();
+    return lagMonitor.allowanceMillis();
   }
 
-  void count(Count count) {
-    counts.get(count).incrementAndGet();
+  void increment(Counter counter) {
+    counters.get(counter).incrementAndGet();
   }
 
-  long counted(Count count) {
-    return counts.get(count).get();
+  long value(Counter counter) {
+    return counters.get(counter).get();
   }
 
   /** Nothing is judged any more: what ends now ends with the soak. */
@@ -62,11 +62,11 @@
     closed = true;
   }
 
-  void violated(Rule rule, String detail) {
+  void reportViolation(Rule rule, String detail) {
     if (!closed) {
       synchronized (violations) {
-        if (violations.size() < KEPT) {
-          violations.add(new Violation(rule, millis(), detail));
+        if (violations.size() < MAX_KEPT_VIOLATIONS) {
+          violations.add(new Violation(rule, elapsedMillis(), detail));
         }
       }
     }
@@ -78,59 +78,59 @@
     }
   }
 
-  RequestRecord begin(String id, RequestClass requestClass) {
+  RequestRecord registerRequest(String id, RequestClass requestClass) {
     RequestRecord request = new RequestRecord(id, requestClass);
     requests.put(id, request);
     return request;
   }
 
   /** A first line came to a server whole; returns the attempt that it begins, or null for an id that no client sent. */
-  Attempt received(String id, ServerIdentity server, int proxy, boolean relayed) {
+  Attempt recordAttempt(String id, ServerIdentity server, int proxy, boolean relayed) {
     RequestRecord request = requests.get(id);
     if (request == null) {
-      violated(Rule.FALSE_RECEIPT, server.id() + " got a request that no client sent: " + id);
+      reportViolation(Rule.FALSE_RECEIPT, server.id() + " got a request that no client sent: " + id);
       return null;
     }
-    count(Count.ATTEMPTS);
+    increment(Counter.ATTEMPTS);
     Attempt attempt = new Attempt(server, proxy, System.nanoTime(), relayed);
-    List<Attempt> before = request.add(attempt);
+    List<Attempt> earlierAttempts = request.add(attempt);
     if (!relayed) {
-      checkGone(request, attempt);
+      checkClientPresent(request, attempt);
     }
-    if (!before.isEmpty()) {
-      count(Count.REPEATS);
-      before.forEach(earlier -> checkRepeat(request, earlier, attempt));
+    if (!earlierAttempts.isEmpty()) {
+      increment(Counter.REPEATS);
+      earlierAttempts.forEach(earlier -> checkRepeat(request, earlier, attempt));
     }
     return attempt;
   }
 
-  private void checkGone(RequestRecord request, Attempt attempt) {
-    long lateMillis = TimeUnit.NANOSECONDS.toMillis(attempt.receivedAt - request.goneAt);
-    if (request.goneAt != 0 && lateMillis > GONE_MILLIS + allowanceMillis()) {
-      violated(Rule.SENT_FOR_GONE_CLIENT, "request " + request.id + " from proxy " + attempt.proxy + " came to "
+  private void checkClientPresent(RequestRecord request, Attempt attempt) {
+    long lateMillis = TimeUnit.NANOSECONDS.toMillis(attempt.receivedAt - request.clientClosedAt);
+    if (request.clientClosedAt != 0 && lateMillis > MAX_START_AFTER_CLOSE_MILLIS + allowanceMillis()) {
+      reportViolation(Rule.SENT_FOR_GONE_CLIENT, "request " + request.id + " from proxy " + attempt.proxy + " came to "
           + attempt.server.id() + " " + lateMillis + " ms after its client had closed");
     }
   }
 
   private void checkRepeat(RequestRecord request, Attempt earlier, Attempt later) {
-    if (earlier.mayHaveRun && !request.requestClass.mayRunAgainAt(earlier.server, later.server)) {
-      violated(Rule.REPEATED, request.requestClass.label + " request " + request.id + " from proxy " + later.proxy
+    if (earlier.mayHaveRun && !request.requestClass.mayRepeatAt(earlier.server, later.server)) {
+      reportViolation(Rule.REPEATED, request.requestClass.label + " request " + request.id + " from proxy " + later.proxy
           + " was sent to " + later.server + " after it may have run at " + earlier.server);
     }
     if (later.relayed) {
       // It may have been held on its way since before the other one was sent.
       return;
     }
-    long apart = TimeUnit.NANOSECONDS.toMillis(later.receivedAt - earlier.receivedAt);
+    long gapMillis = TimeUnit.NANOSECONDS.toMillis(later.receivedAt - earlier.receivedAt);
     if (earlier.mayHaveRun && request.requestClass.hasRepeatWindow()
-        && apart > repeatWindowMillis + SLACK_MILLIS + allowanceMillis()) {
-      violated(Rule.REPEATED, "keyed request " + request.id + " was repeated " + apart + " ms after its first attempt");
+        && gapMillis > repeatWindowMillis + SLACK_MILLIS + allowanceMillis()) {
+      reportViolation(Rule.REPEATED, "keyed request " + request.id + " was repeated " + gapMillis + " ms after its first attempt");
     }
-    if (earlier.watched && earlier.endedAt == 0) {
+    if (earlier.closeDetectable && earlier.endedAt == 0) {
       Threads.start("parallel-check", () -> {
         Threads.sleepMillis(SLACK_MILLIS + allowanceMillis());
-        if (earlier.watched && earlier.endedAt == 0) {
-          violated(Rule.PARALLEL_ATTEMPTS, "request " + request.id + " came to " + later.server.id() + " while "
+        if (earlier.closeDetectable && earlier.endedAt == 0) {
+          reportViolation(Rule.PARALLEL_ATTEMPTS, "request " + request.id + " came to " + later.server.id() + " while "
               + earlier.server.id() + " still had it, from proxy " + later.proxy);
         }
       });
@@ -138,33 +138,33 @@
   }
 
   /** A client was told {@code BUSY}. */
-  void refused(RequestRecord request) {
-    count(Count.REFUSED);
+  void recordRefusal(RequestRecord request) {
+    increment(Counter.REFUSED);
     boolean mayHaveRun = request.attempts().stream().anyMatch(attempt -> attempt.mayHaveRun);
     if (mayHaveRun && !request.requestClass.mayBeRefusedAfterRunning()) {
-      violated(Rule.FALSE_REFUSAL, request.requestClass.label + " request " + request.id
+      reportViolation(Rule.FALSE_REFUSAL, request.requestClass.label + " request " + request.id
           + " was refused after it may have run at " + request.attempts().get(0).server.id());
     }
   }
 
   /** A client was told {@code UP}; returns the attempt that serves it, or null if no server said so. */
-  Attempt served(RequestRecord request, String receipt) {
-    count(Count.SERVED);
+  Attempt recordServed(RequestRecord request, String receipt) {
+    increment(Counter.SERVED);
     for (Attempt attempt : request.attempts()) {
       if (receipt.equals(attempt.receipt)) {
         return attempt;
       }
     }
-    violated(Rule.FALSE_RECEIPT, "request " + request.id + " was served with '" + receipt + "', which no server gave");
+    reportViolation(Rule.FALSE_RECEIPT, "request " + request.id + " was served with '" + receipt + "', which no server gave");
     return null;
   }
 
   /** In one line, for a report. */
   String summary() {
     StringBuilder text = new StringBuilder();
-    for (Count count : Count.values()) {
-      text.append(text.isEmpty() ? "" : ", ").append(count.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '))
-          .append(' ').append(counted(count));
+    for (Counter counter : Counter.values()) {
+      text.append(text.isEmpty() ? "" : ", ").append(counter.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '))
+          .append(' ').append(value(counter));
     }
     return text.toString();
   }
--- a/lab/src/main/java/lemondeal/lab/soak/ServerListing.java
+++ b/lab/src/main/java/lemondeal/lab/soak/ServerListing.java
@@ -40,17 +40,17 @@
   }
 
   /** Waits until there is something newer than that version, or the time is over. */
-  synchronized Changes awaitChanges(long since, long millis) throws InterruptedException {
-    if (version <= since) {
+  synchronized Changes awaitChanges(long sinceVersion, long millis) throws InterruptedException {
+    if (version <= sinceVersion) {
       wait(millis);
     }
-    return changes(since);
+    return changes(sinceVersion);
   }
 
-  synchronized Changes changes(long since) {
+  synchronized Changes changes(long sinceVersion) {
     List<Entry> newer = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      if (entry.version > since) {
+      if (entry.version > sinceVersion) {
         newer.add(entry);
       }
     }
@@ -58,7 +58,7 @@
   }
 
   /** The whole list, without what has ended. */
-  synchronized Changes all() {
+  synchronized Changes currentList() {
     List<Entry> listed = new ArrayList<>();
     for (Entry entry : entries.values()) {
       if (!entry.lifecycle.equals(TERMINATED)) {
@@ -69,7 +69,7 @@
   }
 
   /** In discovery's form, on one line. */
-  static String json(Changes changes, boolean whole, int proxy) {
+  static String json(Changes changes, boolean fullList, int proxy) {
     StringBuilder text = new StringBuilder();
     for (Entry entry : changes.entries) {
       ServerIdentity identity = entry.server.identity();
@@ -79,6 +79,6 @@
           identity.id(), address.getAddress().getHostAddress(), address.getPort(), identity.zone(), identity.cell(), entry.lifecycle,
           entry.startedAtMillis));
     }
-    return "{\"generation\":%d,\"reset\":%b,\"instances\":[%s]}".formatted(changes.version, whole, text);
+    return "{\"generation\":%d,\"reset\":%b,\"instances\":[%s]}".formatted(changes.version, fullList, text);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/ServerMode.java
+++ b/lab/src/main/java/lemondeal/lab/soak/ServerMode.java
@@ -24,9 +24,9 @@
   CLOSES_IDLE(true);
 
   /** Whether most requests are served, or refused harmlessly. */
-  final boolean sound;
+  final boolean servesRequests;
 
-  ServerMode(boolean sound) {
-    this.sound = sound;
+  ServerMode(boolean servesRequests) {
+    this.servesRequests = servesRequests;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/Soak.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Soak.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import lemondeal.lab.site.Passage;
+import lemondeal.lab.site.NetworkConditions;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -24,7 +24,7 @@
    * @param servers stand-in servers
    * @param millis how long faults come
    */
-  public record Size(int proxies, int servers, long millis) {}
+  public record Size(int proxies, int servers, long faultMillis) {}
 
   /**
    * What came of a soak.
@@ -35,14 +35,14 @@
   public record Result(long seed, List<Violation> violations, long served, String summary) {}
 
   /** Time at the end without new faults: the list's clock and pauses of servers are over by then. */
-  private static final long REST_MILLIS = 3_000;
-  private static final long RECOVERED_MILLIS = 2_000;
-  private static final double SERVED_LEAST = 0.8;
-  private static final double REQUESTS_PER_SECOND_AND_PROXY = 8;
-  private static final long START_SECONDS = 30;
-  private static final long INSPECT_EVERY_MILLIS = 250;
+  private static final long SETTLE_MILLIS = 3_000;
+  private static final long RECOVERY_CHECK_MILLIS = 2_000;
+  private static final double MIN_SERVED_SHARE = 0.8;
+  private static final double REQUESTS_PER_SECOND_PER_PROXY = 8;
+  private static final long START_TIMEOUT_SECONDS = 30;
+  private static final long INSPECT_INTERVAL_MILLIS = 250;
   /** One in so many servers stands behind a network that can fail. */
-  private static final int RELAYED_EVERY = 3;
+  private static final int RELAYED_ONE_IN = 3;
 
   private final long seed;
   private final Size size;
@@ -50,14 +50,14 @@
   private final PrintStream out;
   private final UniformRandomProvider random;
   private final SoakConfig config;
-  private final LagMonitor lag = new LagMonitor();
-  private final Ledger ledger;
+  private final LagMonitor lagMonitor = new LagMonitor();
+  private final RuleChecker checker;
   private final ServerListing listing = new ServerListing();
-  private final DrainRule drains;
+  private final DrainChecker drainChecker;
   private final List<SoakServer> servers = new ArrayList<>();
   private final List<SoakProxy> proxies = new ArrayList<>();
-  private final ConcurrentLinkedQueue<Thread> clients = new ConcurrentLinkedQueue<>();
-  private volatile boolean over;
+  private final ConcurrentLinkedQueue<Thread> clientThreads = new ConcurrentLinkedQueue<>();
+  private volatile boolean finished;
 
   private Soak(long seed, Size size, Path folder, PrintStream out) {
     this.seed = seed;
@@ -66,8 +66,8 @@
     this.out = out;
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     config = SoakConfig.draw(random, size.proxies);
-    ledger = new Ledger(lag, config.repeatWindowMillis());
-    drains = new DrainRule(listing, ledger, config.drainGraceMillis(), config.pushed());
+    checker = new RuleChecker(lagMonitor, config.repeatWindowMillis());
+    drainChecker = new DrainChecker(listing, checker, config.drainGraceMillis(), config.pushed());
   }
 
   /**
@@ -84,25 +84,25 @@
 
   private Result run() throws IOException, InterruptedException {
     // Proxies end with their owner, however it ends.
-    Thread killer = new Thread(() -> proxies.forEach(SoakProxy::close), "kill-proxies");
-    Runtime.getRuntime().addShutdownHook(killer);
+    Thread shutdownHook = new Thread(() -> proxies.forEach(SoakProxy::close), "kill-proxies");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
       prepare();
       startAll();
-      traffic();
-      List<Trouble> plan = TroublePlan.draw(random, size.millis, size.proxies, size.servers);
-      play(plan);
-      rest();
+      startTraffic();
+      List<Fault> plan = FaultPlan.draw(random, size.faultMillis, size.proxies, size.servers);
+      injectFaults(plan);
+      checkRecovery();
       stopAll();
     } finally {
-      ledger.close();
-      over = true;
+      checker.close();
+      finished = true;
       proxies.forEach(SoakProxy::close);
       servers.forEach(SoakServer::close);
-      lag.close();
+      lagMonitor.close();
     }
-    Runtime.getRuntime().removeShutdownHook(killer);
-    return new Result(seed, ledger.violations(), ledger.counted(Ledger.Count.SERVED), ledger.summary());
+    Runtime.getRuntime().removeShutdownHook(shutdownHook);
+    return new Result(seed, checker.violations(), checker.value(RuleChecker.Counter.SERVED), checker.summary());
   }
 
   // ---- Beginning ----
@@ -112,13 +112,13 @@
     Path library = FaultShim.compile(folder);
     for (int i = 0; i < size.servers; i++) {
       ServerIdentity identity = new ServerIdentity("s" + i, SoakConfig.ZONES.get(i % SoakConfig.ZONES.size()), i % 4);
-      SoakServer server = new SoakServer(identity, ledger, drains, i % RELAYED_EVERY == 0 ? size.proxies : 0, config.tells());
+      SoakServer server = new SoakServer(identity, checker, drainChecker, i % RELAYED_ONE_IN == 0 ? size.proxies : 0, config.tells());
       servers.add(server);
       listing.put(server, ServerListing.IN_SERVICE, 0);
     }
     for (int i = 0; i < size.proxies; i++) {
       FaultShim shim = FaultShim.create(library, folder.resolve("shim-" + i));
-      proxies.add(new SoakProxy(i, config, ledger, drains, listing, shim, folder));
+      proxies.add(new SoakProxy(i, config, checker, drainChecker, listing, shim, folder));
     }
   }
 
@@ -126,9 +126,9 @@
     for (SoakProxy proxy : proxies) {
       proxy.start();
     }
-    long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
-    while (!proxies.stream().allMatch(SoakProxy::isTakenIn)) {
-      if (System.nanoTime() > limit) {
+    long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
+    while (!proxies.stream().allMatch(SoakProxy::isInService)) {
+      if (System.nanoTime() > giveUpAt) {
         throw new IOException("the proxies did not all start; their logs are in " + folder);
       }
       Threads.sleepMillis(20);
@@ -137,80 +137,80 @@
 
   // ---- Traffic and faults ----
 
-  private void traffic() {
+  private void startTraffic() {
     for (SoakProxy proxy : proxies) {
-      UniformRandomProvider draws = RandomSource.XO_SHI_RO_256_PP.create(seed * size.proxies + proxy.number());
+      UniformRandomProvider clientRandom = RandomSource.XO_SHI_RO_256_PP.create(seed * size.proxies + proxy.number());
       Threads.start("traffic", () -> {
-        while (!over) {
-          Threads.sleepMillis((long) (-Math.log(1 - draws.nextDouble()) * 1_000 / REQUESTS_PER_SECOND_AND_PROXY));
-          client(proxy, habit(draws), draws);
+        while (!finished) {
+          Threads.sleepMillis((long) (-Math.log(1 - clientRandom.nextDouble()) * 1_000 / REQUESTS_PER_SECOND_PER_PROXY));
+          startClient(proxy, drawBehavior(clientRandom), clientRandom);
         }
       });
     }
     Threads.start("inspect", () -> {
-      while (!over) {
+      while (!finished) {
         proxies.forEach(SoakProxy::inspect);
-        Threads.sleepMillis(INSPECT_EVERY_MILLIS);
+        Threads.sleepMillis(INSPECT_INTERVAL_MILLIS);
       }
     });
   }
 
-  private static SoakClient.Habit habit(UniformRandomProvider draws) {
-    SoakClient.Habit[] habits = SoakClient.Habit.values();
-    return draws.nextInt(3) > 0 ? SoakClient.Habit.STAYS : habits[draws.nextInt(habits.length)];
+  private static SoakClient.Behavior drawBehavior(UniformRandomProvider clientRandom) {
+    SoakClient.Behavior[] behaviors = SoakClient.Behavior.values();
+    return clientRandom.nextInt(3) > 0 ? SoakClient.Behavior.STAYS : behaviors[clientRandom.nextInt(behaviors.length)];
   }
 
-  private void client(SoakProxy proxy, SoakClient.Habit habit, UniformRandomProvider draws) {
-    if (proxy.isTakenIn() && !over) {
+  private void startClient(SoakProxy proxy, SoakClient.Behavior behavior, UniformRandomProvider clientRandom) {
+    if (proxy.isInService() && !finished) {
       RequestClass[] classes = RequestClass.values();
-      SoakClient client = new SoakClient(ledger, proxy, classes[draws.nextInt(classes.length)], habit,
-          config, draws);
-      clients.add(Threads.start("client", client));
+      SoakClient client = new SoakClient(checker, proxy, classes[clientRandom.nextInt(classes.length)], behavior,
+          config, clientRandom);
+      clientThreads.add(Threads.start("client", client));
     }
   }
 
-  private void play(List<Trouble> plan) throws IOException {
-    UniformRandomProvider draws = RandomSource.XO_SHI_RO_256_PP.create(seed + 1);
-    TroubleMaker maker = new TroubleMaker(config, ledger, proxies, servers, listing, (proxy, habit) -> {
-      synchronized (draws) {
-        client(proxy, habit, draws);
+  private void injectFaults(List<Fault> plan) throws IOException {
+    UniformRandomProvider clientRandom = RandomSource.XO_SHI_RO_256_PP.create(seed + 1);
+    FaultInjector injector = new FaultInjector(config, checker, proxies, servers, listing, (proxy, behavior) -> {
+      synchronized (clientRandom) {
+        startClient(proxy, behavior, clientRandom);
       }
     });
-    long begun = System.nanoTime();
+    long startedAt = System.nanoTime();
     List<Thread> threads = new ArrayList<>();
-    try (PrintStream told = new PrintStream(folder.resolve("plan.txt").toFile())) {
-      for (Trouble trouble : plan) {
-        Threads.sleepNanos(begun + TimeUnit.MILLISECONDS.toNanos(trouble.atMillis()) - System.nanoTime());
-        told.println("at " + ledger.millis() + " ms, " + trouble);
-        threads.add(Threads.start("trouble", () -> maker.carryOut(trouble)));
+    try (PrintStream planFile = new PrintStream(folder.resolve("plan.txt").toFile())) {
+      for (Fault fault : plan) {
+        Threads.sleepNanos(startedAt + TimeUnit.MILLISECONDS.toNanos(fault.startMillis()) - System.nanoTime());
+        planFile.println("at " + checker.elapsedMillis() + " ms, " + fault);
+        threads.add(Threads.start("trouble", () -> injector.inject(fault)));
       }
     }
     threads.forEach(Soak::join);
-    proxies.forEach(proxy -> proxy.shim().heal());
+    proxies.forEach(proxy -> proxy.shim().clearFaults());
   }
 
   private static void join(Thread thread) {
     try {
-      thread.join(TimeUnit.SECONDS.toMillis(START_SECONDS));
+      thread.join(TimeUnit.SECONDS.toMillis(START_TIMEOUT_SECONDS));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** Without new faults, most requests are served again after a while. */
-  private void rest() throws IOException {
+  private void checkRecovery() throws IOException {
     servers.forEach(server -> {
       server.mode(ServerMode.NORMAL);
-      server.let(Passage.OPEN);
+      server.setNetworkCondition(NetworkConditions.OPEN);
     });
-    Threads.sleepMillis(REST_MILLIS);
-    long requests = ledger.counted(Ledger.Count.REQUESTS) - ledger.counted(Ledger.Count.LEAVERS);
-    long served = ledger.counted(Ledger.Count.SERVED);
-    Threads.sleepMillis(RECOVERED_MILLIS);
-    requests = ledger.counted(Ledger.Count.REQUESTS) - ledger.counted(Ledger.Count.LEAVERS) - requests;
-    served = ledger.counted(Ledger.Count.SERVED) - served;
-    if (served < SERVED_LEAST * requests) {
-      ledger.violated(Rule.NO_RECOVERY, served + " of " + requests + " requests were served after all faults were over");
+    Threads.sleepMillis(SETTLE_MILLIS);
+    long requests = checker.value(RuleChecker.Counter.REQUESTS) - checker.value(RuleChecker.Counter.LEAVERS);
+    long served = checker.value(RuleChecker.Counter.SERVED);
+    Threads.sleepMillis(RECOVERY_CHECK_MILLIS);
+    requests = checker.value(RuleChecker.Counter.REQUESTS) - checker.value(RuleChecker.Counter.LEAVERS) - requests;
+    served = checker.value(RuleChecker.Counter.SERVED) - served;
+    if (served < MIN_SERVED_SHARE * requests) {
+      checker.reportViolation(Rule.NO_RECOVERY, served + " of " + requests + " requests were served after all faults were over");
     }
   }
 
@@ -223,7 +223,7 @@
         try {
           proxy.stop();
         } catch (IOException e) {
-          ledger.violated(Rule.SLOW_STOP, "proxy " + proxy.number() + " could not be stopped: " + e);
+          checker.reportViolation(Rule.SLOW_STOP, "proxy " + proxy.number() + " could not be stopped: " + e);
         }
       }));
     }
--- a/lab/src/main/java/lemondeal/lab/soak/SoakClient.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakClient.java
@@ -6,13 +6,13 @@
 import java.net.SocketTimeoutException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** One client: sends its request to one proxy, and stays for a while if it is served. Runs on a thread of its own. */
 final class SoakClient implements Runnable {
   /** How a client behaves that keeps to the protocol. */
-  enum Habit {
+  enum Behavior {
     STAYS, LEAVES_EARLY, RESETS_EARLY, WRITES_IN_PIECES,
     /** Ends its sending and waits for its answer. */
     HALF_CLOSES,
@@ -23,53 +23,53 @@
   }
 
   /** Up to so long after its deadline an answer only earns nothing; later, the request is lost. */
-  private static final long LATE_MILLIS = 500;
-  private static final long LINE_EVERY_MILLIS = 400;
-  private static final long LINE_HELD_MILLIS = 1_000;
+  private static final long MAX_LATE_MILLIS = 500;
+  private static final long LINE_INTERVAL_MILLIS = 400;
+  private static final long MAX_LINE_DELAY_MILLIS = 1_000;
   /** PROTOCOL: a connection whose server has ended it must be ended or moved within a second. */
-  private static final long ENDED_MILLIS = 1_000;
+  private static final long MAX_KEPT_AFTER_END_MILLIS = 1_000;
   /** The same for one on which a running server brings nothing back. */
-  private static final long SILENT_MILLIS = 7_000;
-  private static final int CONNECT_MILLIS = 3_000;
-  private static final long SHORTEST_DEADLINE_MILLIS = 100;
+  private static final long MAX_SILENCE_MILLIS = 7_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
+  private static final long MIN_DEADLINE_MILLIS = 100;
   /** A connection that rests is ended after 2.3 s. */
-  private static final long REST_LEAST_MILLIS = 2_200;
-  private static final long REST_SPREAD_MILLIS = 200;
-  private static final long PIECE_EVERY_MILLIS = 20;
+  private static final long MIN_IDLE_MILLIS = 2_200;
+  private static final long IDLE_SPREAD_MILLIS = 200;
+  private static final long PIECE_INTERVAL_MILLIS = 20;
   private static final int GROUPS = 12;
   /** By its hint, in microseconds of work a second. */
-  private static final int USUAL_LOAD = 20_000;
+  private static final int LOAD_HINT = 20_000;
   /** One in so many comes again after a break. */
-  private static final int REPEATED_EVERY = 4;
-  private static final AtomicLong IDS = new AtomicLong();
+  private static final int RECONNECTING_ONE_IN = 4;
+  private static final AtomicLong LAST_ID = new AtomicLong();
 
-  private final Ledger ledger;
+  private final RuleChecker checker;
   private final SoakProxy proxy;
   private final RequestClass requestClass;
-  private final Habit habit;
+  private final Behavior behavior;
   private final long deadlineMillis;
   private final long stayMillis;
   private final long leaveAfterMillis;
-  private final long restMillis;
+  private final long idleMillis;
   private final String key;
   /** What its line says beside class and deadline. */
-  private final String more;
+  private final String extraFields;
 
-  SoakClient(Ledger ledger, SoakProxy proxy, RequestClass requestClass, Habit habit, SoakConfig config,
+  SoakClient(RuleChecker checker, SoakProxy proxy, RequestClass requestClass, Behavior behavior, SoakConfig config,
       UniformRandomProvider random) {
-    this.ledger = ledger;
+    this.checker = checker;
     this.proxy = proxy;
     this.requestClass = requestClass;
-    this.habit = habit;
-    deadlineMillis = habit == Habit.HURRIES ? 1 + random.nextLong(SHORTEST_DEADLINE_MILLIS)
-        : SHORTEST_DEADLINE_MILLIS + random.nextLong(config.longestDeadlineMillis() - SHORTEST_DEADLINE_MILLIS);
-    restMillis = REST_LEAST_MILLIS + random.nextLong(REST_SPREAD_MILLIS);
+    this.behavior = behavior;
+    deadlineMillis = behavior == Behavior.HURRIES ? 1 + random.nextLong(MIN_DEADLINE_MILLIS)
+        : MIN_DEADLINE_MILLIS + random.nextLong(config.longestDeadlineMillis() - MIN_DEADLINE_MILLIS);
+    idleMillis = MIN_IDLE_MILLIS + random.nextLong(IDLE_SPREAD_MILLIS);
     stayMillis = 200 + random.nextLong(4_000);
     leaveAfterMillis = random.nextLong(200);
     key = "%016x".formatted(random.nextLong());
-    more = (config.groups() ? ",g=%016x".formatted(random.nextInt(GROUPS)) : "")
-        + (config.tells() == SoakConfig.Tells.BOTH ? ",h=" + USUAL_LOAD : "")
-        + (random.nextInt(REPEATED_EVERY) == 0 ? ",again=1" : "");
+    extraFields = (config.groups() ? ",g=%016x".formatted(random.nextInt(GROUPS)) : "")
+        + (config.tells() == SoakConfig.LoadReports.BOTH ? ",h=" + LOAD_HINT : "")
+        + (random.nextInt(RECONNECTING_ONE_IN) == 0 ? ",again=1" : "");
   }
 
   @Override
@@ -77,17 +77,17 @@
     SoakProxy.Incarnation target = proxy.incarnation();
     Socket socket = new Socket();
     try {
-      socket.connect(new InetSocketAddress(proxy.address().getAddress(), proxy.address().getPort()), CONNECT_MILLIS);
+      socket.connect(new InetSocketAddress(proxy.address().getAddress(), proxy.address().getPort()), CONNECT_TIMEOUT_MILLIS);
     } catch (IOException e) {
       // Nobody has taken it: it is not owed anything.
       close(socket);
       return;
     }
-    try (Lines lines = new Lines(socket)) {
-      request(lines, target);
+    try (LineConnection lines = new LineConnection(socket)) {
+      runRequest(lines, target);
     } catch (IOException e) {
       // It could not be sent: the process ended under it.
-      excuseOrLose(target, e.toString());
+      excuseOrReportLost(target, e.toString());
     }
   }
 
@@ -99,78 +99,78 @@
     }
   }
 
-  private void request(Lines lines, SoakProxy.Incarnation target) throws IOException {
-    String id = "%016x".formatted(IDS.incrementAndGet());
-    RequestRecord request = ledger.begin(id, requestClass);
-    ledger.count(Ledger.Count.REQUESTS);
-    if (habit == Habit.RESTS_FIRST) {
-      Threads.sleepMillis(restMillis);
+  private void runRequest(LineConnection lines, SoakProxy.Incarnation target) throws IOException {
+    String id = "%016x".formatted(LAST_ID.incrementAndGet());
+    RequestRecord request = checker.registerRequest(id, requestClass);
+    checker.increment(RuleChecker.Counter.REQUESTS);
+    if (behavior == Behavior.RESTS_FIRST) {
+      Threads.sleepMillis(idleMillis);
     }
     try {
-      send(lines, "OPEN " + id + " " + key + " c=" + requestClass.label + ",d=" + deadlineMillis + more);
+      send(lines, "OPEN " + id + " " + key + " c=" + requestClass.label + ",d=" + deadlineMillis + extraFields);
     } catch (IOException e) {
       // PROTOCOL: a request is taken when its last byte has been written, and this one's was not.
-      ledger.count(Ledger.Count.EXCUSED);
+      checker.increment(RuleChecker.Counter.EXCUSED);
       return;
     }
-    if (habit == Habit.LEAVES_EARLY || habit == Habit.RESETS_EARLY) {
-      leave(lines, request);
+    if (behavior == Behavior.LEAVES_EARLY || behavior == Behavior.RESETS_EARLY) {
+      closeEarly(lines, request);
       return;
     }
-    if (habit == Habit.HALF_CLOSES) {
-      lines.end();
+    if (behavior == Behavior.HALF_CLOSES) {
+      lines.shutdownOutput();
     }
-    await(lines, request, target);
+    awaitAnswer(lines, request, target);
   }
 
-  private void send(Lines lines, String line) throws IOException {
-    if (habit != Habit.WRITES_IN_PIECES) {
-      lines.write(line);
+  private void send(LineConnection lines, String line) throws IOException {
+    if (behavior != Behavior.WRITES_IN_PIECES) {
+      lines.writeLines(line);
       return;
     }
     for (String piece : line.split("(?<=,)|(?<= )")) {
-      lines.raw(piece);
-      Threads.sleepMillis(PIECE_EVERY_MILLIS);
+      lines.writeRaw(piece);
+      Threads.sleepMillis(PIECE_INTERVAL_MILLIS);
     }
-    lines.raw("\r\n");
+    lines.writeRaw("\r\n");
   }
 
-  private void leave(Lines lines, RequestRecord request) {
-    ledger.count(Ledger.Count.LEAVERS);
+  private void closeEarly(LineConnection lines, RequestRecord request) {
+    checker.increment(RuleChecker.Counter.LEAVERS);
     Threads.sleepMillis(leaveAfterMillis);
-    if (habit == Habit.RESETS_EARLY) {
+    if (behavior == Behavior.RESETS_EARLY) {
       lines.reset();
     } else {
       lines.close();
     }
-    request.goneAt = System.nanoTime();
+    request.clientClosedAt = System.nanoTime();
   }
 
-  private void await(Lines lines, RequestRecord request, SoakProxy.Incarnation target) throws IOException {
+  private void awaitAnswer(LineConnection lines, RequestRecord request, SoakProxy.Incarnation target) throws IOException {
     long sentAt = System.nanoTime();
-    long limit = deadlineMillis + LATE_MILLIS + ledger.allowanceMillis();
-    lines.patience((int) limit);
+    long timeoutMillis = deadlineMillis + MAX_LATE_MILLIS + checker.allowanceMillis();
+    lines.setReadTimeout((int) timeoutMillis);
     String answer;
     try {
-      answer = lines.read();
+      answer = lines.readLine();
     } catch (SocketTimeoutException e) {
-      lose(target, request, "no answer " + limit + " ms after it was sent, with a deadline of " + deadlineMillis);
+      reportLost(target, request, "no answer " + timeoutMillis + " ms after it was sent, with a deadline of " + deadlineMillis);
       return;
     } catch (IOException e) {
-      lose(target, request, "reset " + millisSince(sentAt) + " ms after it was sent: " + e.getMessage());
+      reportLost(target, request, "reset " + millisSince(sentAt) + " ms after it was sent: " + e.getMessage());
       return;
     }
     if (answer == null) {
-      lose(target, request, "closed with no answer " + millisSince(sentAt) + " ms after it was sent");
+      reportLost(target, request, "closed with no answer " + millisSince(sentAt) + " ms after it was sent");
     } else if (answer.startsWith("UP ")) {
-      Attempt attempt = ledger.served(request, answer.substring("UP ".length()));
+      Attempt attempt = checker.recordServed(request, answer.substring("UP ".length()));
       if (attempt != null) {
-        stay(lines, request, attempt, target);
+        exchangeLines(lines, request, attempt, target);
       }
     } else if (answer.equals("BUSY") || answer.startsWith("BUSY ")) {
-      ledger.refused(request);
+      checker.recordRefusal(request);
     } else {
-      ledger.count(Ledger.Count.FAILED);
+      checker.increment(RuleChecker.Counter.FAILED);
     }
   }
 
@@ -178,83 +178,83 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
   }
 
-  private void lose(SoakProxy.Incarnation target, RequestRecord request, String how) {
-    excuseOrLose(target, requestClass.label + " request " + request.id + ", " + habit + ", " + how + ", attempts "
+  private void reportLost(SoakProxy.Incarnation target, RequestRecord request, String cause) {
+    excuseOrReportLost(target, requestClass.label + " request " + request.id + ", " + behavior + ", " + cause + ", attempts "
         + request.attempts().stream().map(attempt -> attempt.server.id()).toList());
   }
 
   /** Whatever a killed process held is left to its clients. */
-  private void excuseOrLose(SoakProxy.Incarnation target, String how) {
+  private void excuseOrReportLost(SoakProxy.Incarnation target, String cause) {
     Threads.sleepMillis(50);
-    SoakProxy.Incarnation now = proxy.incarnation();
-    if (target.killed() || now.killed() || now != target) {
-      ledger.count(Ledger.Count.EXCUSED);
+    SoakProxy.Incarnation current = proxy.incarnation();
+    if (target.killed() || current.killed() || current != target) {
+      checker.increment(RuleChecker.Counter.EXCUSED);
     } else {
-      ledger.violated(Rule.LOST, "proxy " + proxy.number() + ", stopping " + (target.stopOrderedAt != 0) + ": " + how);
+      checker.reportViolation(Rule.LOST, "proxy " + proxy.number() + ", stopping " + (target.stopRequestedAt != 0) + ": " + cause);
     }
   }
 
   /** Sends lines that the server sends back, until it has stayed long enough or the connection ends. */
-  private void stay(Lines lines, RequestRecord request, Attempt attempt, SoakProxy.Incarnation target) {
+  private void exchangeLines(LineConnection lines, RequestRecord request, Attempt attempt, SoakProxy.Incarnation target) {
     long leaveAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(stayMillis);
     for (int i = 0; System.nanoTime() < leaveAt; i++) {
       long sentAt = System.nanoTime();
       try {
-        lines.patience((int) (SILENT_MILLIS + ledger.allowanceMillis()));
-        lines.write("line " + i);
-        String echo = lines.read();
+        lines.setReadTimeout((int) (MAX_SILENCE_MILLIS + checker.allowanceMillis()));
+        lines.writeLines("line " + i);
+        String echo = lines.readLine();
         while (echo != null && !echo.equals("MOVE") && !echo.endsWith("line " + i)) {
-          echo = lines.read();
+          echo = lines.readLine();
         }
-        ledger.count(Ledger.Count.LINES);
+        checker.increment(RuleChecker.Counter.LINES);
         if (echo == null || echo.equals("MOVE")) {
-          ended(request, attempt, target, echo);
+          checkConnectionEnd(request, attempt, target, echo);
           return;
         }
         if (!attempt.relayed) {
-          checkHeld(request, attempt, echo);
+          checkLineDelay(request, attempt, echo);
         }
       } catch (SocketTimeoutException e) {
-        if (!attempt.relayed && (!excused(attempt, target) || attempt.brokenByServer)) {
-          ledger.violated(Rule.DEAD_CONNECTION_KEPT, "request " + request.id + " at " + attempt.server.id()
+        if (!attempt.relayed && (!isEndExcused(attempt, target) || attempt.abandonedByServer)) {
+          checker.reportViolation(Rule.DEAD_CONNECTION_KEPT, "request " + request.id + " at " + attempt.server.id()
               + " had no line for " + millisSince(sentAt) + " ms, from proxy " + proxy.number());
         }
         return;
       } catch (IOException e) {
-        ended(request, attempt, target, null);
+        checkConnectionEnd(request, attempt, target, null);
         return;
       }
-      Threads.sleepMillis(Math.min(LINE_EVERY_MILLIS, TimeUnit.NANOSECONDS.toMillis(leaveAt - System.nanoTime())));
+      Threads.sleepMillis(Math.min(LINE_INTERVAL_MILLIS, TimeUnit.NANOSECONDS.toMillis(leaveAt - System.nanoTime())));
     }
   }
 
-  private void checkHeld(RequestRecord request, Attempt attempt, String echo) {
-    String[] words = echo.split(" ");
-    long heldMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) - Long.parseLong(words[1]);
-    if (heldMillis > LINE_HELD_MILLIS + ledger.allowanceMillis()) {
-      ledger.violated(Rule.LINE_HELD, "a line of request " + request.id + " from " + attempt.server.id() + " was held "
-          + heldMillis + " ms by proxy " + proxy.number());
+  private void checkLineDelay(RequestRecord request, Attempt attempt, String echo) {
+    String[] fields = echo.split(" ");
+    long delayMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) - Long.parseLong(fields[1]);
+    if (delayMillis > MAX_LINE_DELAY_MILLIS + checker.allowanceMillis()) {
+      checker.reportViolation(Rule.LINE_HELD, "a line of request " + request.id + " from " + attempt.server.id() + " was held "
+          + delayMillis + " ms by proxy " + proxy.number());
     }
   }
 
   /** {@code last} is MOVE, or null where the connection ended without a word. */
-  private void ended(RequestRecord request, Attempt attempt, SoakProxy.Incarnation target, String last) {
-    if (last != null) {
-      ledger.count(Ledger.Count.MOVED);
-    } else if (!excused(attempt, target)) {
-      ledger.violated(Rule.CUT_OFF, "request " + request.id + " at " + attempt.server.id() + ", from proxy "
-          + proxy.number() + ", stopping " + (target.stopOrderedAt != 0));
+  private void checkConnectionEnd(RequestRecord request, Attempt attempt, SoakProxy.Incarnation target, String lastLine) {
+    if (lastLine != null) {
+      checker.increment(RuleChecker.Counter.MOVED);
+    } else if (!isEndExcused(attempt, target)) {
+      checker.reportViolation(Rule.CUT_OFF, "request " + request.id + " at " + attempt.server.id() + ", from proxy "
+          + proxy.number() + ", stopping " + (target.stopRequestedAt != 0));
     }
     long keptMillis = attempt.endedAt == 0 ? 0 : millisSince(attempt.endedAt);
-    if (attempt.brokenByServer && !attempt.relayed && keptMillis > ENDED_MILLIS + LINE_EVERY_MILLIS + ledger.allowanceMillis()) {
-      ledger.violated(Rule.DEAD_CONNECTION_KEPT, "request " + request.id + " was kept " + keptMillis + " ms after "
+    if (attempt.abandonedByServer && !attempt.relayed && keptMillis > MAX_KEPT_AFTER_END_MILLIS + LINE_INTERVAL_MILLIS + checker.allowanceMillis()) {
+      checker.reportViolation(Rule.DEAD_CONNECTION_KEPT, "request " + request.id + " was kept " + keptMillis + " ms after "
           + attempt.server.id() + " had ended it");
     }
   }
 
   /** Whether the connection's end is the server's doing, or that of a SIGKILL. */
-  private boolean excused(Attempt attempt, SoakProxy.Incarnation target) {
+  private boolean isEndExcused(Attempt attempt, SoakProxy.Incarnation target) {
     Threads.sleepMillis(50);
-    return attempt.brokenByServer || target.killed() || !attempt.watched || attempt.relayed;
+    return attempt.abandonedByServer || target.killed() || !attempt.closeDetectable || attempt.relayed;
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/SoakConfig.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakConfig.java
@@ -22,45 +22,45 @@
  * @param askEveryMillis how long a proxy without a watch may go without asking for the list
  * @param sockets descriptors that a proxy may hold
  */
-record SoakConfig(int proxies, boolean pushed, boolean probes, boolean cancelling, boolean groups, Tells tells,
+record SoakConfig(int proxies, boolean pushed, boolean probes, boolean cancelling, boolean groups, LoadReports tells,
     long longestDeadlineMillis, long drainGraceMillis, long repeatWindowMillis, long dialMillis, long keepaliveMillis,
     long askEveryMillis, int sockets) {
   /** The pages' terms on what servers send as LOAD among the lines of a connection. */
-  enum Tells { NOTHING, LOADS, DELAYS, BOTH }
+  enum LoadReports { NOTHING, LOADS, DELAYS, BOTH }
 
   static final long WARM_WITHIN_MILLIS = 5_000;
   static final int MEMORY_MB = 192;
   static final List<String> ZONES = List.of("a", "b");
-  private static final int SOCKETS_LEAST = 256;
-  private static final long DEADLINE_LEAST = 1_000;
+  private static final int MIN_SOCKETS = 256;
+  private static final long MIN_DEADLINE = 1_000;
   private static final long DEADLINE_SPREAD = 2_000;
-  private static final long DRAIN_GRACE_LEAST = 250;
+  private static final long MIN_DRAIN_GRACE = 250;
   private static final long DRAIN_GRACE_SPREAD = 1_250;
-  private static final long REPEAT_WINDOW_LEAST = 300;
+  private static final long MIN_REPEAT_WINDOW = 300;
   private static final long REPEAT_WINDOW_SPREAD = 2_700;
-  private static final long DIAL_LEAST = 100;
+  private static final long MIN_DIAL = 100;
   private static final long DIAL_SPREAD = 400;
-  private static final long KEEPALIVE_LEAST = 300;
+  private static final long MIN_KEEPALIVE = 300;
   private static final long KEEPALIVE_SPREAD = 5_000;
-  private static final long ASK_EVERY_LEAST = 2_000;
+  private static final long MIN_ASK_EVERY = 2_000;
   private static final long ASK_EVERY_SPREAD = 8_000;
 
   /** The settings of a deployment like no other. */
   static SoakConfig draw(UniformRandomProvider random, int proxies) {
     return new SoakConfig(proxies, random.nextBoolean(), random.nextBoolean(), random.nextInt(4) > 0,
-        random.nextInt(3) == 0, Tells.values()[random.nextInt(Tells.values().length)],
-        DEADLINE_LEAST + random.nextLong(DEADLINE_SPREAD), DRAIN_GRACE_LEAST + random.nextLong(DRAIN_GRACE_SPREAD),
-        REPEAT_WINDOW_LEAST + random.nextLong(REPEAT_WINDOW_SPREAD), DIAL_LEAST + random.nextLong(DIAL_SPREAD),
-        KEEPALIVE_LEAST + random.nextLong(KEEPALIVE_SPREAD), ASK_EVERY_LEAST + random.nextLong(ASK_EVERY_SPREAD),
-        SOCKETS_LEAST + random.nextInt(SOCKETS_LEAST));
+        random.nextInt(3) == 0, LoadReports.values()[random.nextInt(LoadReports.values().length)],
+        MIN_DEADLINE + random.nextLong(DEADLINE_SPREAD), MIN_DRAIN_GRACE + random.nextLong(DRAIN_GRACE_SPREAD),
+        MIN_REPEAT_WINDOW + random.nextLong(REPEAT_WINDOW_SPREAD), MIN_DIAL + random.nextLong(DIAL_SPREAD),
+        MIN_KEEPALIVE + random.nextLong(KEEPALIVE_SPREAD), MIN_ASK_EVERY + random.nextLong(ASK_EVERY_SPREAD),
+        MIN_SOCKETS + random.nextInt(MIN_SOCKETS));
   }
 
   /** The configuration of one proxy; {@code attemptsMost} is what reloads change. */
-  String json(int proxy, InetSocketAddress listen, InetSocketAddress discovery, String known, int attemptsMost) {
+  String json(int proxy, InetSocketAddress listen, InetSocketAddress discovery, String known, int maxAttempts) {
     List<String> classes = new ArrayList<>();
-    for (RequestClass each : RequestClass.values()) {
+    for (RequestClass requestClass : RequestClass.values()) {
       classes.add(("{\"name\":\"%s\",\"semantics\":\"%s\",\"group\":\"%s\",\"aim\":300000,\"hardLimit\":%d,"
-          + "\"dedupWindow\":%d,\"gain\":1.0,\"streamed\":true}").formatted(each.label, each.semantics, each.group,
+          + "\"dedupWindow\":%d,\"gain\":1.0,\"streamed\":true}").formatted(requestClass.label, requestClass.semantics, requestClass.group,
           longestDeadlineMillis * 1000, repeatWindowMillis * 1000));
     }
     return """
@@ -78,8 +78,8 @@
              "coldFrom":0.35,"warmWithin":%d,"askEvery":%d},
            "prices":{"crossZone":0.03,"waste":0.2,"probe":0.0023,"moves":0.01}}}
         """.formatted(proxy, listen.getHostString(), listen.getPort(), discovery.getPort(), proxy + 1, MEMORY_MB, sockets, known, proxy, proxies,
-        proxy % ZONES.size(), pushed ? "automatic" : "subscribe", groups, tells == Tells.DELAYS || tells == Tells.BOTH,
-        tells == Tells.LOADS || tells == Tells.BOTH, String.join(",", classes), dialMillis * 1000, keepaliveMillis * 1000,
-        cancelling, probes, attemptsMost, drainGraceMillis * 1000, WARM_WITHIN_MILLIS * 1000, askEveryMillis * 1000);
+        proxy % ZONES.size(), pushed ? "automatic" : "subscribe", groups, tells == LoadReports.DELAYS || tells == LoadReports.BOTH,
+        tells == LoadReports.LOADS || tells == LoadReports.BOTH, String.join(",", classes), dialMillis * 1000, keepaliveMillis * 1000,
+        cancelling, probes, maxAttempts, drainGraceMillis * 1000, WARM_WITHIN_MILLIS * 1000, askEveryMillis * 1000);
   }
 }
