--- a/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
-import lemondeal.lab.Lines;
-import lemondeal.lab.ServeProcess;
+import lemondeal.lab.LineConnection;
+import lemondeal.lab.ProxyProcess;
 
 /**
  * One proxy of a soak: its process, which may be started again and again at the same address, and what becomes of each
@@ -23,14 +23,14 @@
  */
 final class SoakProxy implements AutoCloseable {
   /** PROTOCOL: SIGKILL comes no earlier than the longest deadline, counted as this where it is longer, and 0.7 s. */
-  private static final long DEADLINE_MOST_MILLIS = 3_000;
-  private static final long STOP_MORE_MILLIS = 700;
+  private static final long MAX_DEADLINE_MILLIS = 3_000;
+  private static final long STOP_MARGIN_MILLIS = 700;
   /** The network of addresses on which proxies listen: 127.8.0.n. */
   private static final String PROXY_NETWORK = "127.8.0.";
-  private static final long READY_MILLIS = 10_000;
-  private static final Pattern FAILURE = Pattern.compile(
+  private static final long READY_TIMEOUT_MILLIS = 10_000;
+  private static final Pattern FAILURE_LINE = Pattern.compile(
       "failed inside|OutOfMemory|StackOverflow|Too many open files(?! in system)|rule broken|Exception in thread");
-  private static final Pattern PORT = Pattern.compile(".*[0-9.]+:([0-9]+)$");
+  private static final Pattern ADDRESS_WITH_PORT = Pattern.compile(".*[0-9.]+:([0-9]+)$");
 
   /** One start of the process. */
   static final class Incarnation {
@@ -39,9 +39,9 @@
     final List<String> log = new ArrayList<>();
     volatile boolean listening;
     volatile boolean ready;
-    volatile InetSocketAddress admin;
+    volatile InetSocketAddress adminAddress;
     /** When it was told to stop, or killed; 0 before. */
-    volatile long stopOrderedAt;
+    volatile long stopRequestedAt;
     volatile long killedAt;
 
     Incarnation(Process process) {
@@ -53,7 +53,7 @@
       return killedAt != 0;
     }
 
-    List<String> lines(String part) {
+    List<String> logLines(String part) {
       synchronized (log) {
         return log.stream().filter(line -> line.contains(part)).toList();
       }
@@ -62,43 +62,43 @@
 
   private final int number;
   private final SoakConfig config;
-  private final Ledger ledger;
-  private final DrainRule drains;
+  private final RuleChecker checker;
+  private final DrainChecker drainChecker;
   private final ServerListing listing;
   private final FaultShim shim;
-  private final Path file;
+  private final Path configFile;
   private final Path logFile;
   private final InetSocketAddress address;
-  private final List<DiscoveryEndpoint> discoveries = new ArrayList<>();
-  private int discovery;
-  private volatile int descriptors;
-  private int attemptsMost = 3;
+  private final List<DiscoveryEndpoint> discoveryEndpoints = new ArrayList<>();
+  private int activeDiscovery;
+  private volatile int descriptorLimit;
+  private int maxAttempts = 3;
   private volatile Incarnation incarnation;
   /** No process is started any more: a fault that is being carried out may be about to. */
   private boolean closed;
 
-  SoakProxy(int number, SoakConfig config, Ledger ledger, DrainRule drains, ServerListing listing, FaultShim shim,
+  SoakProxy(int number, SoakConfig config, RuleChecker checker, DrainChecker drainChecker, ServerListing listing, FaultShim shim,
       Path folder) throws IOException {
     this.number = number;
     this.config = config;
-    this.ledger = ledger;
-    this.drains = drains;
+    this.checker = checker;
+    this.drainChecker = drainChecker;
     this.listing = listing;
     this.shim = shim;
-    file = folder.resolve("proxy-" + number + ".json");
+    configFile = folder.resolve("proxy-" + number + ".json");
     logFile = folder.resolve("proxy-" + number + ".log");
     // Of an earlier soak of the same seed.
     Files.deleteIfExists(logFile);
     address = freeAddress(number);
-    discoveries.add(new DiscoveryEndpoint(listing, drains, number));
-    discoveries.add(new DiscoveryEndpoint(listing, drains, number));
+    discoveryEndpoints.add(new DiscoveryEndpoint(listing, drainChecker, number));
+    discoveryEndpoints.add(new DiscoveryEndpoint(listing, drainChecker, number));
   }
 
   /** On an address of its own, where no other socket of the machine is given this port until the process starts again. */
   private static InetSocketAddress freeAddress(int number) throws IOException {
-    InetAddress own = InetAddress.getByName(PROXY_NETWORK + (number + 1));
-    try (ServerSocket free = new ServerSocket(0, 1, own)) {
-      return (InetSocketAddress) free.getLocalSocketAddress();
+    InetAddress loopbackAddress = InetAddress.getByName(PROXY_NETWORK + (number + 1));
+    try (ServerSocket socket = new ServerSocket(0, 1, loopbackAddress)) {
+      return (InetSocketAddress) socket.getLocalSocketAddress();
     }
   }
 
@@ -119,15 +119,15 @@
   }
 
   /** Discovery as its configuration names it now. */
-  DiscoveryEndpoint discovery() {
-    return discoveries.get(discovery);
+  DiscoveryEndpoint activeDiscovery() {
+    return discoveryEndpoints.get(activeDiscovery);
   }
 
   private void writeConfig() throws IOException {
-    String known = ServerListing.json(listing.all(), true, number);
-    Path fresh = file.resolveSibling(file.getFileName() + ".new");
-    Files.writeString(fresh, config.json(number, address, discovery().address(), known, attemptsMost));
-    Files.move(fresh, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE,
+    String knownServers = ServerListing.json(listing.currentList(), true, number);
+    Path newFile = configFile.resolveSibling(configFile.getFileName() + ".new");
+    Files.writeString(newFile, config.json(number, address, activeDiscovery().address(), knownServers, maxAttempts));
+    Files.move(newFile, configFile, java.nio.file.StandardCopyOption.ATOMIC_MOVE,
         java.nio.file.StandardCopyOption.REPLACE_EXISTING);
   }
 
@@ -137,43 +137,43 @@
       throw new IOException("the soak is over");
     }
     writeConfig();
-    List<String> serve = ServeProcess.command("serve");
-    descriptors = config.sockets() + librariesOf(serve);
-    List<String> command = new ArrayList<>(List.of("sh", "-c", "ulimit -n " + descriptors + "; exec \"$@\"", "sh"));
-    command.addAll(serve);
+    List<String> serveCommand = ProxyProcess.command("serve");
+    descriptorLimit = config.sockets() + classPathEntries(serveCommand);
+    List<String> command = new ArrayList<>(List.of("sh", "-c", "ulimit -n " + descriptorLimit + "; exec \"$@\"", "sh"));
+    command.addAll(serveCommand);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     Map<String, String> environment = builder.environment();
     environment.keySet().removeIf(name -> name.startsWith("GW_"));
-    environment.put("GW_CONFIG", file.toString());
+    environment.put("GW_CONFIG", configFile.toString());
     environment.put("GW_TRACE", "1");
     environment.putAll(shim.environment());
-    Incarnation fresh = new Incarnation(builder.start());
-    ledger.count(Ledger.Count.STARTS);
-    discoveries.forEach(DiscoveryEndpoint::processStarted);
-    drains.started(number);
-    incarnation = fresh;
-    Threads.start("proxy-log", () -> read(fresh));
-    Threads.start("proxy-watch", () -> watch(fresh));
-    return fresh;
+    Incarnation started = new Incarnation(builder.start());
+    checker.increment(RuleChecker.Counter.STARTS);
+    discoveryEndpoints.forEach(DiscoveryEndpoint::processStarted);
+    drainChecker.processStarted(number);
+    incarnation = started;
+    Threads.start("proxy-log", () -> readLog(started));
+    Threads.start("proxy-watch", () -> supervise(started));
+    return started;
   }
 
   /** Where the program runs from a class path and not from its one jar, each library holds a descriptor. */
-  private static int librariesOf(List<String> command) {
-    int option = command.indexOf("-cp");
-    return option < 0 ? 0 : command.get(option + 1).split(File.pathSeparator).length;
+  private static int classPathEntries(List<String> command) {
+    int optionIndex = command.indexOf("-cp");
+    return optionIndex < 0 ? 0 : command.get(optionIndex + 1).split(File.pathSeparator).length;
   }
 
-  private void read(Incarnation from) {
-    try (BufferedReader in = from.process.inputReader(StandardCharsets.UTF_8);
-        java.io.Writer kept = Files.newBufferedWriter(logFile, java.nio.file.StandardOpenOption.CREATE,
+  private void readLog(Incarnation source) {
+    try (BufferedReader in = source.process.inputReader(StandardCharsets.UTF_8);
+        java.io.Writer logWriter = Files.newBufferedWriter(logFile, java.nio.file.StandardOpenOption.CREATE,
             java.nio.file.StandardOpenOption.APPEND)) {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        kept.write(ledger.millis() + " " + line + "\n");
+        logWriter.write(checker.elapsedMillis() + " " + line + "\n");
         if (!in.ready()) {
-          kept.flush();
+          logWriter.flush();
         }
         if (!line.contains("trace")) {
-          heard(from, line);
+          handleLogLine(source, line);
         }
       }
     } catch (IOException e) {
@@ -181,64 +181,64 @@
     }
   }
 
-  private void heard(Incarnation from, String line) {
-    synchronized (from.log) {
-      from.log.add(line);
+  private void handleLogLine(Incarnation source, String line) {
+    synchronized (source.log) {
+      source.log.add(line);
     }
     if (line.contains("listening on ")) {
-      from.listening = true;
+      source.listening = true;
     } else if (line.contains("second address ")) {
-      from.admin = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-          Integer.parseInt(PORT.matcher(line).replaceAll("$1")));
-    } else if (FAILURE.matcher(line).find()) {
-      ledger.violated(Rule.INTERNAL_FAILURE, "proxy " + number + " said: " + line);
+      source.adminAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(),
+          Integer.parseInt(ADDRESS_WITH_PORT.matcher(line).replaceAll("$1")));
+    } else if (FAILURE_LINE.matcher(line).find()) {
+      checker.reportViolation(Rule.INTERNAL_FAILURE, "proxy " + number + " said: " + line);
     }
   }
 
   /** Sees to it that the process comes ready in time and ends only when it is told to. */
-  private void watch(Incarnation watched) {
-    long limit = READY_MILLIS + ledger.allowanceMillis();
-    while (!watched.ready && watched.process.isAlive() && ageMillis(watched) < limit) {
+  private void supervise(Incarnation supervised) {
+    long limitMillis = READY_TIMEOUT_MILLIS + checker.allowanceMillis();
+    while (!supervised.ready && supervised.process.isAlive() && ageMillis(supervised) < limitMillis) {
       Threads.sleepMillis(20);
-      watched.ready = watched.listening && answersPing();
+      supervised.ready = supervised.listening && answersPing();
     }
-    if (!watched.ready && watched.stopOrderedAt == 0 && !watched.killed()) {
-      ledger.violated(Rule.NOT_READY, "proxy " + number + " did not serve " + ageMillis(watched) + " ms after its start");
+    if (!supervised.ready && supervised.stopRequestedAt == 0 && !supervised.killed()) {
+      checker.reportViolation(Rule.NOT_READY, "proxy " + number + " did not serve " + ageMillis(supervised) + " ms after its start");
     }
     try {
-      int code = watched.process.waitFor();
-      boolean ordered = watched.stopOrderedAt != 0;
-      if (!watched.killed() && (!ordered || code != 0)) {
-        ledger.violated(Rule.CRASH, "proxy " + number + " ended with exit code " + code + (ordered ? " after SIGTERM" : ""));
+      int exitCode = supervised.process.waitFor();
+      boolean stopRequested = supervised.stopRequestedAt != 0;
+      if (!supervised.killed() && (!stopRequested || exitCode != 0)) {
+        checker.reportViolation(Rule.CRASH, "proxy " + number + " ended with exit code " + exitCode + (stopRequested ? " after SIGTERM" : ""));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static long ageMillis(Incarnation of) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - of.startedAt);
+  private static long ageMillis(Incarnation incarnation) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - incarnation.startedAt);
   }
 
   private boolean answersPing() {
-    try (Lines lines = Lines.to(address)) {
-      lines.patience(2_000);
-      lines.write("PING");
-      return "PONG".equals(lines.read());
+    try (LineConnection lines = LineConnection.connect(address)) {
+      lines.setReadTimeout(2_000);
+      lines.writeLines("PING");
+      return "PONG".equals(lines.readLine());
     } catch (IOException e) {
       return false;
     }
   }
 
   /** Whether the front sends clients here. */
-  boolean isTakenIn() {
-    Incarnation now = incarnation;
-    return now != null && now.ready && now.stopOrderedAt == 0 && now.killedAt == 0;
+  boolean isInService() {
+    Incarnation current = incarnation;
+    return current != null && current.ready && current.stopRequestedAt == 0 && current.killedAt == 0;
   }
 
-  void signal(String name) throws IOException {
+  void signal(String signalName) throws IOException {
     try {
-      new ProcessBuilder("kill", "-" + name, Long.toString(incarnation.process.pid())).start().waitFor();
+      new ProcessBuilder("kill", "-" + signalName, Long.toString(incarnation.process.pid())).start().waitFor();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -247,13 +247,13 @@
   /** SIGTERM; waits for the end, and kills the process where it may be killed. */
   void stop() throws IOException {
     Incarnation stopped = incarnation;
-    stopped.stopOrderedAt = System.nanoTime();
+    stopped.stopRequestedAt = System.nanoTime();
     // Through its handle: the process object would close the pipe of the log, too.
     stopped.process.toHandle().destroy();
-    long limit = Math.min(DEADLINE_MOST_MILLIS, config.longestDeadlineMillis()) + STOP_MORE_MILLIS;
+    long limitMillis = Math.min(MAX_DEADLINE_MILLIS, config.longestDeadlineMillis()) + STOP_MARGIN_MILLIS;
     try {
-      if (!stopped.process.waitFor(limit + ledger.allowanceMillis(), TimeUnit.MILLISECONDS)) {
-        ledger.violated(Rule.SLOW_STOP, "proxy " + number + " still ran " + limit + " ms after SIGTERM");
+      if (!stopped.process.waitFor(limitMillis + checker.allowanceMillis(), TimeUnit.MILLISECONDS)) {
+        checker.reportViolation(Rule.SLOW_STOP, "proxy " + number + " still ran " + limitMillis + " ms after SIGTERM");
         kill();
       }
     } catch (InterruptedException e) {
@@ -273,24 +273,24 @@
   }
 
   /** Rewrites the configuration, with discovery elsewhere or other settings, and sends SIGHUP. */
-  void reload(boolean moveDiscovery) throws IOException {
-    Incarnation told = incarnation;
-    int before = told.lines("configuration read anew").size();
-    if (moveDiscovery) {
-      discovery = 1 - discovery;
+  void reload(boolean switchDiscovery) throws IOException {
+    Incarnation reloaded = incarnation;
+    int earlierReloads = reloaded.logLines("configuration read anew").size();
+    if (switchDiscovery) {
+      activeDiscovery = 1 - activeDiscovery;
     } else {
-      attemptsMost = 5 - attemptsMost;
+      maxAttempts = 5 - maxAttempts;
     }
     writeConfig();
-    drains.reloaded(number);
+    drainChecker.reloaded(number);
     signal("HUP");
-    long limit = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(5_000 + ledger.allowanceMillis());
-    while (told.lines("configuration read anew").size() <= before) {
-      if (told.stopOrderedAt != 0 || told.killed() || !told.process.isAlive()) {
+    long giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(5_000 + checker.allowanceMillis());
+    while (reloaded.logLines("configuration read anew").size() <= earlierReloads) {
+      if (reloaded.stopRequestedAt != 0 || reloaded.killed() || !reloaded.process.isAlive()) {
         return;
       }
-      if (System.nanoTime() > limit) {
-        ledger.violated(Rule.RELOAD_IGNORED, "proxy " + number + " did not read its configuration after SIGHUP");
+      if (System.nanoTime() > giveUpAt) {
+        checker.reportViolation(Rule.RELOAD_IGNORED, "proxy " + number + " did not read its configuration after SIGHUP");
         return;
       }
       Threads.sleepMillis(10);
@@ -300,19 +300,19 @@
   /** What it counts itself, and what the system says that it holds. */
   void inspect() {
     Incarnation inspected = incarnation;
-    String[] open = new File("/proc/" + inspected.process.pid() + "/fd").list();
-    if (open != null && open.length > descriptors) {
-      ledger.violated(Rule.DESCRIPTORS, "proxy " + number + " holds " + open.length + " of " + config.sockets());
+    String[] descriptors = new File("/proc/" + inspected.process.pid() + "/fd").list();
+    if (descriptors != null && descriptors.length > descriptorLimit) {
+      checker.reportViolation(Rule.DESCRIPTORS, "proxy " + number + " holds " + descriptors.length + " of " + config.sockets());
     }
-    if (inspected.admin == null || !isTakenIn()) {
+    if (inspected.adminAddress == null || !isInService()) {
       return;
     }
-    try (Lines lines = Lines.to(inspected.admin)) {
-      lines.patience(2_000);
-      lines.write("show-stat");
-      for (String line = lines.read(); line != null; line = lines.read()) {
+    try (LineConnection lines = LineConnection.connect(inspected.adminAddress)) {
+      lines.setReadTimeout(2_000);
+      lines.writeLines("show-stat");
+      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
         if (line.startsWith("violations.") && !line.endsWith("=0")) {
-          ledger.violated(Rule.SELF_REPORTED, "proxy " + number + " counts " + line);
+          checker.reportViolation(Rule.SELF_REPORTED, "proxy " + number + " counts " + line);
         }
       }
     } catch (IOException e) {
@@ -326,6 +326,6 @@
     if (incarnation != null) {
       kill();
     }
-    discoveries.forEach(DiscoveryEndpoint::close);
+    discoveryEndpoints.forEach(DiscoveryEndpoint::close);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/SoakServer.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakServer.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import lemondeal.lab.Lines;
-import lemondeal.lab.site.Passage;
+import lemondeal.lab.LineConnection;
+import lemondeal.lab.site.NetworkConditions;
 import lemondeal.lab.site.Relay;
 
 /**
@@ -23,20 +23,20 @@
  */
 final class SoakServer implements AutoCloseable {
   private static final int BACKLOG = 512;
-  private static final int TOLD_EVERY = 4;
+  private static final int LOAD_REPORT_ONE_IN = 4;
   /** Under half of the aim: a server that says more is to be left alone, and nothing would be served. */
-  private static final int DELAY_MOST_MILLIS = 400;
-  private static final int LOAD_MOST = 40_000;
-  private static final int ENDLESS_BYTES = 16 * 1024;
+  private static final int MAX_DELAY_MILLIS = 400;
+  private static final int MAX_LOAD = 40_000;
+  private static final int OVERLONG_LINE_BYTES = 16 * 1024;
   /** The network of addresses that stand for proxies: 127.7.0.n. */
   private static final String PROXY_NETWORK = "127.7.0.";
   private static final int LAST_OCTET = 3;
 
   private final ServerIdentity identity;
-  private final Ledger ledger;
-  private final DrainRule drains;
-  private final SoakConfig.Tells tells;
-  private final AtomicInteger receipts = new AtomicInteger();
+  private final RuleChecker checker;
+  private final DrainChecker drainChecker;
+  private final SoakConfig.LoadReports loadReports;
+  private final AtomicInteger lastReceiptNumber = new AtomicInteger();
   private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
   private final int port;
   /** What passes between each proxy and this server, by the proxy's number; empty where nothing stands between. */
@@ -46,24 +46,24 @@
   private volatile boolean draining;
 
   /** One connection; its attempt is null until a first line has come. */
-  private record Connection(Lines lines, Holder attempt) {}
+  private record Connection(LineConnection lines, AttemptHolder attemptHolder) {}
 
-  private static final class Holder {
+  private static final class AttemptHolder {
     volatile Attempt attempt;
   }
 
   /** {@code relayed}: for how many proxies a relay stands before it, 0 for none. */
-  SoakServer(ServerIdentity identity, Ledger ledger, DrainRule drains, int relayed, SoakConfig.Tells tells)
+  SoakServer(ServerIdentity identity, RuleChecker checker, DrainChecker drainChecker, int relayCount, SoakConfig.LoadReports loadReports)
       throws IOException {
-    this.tells = tells;
+    this.loadReports = loadReports;
     this.identity = identity;
-    this.ledger = ledger;
-    this.drains = drains;
+    this.checker = checker;
+    this.drainChecker = drainChecker;
     socket = new ServerSocket(0, BACKLOG);
     port = socket.getLocalPort();
     accept(socket);
-    for (int proxy = 0; proxy < relayed; proxy++) {
-      relays.add(new Relay(ownAddressFor(proxy), port + proxy));
+    for (int proxy = 0; proxy < relayCount; proxy++) {
+      relays.add(new Relay(directAddressFor(proxy), port + proxy));
     }
   }
 
@@ -73,29 +73,29 @@
 
   /** Where a proxy, counted from 0, finds this server. */
   InetSocketAddress addressFor(int proxy) {
-    return relays.isEmpty() ? ownAddressFor(proxy) : relays.get(proxy).address();
+    return relays.isEmpty() ? directAddressFor(proxy) : relays.get(proxy).address();
   }
 
   /** From now on bytes between it and all proxies pass so; false where nothing stands between. */
-  boolean let(Passage passage) {
-    relays.forEach(relay -> relay.let(passage));
+  boolean setNetworkCondition(NetworkConditions condition) {
+    relays.forEach(relay -> relay.setConditions(condition));
     return !relays.isEmpty();
   }
 
-  private InetSocketAddress ownAddressFor(int proxy) {
+  private InetSocketAddress directAddressFor(int proxy) {
     return new InetSocketAddress(PROXY_NETWORK + (proxy + 1), port);
   }
 
-  private static int proxyOf(InetAddress local) {
+  private static int proxyNumber(InetAddress local) {
     byte[] octets = ((Inet4Address) local).getAddress();
     return octets[LAST_OCTET] - 1;
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket listener) {
     Threads.start("server-accept", () -> {
       try {
         while (true) {
-          Socket accepted = from.accept();
+          Socket accepted = listener.accept();
           Threads.start("server", () -> serve(accepted));
         }
       } catch (IOException e) {
@@ -105,12 +105,12 @@
   }
 
   /** From now on it behaves so. */
-  void mode(ServerMode fresh) {
-    mode = fresh;
-    if (fresh == ServerMode.FROZEN) {
-      connections.forEach(each -> {
-        if (each.attempt.attempt != null) {
-          each.attempt.attempt.broken();
+  void mode(ServerMode newMode) {
+    mode = newMode;
+    if (newMode == ServerMode.FROZEN) {
+      connections.forEach(connection -> {
+        if (connection.attemptHolder.attempt != null) {
+          connection.attemptHolder.attempt.markAbandoned();
         }
       });
     }
@@ -128,11 +128,11 @@
   /** Its process dies: connections are reset and new ones refused. */
   void crash() throws IOException {
     socket.close();
-    connections.forEach(each -> {
-      if (each.attempt.attempt != null) {
-        each.attempt.attempt.broken();
+    connections.forEach(connection -> {
+      if (connection.attemptHolder.attempt != null) {
+        connection.attemptHolder.attempt.markAbandoned();
       }
-      each.lines.reset();
+      connection.lines.reset();
     });
   }
 
@@ -140,19 +140,19 @@
   void restart() throws IOException {
     mode = ServerMode.NORMAL;
     draining = false;
-    socket = ListeningSockets.listenAgain(new InetSocketAddress(port), BACKLOG);
+    socket = ListeningSockets.rebind(new InetSocketAddress(port), BACKLOG);
     accept(socket);
   }
 
   /** Sends clients away, as a server does that is to end soon. */
   void moveClients() {
-    for (Connection each : connections) {
-      Attempt attempt = each.attempt.attempt;
+    for (Connection connection : connections) {
+      Attempt attempt = connection.attemptHolder.attempt;
       if (attempt != null && attempt.receipt != null) {
         try {
-          attempt.broken();
-          each.lines.write("MOVE");
-          each.lines.end();
+          attempt.markAbandoned();
+          connection.lines.writeLines("MOVE");
+          connection.lines.shutdownOutput();
         } catch (IOException e) {
           // Gone already.
         }
@@ -162,121 +162,121 @@
 
   private void serve(Socket accepted) {
     Connection connection = null;
-    try (Lines lines = new Lines(accepted)) {
-      connection = new Connection(lines, new Holder());
+    try (LineConnection lines = new LineConnection(accepted)) {
+      connection = new Connection(lines, new AttemptHolder());
       connections.add(connection);
-      String line = lines.read();
+      String line = lines.readLine();
       while ("PING".equals(line) || "STATS".equals(line)) {
         if (!answerProbe(lines, line)) {
           return;
         }
-        line = lines.read();
+        line = lines.readLine();
       }
       if (line != null && line.startsWith("OPEN ")) {
-        open(connection, line, proxyOf(accepted.getLocalAddress()));
+        handleOpen(connection, line, proxyNumber(accepted.getLocalAddress()));
       }
     } catch (IOException e) {
       // The proxy ended it.
     } finally {
       if (connection != null) {
         connections.remove(connection);
-        if (connection.attempt.attempt != null) {
-          connection.attempt.attempt.ended();
+        if (connection.attemptHolder.attempt != null) {
+          connection.attemptHolder.attempt.markEnded();
         }
       }
     }
   }
 
   /** False if the connection is to end behind the answer. */
-  private boolean answerProbe(Lines lines, String line) throws IOException {
+  private boolean answerProbe(LineConnection lines, String line) throws IOException {
     switch (mode) {
       case HANGS, FROZEN, HALF_ANSWER -> readToEnd(lines);
-      case ERRORS -> lines.write("ERR");
+      case ERRORS -> lines.writeLines("ERR");
       case RESETS -> lines.reset();
-      case SPOILT -> lines.write("what?");
-      default -> lines.write("PONG" + (line.equals("STATS") ? " served_ps=1,inflight=" + connections.size() + ",x0=0.1" : ""));
+      case SPOILT -> lines.writeLines("what?");
+      default -> lines.writeLines("PONG" + (line.equals("STATS") ? " served_ps=1,inflight=" + connections.size() + ",x0=0.1" : ""));
     }
     return mode != ServerMode.CLOSES_IDLE;
   }
 
-  private static void readToEnd(Lines lines) throws IOException {
-    while (lines.read() != null) {
+  private static void readToEnd(LineConnection lines) throws IOException {
+    while (lines.readLine() != null) {
       continue;
     }
   }
 
-  private void open(Connection connection, String line, int proxy) throws IOException {
-    Attempt attempt = ledger.received(line.split(" ")[1], identity, proxy, !relays.isEmpty());
+  private void handleOpen(Connection connection, String line, int proxy) throws IOException {
+    Attempt attempt = checker.recordAttempt(line.split(" ")[1], identity, proxy, !relays.isEmpty());
     if (attempt == null) {
       return;
     }
-    connection.attempt.attempt = attempt;
+    connection.attemptHolder.attempt = attempt;
     if (relays.isEmpty()) {
-      drains.received(identity.id(), proxy);
+      drainChecker.checkReceived(identity.id(), proxy);
     }
-    Lines lines = connection.lines;
+    LineConnection lines = connection.lines;
     if (draining || mode == ServerMode.FULL) {
       attempt.mayHaveRun = false;
-      attempt.broken();
-      lines.write("BUSY 100");
+      attempt.markAbandoned();
+      lines.writeLines("BUSY 100");
       return;
     }
     switch (mode) {
       case HANGS, FROZEN -> readToEnd(lines);
-      case ERRORS -> lines.write("ERR");
+      case ERRORS -> lines.writeLines("ERR");
       case RESETS -> lines.reset();
-      case ENDS -> lines.end();
+      case ENDS -> lines.shutdownOutput();
       case HALF_ANSWER -> {
-        lines.raw("UP half");
+        lines.writeRaw("UP half");
         readToEnd(lines);
       }
-      case SPOILT -> spoil(lines);
+      case SPOILT -> sendMalformedAnswer(lines);
       case SLOW -> serve(lines, attempt, 100 + ThreadLocalRandom.current().nextInt(400));
       default -> serve(lines, attempt, ThreadLocalRandom.current().nextInt(10));
     }
   }
 
-  private void spoil(Lines lines) throws IOException {
+  private void sendMalformedAnswer(LineConnection lines) throws IOException {
     switch (ThreadLocalRandom.current().nextInt(5)) {
-      case 0 -> lines.write("UP");
-      case 1 -> lines.raw("x".repeat(ENDLESS_BYTES));
-      case 2 -> lines.raw("\u0000\u0001\r\n\r\n");
-      case 3 -> lines.write("PONG", "what?");
-      default -> lines.raw("UP");
+      case 0 -> lines.writeLines("UP");
+      case 1 -> lines.writeRaw("x".repeat(OVERLONG_LINE_BYTES));
+      case 2 -> lines.writeRaw("\u0000\u0001\r\n\r\n");
+      case 3 -> lines.writeLines("PONG", "what?");
+      default -> lines.writeRaw("UP");
     }
     readToEnd(lines);
   }
 
-  private void serve(Lines lines, Attempt attempt, long setUpMillis) throws IOException {
+  private void serve(LineConnection lines, Attempt attempt, long setupMillis) throws IOException {
     // Meanwhile nothing is read, and so no end of the connection is seen.
-    attempt.watched = false;
-    Threads.sleepMillis(setUpMillis);
-    attempt.watched = !attempt.relayed;
+    attempt.closeDetectable = false;
+    Threads.sleepMillis(setupMillis);
+    attempt.closeDetectable = !attempt.relayed;
     if (mode == ServerMode.FROZEN) {
-      attempt.broken();
+      attempt.markAbandoned();
       readToEnd(lines);
       return;
     }
-    attempt.receipt = identity.id() + "-" + receipts.incrementAndGet();
-    lines.write("UP " + attempt.receipt);
-    for (String line = lines.read(); line != null; line = lines.read()) {
-      if (mode != ServerMode.FROZEN && attempt.brokenAt == 0) {
-        tellLoad(lines);
-        lines.write("ECHO " + TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + " " + line);
+    attempt.receipt = identity.id() + "-" + lastReceiptNumber.incrementAndGet();
+    lines.writeLines("UP " + attempt.receipt);
+    for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+      if (mode != ServerMode.FROZEN && attempt.abandonedAt == 0) {
+        maybeSendLoadReport(lines);
+        lines.writeLines("ECHO " + TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + " " + line);
       } else {
-        attempt.broken();
+        attempt.markAbandoned();
       }
     }
   }
 
   /** Now and then a line of its own before the answer, as the settings say: a load, or a delay in milliseconds. */
-  private void tellLoad(Lines lines) throws IOException {
+  private void maybeSendLoadReport(LineConnection lines) throws IOException {
     ThreadLocalRandom random = ThreadLocalRandom.current();
-    if (tells == SoakConfig.Tells.NOTHING || random.nextInt(TOLD_EVERY) != 0) {
+    if (loadReports == SoakConfig.LoadReports.NOTHING || random.nextInt(LOAD_REPORT_ONE_IN) != 0) {
       return;
     }
-    boolean delay = tells == SoakConfig.Tells.DELAYS || (tells == SoakConfig.Tells.BOTH && random.nextBoolean());
-    lines.write("LOAD " + (delay ? random.nextInt(DELAY_MOST_MILLIS) : random.nextInt(LOAD_MOST)));
+    boolean delay = loadReports == SoakConfig.LoadReports.DELAYS || (loadReports == SoakConfig.LoadReports.BOTH && random.nextBoolean());
+    lines.writeLines("LOAD " + (delay ? random.nextInt(MAX_DELAY_MILLIS) : random.nextInt(MAX_LOAD)));
   }
 
   @Override
@@ -286,7 +286,7 @@
     } catch (IOException e) {
       // Closed already.
     }
-    connections.forEach(each -> each.lines.reset());
+    connections.forEach(connection -> connection.lines.reset());
     relays.forEach(Relay::close);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/stream/StreamServer.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumableServer.java
@@ -10,35 +10,35 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 
 /**
  * A stand-in link node on loopback that can resume sessions, as docs/RESUME-WIRE.md specifies for servers. Keeps a line,
  * answers {@code ACK N}, and sends a line of its own for each; has faults to order.
  */
-public final class StreamServer implements AutoCloseable {
-  private static final long WAIT_MILLIS = 100;
+public final class ResumableServer implements AutoCloseable {
+  private static final long LINE_WAIT_MILLIS = 100;
 
   /** What it does with an {@code OPEN}. */
-  public enum Mood { SERVES, CANNOT_RESUME, FULL, SILENT, ERRS }
+  public enum ResponseMode { SERVES, CANNOT_RESUME, FULL, SILENT, ERRS }
 
   private final SessionStore store;
   private final ServerSocket socket;
   private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger receipts = new AtomicInteger();
-  private final AtomicInteger opened = new AtomicInteger();
-  private volatile Mood mood = Mood.SERVES;
+  private final AtomicInteger receiptCount = new AtomicInteger();
+  private final AtomicInteger openCount = new AtomicInteger();
+  private volatile ResponseMode responseMode = ResponseMode.SERVES;
   private volatile boolean draining;
   private volatile boolean acknowledges = true;
   private volatile boolean replays = true;
 
-  public StreamServer(SessionStore store) throws IOException {
+  public ResumableServer(SessionStore store) throws IOException {
     this.store = store;
     socket = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
-    daemon(this::accept, "accept");
+    startDaemon(this::accept, "accept");
   }
 
-  private static void daemon(Runnable task, String name) {
+  private static void startDaemon(Runnable task, String name) {
     Thread thread = new Thread(null, task, name, 256 * 1024);
     thread.setDaemon(true);
     thread.start();
@@ -48,46 +48,46 @@
     return (InetSocketAddress) socket.getLocalSocketAddress();
   }
 
-  public void mood(Mood newMood) {
-    mood = newMood;
+  public void setResponseMode(ResponseMode newMode) {
+    responseMode = newMode;
   }
 
   /** Keeps lines and says nothing of it. */
-  public void withoutAcknowledging() {
+  public void disableAcknowledgements() {
     acknowledges = false;
   }
 
   /** Begins with its first line whatever its client has: for showing that the checker finds out. */
-  public void withoutReplay() {
+  public void disableReplay() {
     replays = false;
   }
 
   /** Connections that stand. */
-  public int standing() {
-    return (int) connections.stream().filter(c -> c.up).count();
+  public int openConnections() {
+    return (int) connections.stream().filter(connection -> connection.established).count();
   }
 
   /** Waits until no connection stands any more. */
-  public synchronized void awaitEmpty() throws InterruptedException {
-    while (standing() > 0) {
+  public synchronized void awaitNoConnections() throws InterruptedException {
+    while (openConnections() > 0) {
       wait();
     }
   }
 
-  private synchronized void left(Connection connection) {
+  private synchronized void onConnectionEnd(Connection connection) {
     connections.remove(connection);
     notifyAll();
   }
 
   /** First lines that came. */
-  public int opened() {
-    return opened.get();
+  public int openCount() {
+    return openCount.get();
   }
 
   /** Sends all clients away and takes no new ones. */
   public void drain() {
     draining = true;
-    connections.forEach(Connection::moveAway);
+    connections.forEach(Connection::sendMove);
   }
 
   /** Dies without a word. */
@@ -100,9 +100,9 @@
     try {
       while (true) {
         Socket accepted = socket.accept();
-        Connection connection = new Connection(new Lines(accepted));
+        Connection connection = new Connection(new LineConnection(accepted));
         connections.add(connection);
-        daemon(connection::run, "server");
+        startDaemon(connection::run, "server");
       }
     } catch (IOException e) {
       // Closed.
@@ -120,66 +120,66 @@
 
   /** One client link's connection to this server. */
   private final class Connection {
-    private final Lines lines;
+    private final LineConnection lines;
     private String session;
     private long epoch;
-    private long next;
-    private volatile boolean up;
-    private volatile boolean moved;
+    private long nextLine;
+    private volatile boolean established;
+    private volatile boolean moveSent;
 
-    Connection(Lines lines) {
+    Connection(LineConnection lines) {
       this.lines = lines;
     }
 
     void run() {
       try {
-        String line = lines.read();
+        String line = lines.readLine();
         while ("PING".equals(line) || "STATS".equals(line)) {
-          lines.write("PONG" + (line.equals("STATS") ? " inflight=1,qps=1,x0=0.1" : ""));
-          line = lines.read();
+          lines.writeLines("PONG" + (line.equals("STATS") ? " inflight=1,qps=1,x0=0.1" : ""));
+          line = lines.readLine();
         }
         if (line != null) {
-          open(line);
+          handleOpen(line);
         }
       } catch (IOException e) {
         // Its end is noted below, as any other.
       } finally {
-        left(this);
+        onConnectionEnd(this);
         lines.close();
       }
     }
 
-    private void open(String line) throws IOException {
-      opened.incrementAndGet();
+    private void handleOpen(String line) throws IOException {
+      openCount.incrementAndGet();
       Map<String, String> values = new HashMap<>();
       for (String pair : line.split(" ")[3].split(",")) {
         values.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
       }
       session = values.get("session");
-      if (session == null || mood == Mood.CANNOT_RESUME) {
-        plain();
+      if (session == null || responseMode == ResponseMode.CANNOT_RESUME) {
+        servePlain();
         return;
       }
       epoch = Long.parseLong(values.get("epoch"));
-      next = Long.parseLong(values.get("have")) + 1;
-      store.attemptBegan(session);
+      nextLine = Long.parseLong(values.get("have")) + 1;
+      store.attemptStarted(session);
       try {
-        if (!answer()) {
+        if (!respond()) {
           return;
         }
       } finally {
         store.attemptEnded(session);
       }
-      daemon(this::push, "push");
+      startDaemon(this::sendStoredLines, "push");
       serve();
     }
 
     /** Whether the session is this connection's from now on. */
-    private boolean answer() throws IOException {
-      switch (draining ? Mood.FULL : mood) {
-        case FULL -> lines.write("BUSY");
-        case ERRS -> lines.write("ERR");
-        case SILENT -> lines.read();
+    private boolean respond() throws IOException {
+      switch (draining ? ResponseMode.FULL : responseMode) {
+        case FULL -> lines.writeLines("BUSY");
+        case ERRS -> lines.writeLines("ERR");
+        case SILENT -> lines.readLine();
         default -> {
           return takeSession();
         }
@@ -188,55 +188,55 @@
     }
 
     private boolean takeSession() throws IOException {
-      SessionStore.Taken taken = store.take(session, epoch, next - 1);
-      lines.write(taken.granted() ? "UP r" + receipts.incrementAndGet() + " resumed=" + taken.has() : "ERR");
-      up = taken.granted();
-      return up;
+      SessionStore.TakeoverResult takeover = store.takeOver(session, epoch, nextLine - 1);
+      lines.writeLines(takeover.granted() ? "UP r" + receiptCount.incrementAndGet() + " resumed=" + takeover.storedLines() : "ERR");
+      established = takeover.granted();
+      return established;
     }
 
     /** As a server that knows nothing of sessions. */
-    private void plain() throws IOException {
+    private void servePlain() throws IOException {
       if (draining) {
-        lines.write("BUSY");
+        lines.writeLines("BUSY");
         return;
       }
-      lines.write("UP r" + receipts.incrementAndGet());
-      up = true;
-      for (String line = lines.read(); line != null; line = lines.read()) {
-        if (!moved) {
-          lines.write("echo " + line);
+      lines.writeLines("UP r" + receiptCount.incrementAndGet());
+      established = true;
+      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+        if (!moveSent) {
+          lines.writeLines("echo " + line);
         }
       }
     }
 
     private void serve() throws IOException {
       if (draining) {
-        moveAway();
+        sendMove();
       }
-      for (String line = lines.read(); line != null; line = lines.read()) {
-        long kept = store.apply(session, epoch, line);
-        if (kept < 0) {
+      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+        long storedCount = store.append(session, epoch, line);
+        if (storedCount < 0) {
           return;
         }
-        if (acknowledges && !moved) {
-          lines.write("ACK " + kept);
+        if (acknowledges && !moveSent) {
+          lines.writeLines("ACK " + storedCount);
         }
       }
     }
 
     /** Sends the session's lines, those that the client does not have first. */
-    private void push() {
+    private void sendStoredLines() {
       try {
         if (!replays) {
-          next = 1;
+          nextLine = 1;
         }
-        while (!moved && store.isHighest(session, epoch) && connections.contains(this)) {
-          String line = store.line(session, epoch, next, WAIT_MILLIS);
+        while (!moveSent && store.isCurrentEpoch(session, epoch) && connections.contains(this)) {
+          String line = store.awaitLine(session, epoch, nextLine, LINE_WAIT_MILLIS);
           if (line != null) {
             synchronized (this) {
-              if (!moved) {
-                lines.write(line);
-                next++;
+              if (!moveSent) {
+                lines.writeLines(line);
+                nextLine++;
               }
             }
           }
@@ -248,13 +248,13 @@
       }
     }
 
-    private void moveAway() {
+    private void sendMove() {
       try {
         synchronized (this) {
-          if (up && !moved) {
-            moved = true;
-            lines.write("MOVE");
-            lines.end();
+          if (established && !moveSent) {
+            moveSent = true;
+            lines.writeLines("MOVE");
+            lines.shutdownOutput();
           }
         }
       } catch (IOException e) {
--- a/lab/src/main/java/lemondeal/lab/stream/StreamSite.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumeTestCluster.java
@@ -12,35 +12,35 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
-import lemondeal.lab.Listing;
-import lemondeal.lab.ServeProcess;
-import lemondeal.lab.claims.ClaimStoreServer;
-import lemondeal.lab.TestAuthority;
+import lemondeal.lab.FakeDiscovery;
+import lemondeal.lab.ProxyProcess;
+import lemondeal.lab.claims.FakeClaimStore;
+import lemondeal.lab.TestCertificateAuthority;
 
 /** A small site on loopback: real proxies in processes of their own, stand-in servers, discovery and claim store. */
-public final class StreamSite implements AutoCloseable {
-  public static final String CLASS = "order-sync";
+public final class ResumeTestCluster implements AutoCloseable {
+  public static final String RESUMABLE_CLASS = "order-sync";
 
   private final Path folder;
-  private final Listing listing = new Listing();
-  private final SessionStore store = new SessionStore();
-  private final ClaimStoreServer claims;
-  private final Map<String, StreamServer> servers = new LinkedHashMap<>();
-  private final List<ServeProcess> proxies = new ArrayList<>();
-  private final AtomicInteger turn = new AtomicInteger();
-  private volatile int only = -1;
+  private final FakeDiscovery discovery = new FakeDiscovery();
+  private final SessionStore sessionStore = new SessionStore();
+  private final FakeClaimStore claimStore;
+  private final Map<String, ResumableServer> servers = new LinkedHashMap<>();
+  private final List<ProxyProcess> proxies = new ArrayList<>();
+  private final AtomicInteger nextProxyIndex = new AtomicInteger();
+  private volatile int pinnedProxy = -1;
   private final Path operatorFile;
   /** Stores that speak TLS, where there are any. */
-  private final List<ClaimStoreServer> stores = new ArrayList<>();
-  private final String more;
+  private final List<FakeClaimStore> tlsStores = new ArrayList<>();
+  private final String extraSections;
 
   /**
    * Starts so many proxies and servers.
    *
    * @param resume lines of the operator's section {@code resume} beside classes, keys and claims; null for no such file
    */
-  public StreamSite(int proxyCount, int serverCount, String resume) throws IOException, InterruptedException {
-    this(proxyCount, serverCount, resume, "");
+  public ResumeTestCluster(int proxyCount, int serverCount, String resumeSettings) throws IOException, InterruptedException {
+    this(proxyCount, serverCount, resumeSettings, "");
   }
 
   /**
@@ -48,15 +48,15 @@
    *
    * @param more whole sections beside {@code version} and {@code resume}, such as {@code limits: {rings_mb: 20}}
    */
-  public StreamSite(int proxyCount, int serverCount, String resume, String more)
+  public ResumeTestCluster(int proxyCount, int serverCount, String resumeSettings, String extraSections)
       throws IOException, InterruptedException {
-    this.more = more;
+    this.extraSections = extraSections;
     folder = Files.createTempDirectory("lemondeal-lab");
-    claims = new ClaimStoreServer();
-    operatorFile = resume == null ? null : folder.resolve("operator.yaml");
-    if (resume != null) {
-      run("keys", "make", folder.resolve("keys.yaml").toString());
-      write(resume, "fleet, store: '127.0.0.1:" + claims.address().getPort() + "'");
+    claimStore = new FakeClaimStore();
+    operatorFile = resumeSettings == null ? null : folder.resolve("operator.yaml");
+    if (resumeSettings != null) {
+      runCommand("keys", "make", folder.resolve("keys.yaml").toString());
+      writeOperatorFile(resumeSettings, "fleet, store: '127.0.0.1:" + claimStore.address().getPort() + "'");
     }
     for (int i = 1; i <= serverCount; i++) {
       addServer("s-" + i);
@@ -66,7 +66,7 @@
     }
   }
 
-  private void write(String resume, String claimsIn) throws IOException {
+  private void writeOperatorFile(String resumeSettings, String claimsSetting) throws IOException {
     Files.writeString(operatorFile, """
         version: 1
         %s
@@ -75,40 +75,40 @@
           keys: keys.yaml
           claims: {in: %s}
         %s
-        """.formatted(more, claimsIn, resume.indent(2)));
+        """.formatted(extraSections, claimsSetting, resumeSettings.indent(2)));
   }
 
   /**
    * From the next start of a proxy on, claims are made in a store of two addresses that speaks TLS alone and asks each
    * proxy for a certificate of the lab's authority. Returns the two replicas, first address first.
    */
-  public List<ClaimStoreServer> useTls() throws IOException {
-    TestAuthority authority = TestAuthority.make("lab-claims");
-    Path trusted = authority.writeAuthority(folder.resolve("claims-ca.pem"));
-    TestAuthority.Issued store = authority.issue(folder, "claims-store", "claims.lab.test");
-    TestAuthority.Issued proxy = authority.issue(folder, "proxy", "proxy.lab.test");
-    ClaimStoreServer first = new ClaimStoreServer(new ClaimStoreServer.Tls(store.certificate(), store.key(), trusted));
-    stores.add(first);
-    stores.add(first.replica());
-    write("", "fleet, store: ['127.0.0.1:%d', '127.0.0.1:%d'],\n"
-        .formatted(first.address().getPort(), stores.get(1).address().getPort())
+  public List<FakeClaimStore> useTlsClaimStore() throws IOException {
+    TestCertificateAuthority authority = TestCertificateAuthority.create("lab-claims");
+    Path authorityFile = authority.writeCertificate(folder.resolve("claims-ca.pem"));
+    TestCertificateAuthority.IssuedCertificate storeCertificate = authority.issue(folder, "claims-store", "claims.lab.test");
+    TestCertificateAuthority.IssuedCertificate proxyCertificate = authority.issue(folder, "proxy", "proxy.lab.test");
+    FakeClaimStore first = new FakeClaimStore(new FakeClaimStore.Tls(storeCertificate.certificate(), storeCertificate.key(), authorityFile));
+    tlsStores.add(first);
+    tlsStores.add(first.replica());
+    writeOperatorFile("", "fleet, store: ['127.0.0.1:%d', '127.0.0.1:%d'],\n"
+        .formatted(first.address().getPort(), tlsStores.get(1).address().getPort())
         + "    tls: {authority: claims-ca.pem, certificate: proxy.pem, key: proxy.key, name: claims.lab.test}");
-    return List.copyOf(stores);
+    return List.copyOf(tlsStores);
   }
 
   /** Claims are made on disk from the next start of a proxy on. */
-  public void useDisk() throws IOException {
-    write("", "disk, folder: claims");
+  public void useDiskClaims() throws IOException {
+    writeOperatorFile("", "disk, folder: claims");
   }
 
   /** Runs a command of the program to its end. */
-  public static String run(String... words) throws IOException, InterruptedException {
-    Process process = new ProcessBuilder(ServeProcess.command(words)).redirectErrorStream(true).start();
-    String said = new String(process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
+  public static String runCommand(String... arguments) throws IOException, InterruptedException {
+    Process process = new ProcessBuilder(ProxyProcess.command(arguments)).redirectErrorStream(true).start();
+    String output = new String(process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     if (process.waitFor() != 0) {
-      throw new IOException(String.join(" ", words) + ": " + said);
+      throw new IOException(String.join(" ", arguments) + ": " + output);
     }
-    return said;
+    return output;
   }
 
   /** Starts proxy number {@code i} of so many, or starts it again. */
@@ -128,48 +128,48 @@
            "prices":{"crossZone":0.03,"waste":0.2,"probe":0.0023,"moves":0.01},
            "profiles":[{"name":"order-sync","semantics":"idempotent","aim":500000,"hardLimit":2000000},
              {"name":"chat","semantics":"idempotent","aim":500000,"hardLimit":2000000}]}}
-        """.formatted(i, listen, listing.address().getPort(), i + 1, i, count));
-    ServeProcess started = ServeProcess.start(config, operatorFile);
+        """.formatted(i, listen, discovery.address().getPort(), i + 1, i, count));
+    ProxyProcess started = ProxyProcess.start(config, operatorFile);
     if (i < proxies.size()) {
       proxies.set(i, started);
     } else {
       proxies.add(started);
     }
-    started.await("ready");
+    started.awaitLog("ready");
   }
 
   /** Adds a fresh server under this id. */
-  public StreamServer addServer(String id) throws IOException {
-    StreamServer server = new StreamServer(store);
+  public ResumableServer addServer(String id) throws IOException {
+    ResumableServer server = new ResumableServer(sessionStore);
     servers.put(id, server);
-    listing.list(id, server.address(), "in_service");
+    discovery.putInstance(id, server.address(), "in_service");
     return server;
   }
 
   /** Drains the server as an operator would: told by discovery, and by the server to its clients. */
   public void drain(String id) {
-    listing.list(id, servers.get(id).address(), "terminating");
+    discovery.putInstance(id, servers.get(id).address(), "terminating");
     servers.get(id).drain();
   }
 
   /** The server dies; discovery hears of it. */
   public void kill(String id) {
     servers.get(id).kill();
-    listing.list(id, servers.get(id).address(), "terminated");
+    discovery.putInstance(id, servers.get(id).address(), "terminated");
   }
 
   /** Has the front send all to one proxy; -1 for all of them. */
-  public void frontOnly(int proxy) {
-    only = proxy;
+  public void pinToProxy(int proxy) {
+    pinnedProxy = proxy;
   }
 
   /** The plain front: proxies in turn, those that are alive. */
-  public InetSocketAddress front() {
-    if (only >= 0) {
-      return proxies.get(only).address();
+  public InetSocketAddress nextProxyAddress() {
+    if (pinnedProxy >= 0) {
+      return proxies.get(pinnedProxy).address();
     }
     for (int i = 0; i < proxies.size(); i++) {
-      ServeProcess proxy = proxies.get(Math.floorMod(turn.getAndIncrement(), proxies.size()));
+      ProxyProcess proxy = proxies.get(Math.floorMod(nextProxyIndex.getAndIncrement(), proxies.size()));
       if (proxy.isAlive()) {
         return proxy.address();
       }
@@ -177,20 +177,20 @@
     throw new IllegalStateException("no proxy is alive");
   }
 
-  public List<ServeProcess> proxies() {
+  public List<ProxyProcess> proxies() {
     return proxies;
   }
 
-  public StreamServer server(String id) {
+  public ResumableServer server(String id) {
     return servers.get(id);
   }
 
-  public SessionStore store() {
-    return store;
+  public SessionStore sessionStore() {
+    return sessionStore;
   }
 
-  public ClaimStoreServer claims() {
-    return claims;
+  public FakeClaimStore claimStore() {
+    return claimStore;
   }
 
   public Path folder() {
@@ -217,11 +217,11 @@
 
   @Override
   public void close() {
-    proxies.forEach(ServeProcess::close);
-    servers.values().forEach(StreamServer::kill);
-    listing.close();
-    claims.close();
-    stores.forEach(ClaimStoreServer::close);
+    proxies.forEach(ProxyProcess::close);
+    servers.values().forEach(ResumableServer::kill);
+    discovery.close();
+    claimStore.close();
+    tlsStores.forEach(FakeClaimStore::close);
     try (Stream<Path> files = Files.walk(folder)) {
       files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
     } catch (IOException e) {
--- a/lab/src/main/java/lemondeal/lab/stream/ResumingClient.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumingClient.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 
 /**
  * A client that keeps to docs/RESUME-WIRE.md: sends its lines at a pace, keeps those that nobody has acknowledged, and
@@ -18,8 +18,8 @@
  */
 public final class ResumingClient implements Runnable {
   private static final int DEADLINE_MILLIS = 2000;
-  private static final int UP_MILLIS = 8000;
-  private static final long PAUSE_MILLIS = 100;
+  private static final int UP_TIMEOUT_MILLIS = 8000;
+  private static final long RETRY_DELAY_MILLIS = 100;
 
   /**
    * How it behaves.
@@ -30,39 +30,39 @@
    * @param resumes whether it asks for a session at all
    * @param until nanoseconds on {@link System#nanoTime} after which it gives up
    */
-  public record Plan(Supplier<InetSocketAddress> front, String className, int lines, int paceMillis, boolean resumes,
-      long until) {}
+  public record Settings(Supplier<InetSocketAddress> nextProxy, String className, int lines, int paceMillis, boolean resumable,
+      long deadlineNanos) {}
 
-  private final Plan plan;
+  private final Settings settings;
   private final String name;
-  private final Deque<String> kept = new ArrayDeque<>();
-  private int connections;
+  private final Deque<String> unacknowledged = new ArrayDeque<>();
+  private int connectionCount;
   private long sent;
-  private long dropped;
-  private long got;
+  private long droppedCount;
+  private long received;
   private String token = "";
   private long acknowledged;
-  private long lastLine;
+  private long lastLineNanos;
   private final List<String> breaches = new ArrayList<>();
   private final List<Long> gaps = new ArrayList<>();
-  private final Map<String, Integer> notes = new TreeMap<>();
-  private long restated;
+  private final Map<String, Integer> eventCounts = new TreeMap<>();
+  private long resent;
 
   /** {@code name}: 8 hex digits that no other client has. */
-  public ResumingClient(String name, Plan plan) {
+  public ResumingClient(String name, Settings settings) {
     this.name = name;
-    this.plan = plan;
+    this.settings = settings;
   }
 
   /** The text of this client's line of the number. */
-  public String line(long number) {
+  public String lineText(long number) {
     return "order " + name + " " + number;
   }
 
   @Override
   public void run() {
     try {
-      while (!isDone() && System.nanoTime() < plan.until()) {
+      while (!isDone() && System.nanoTime() < settings.deadlineNanos()) {
         connect();
       }
     } catch (InterruptedException e) {
@@ -71,142 +71,142 @@
   }
 
   public boolean isDone() {
-    return acknowledged >= plan.lines() && got >= plan.lines();
+    return acknowledged >= settings.lines() && received >= settings.lines();
   }
 
   private void connect() throws InterruptedException {
-    try (Lines lines = Lines.to(plan.front().get())) {
-      lines.patience(UP_MILLIS);
-      lines.write(firstLine());
-      if (answered(lines.read())) {
-        note("up");
-        if (plan.resumes()) {
-          began(lines.read(), lines);
+    try (LineConnection connection = LineConnection.connect(settings.nextProxy().get())) {
+      connection.setReadTimeout(UP_TIMEOUT_MILLIS);
+      connection.writeLines(firstLine());
+      if (isAccepted(connection.readLine())) {
+        countEvent("up");
+        if (settings.resumable()) {
+          onResumeLine(connection.readLine(), connection);
         } else {
-          restart(lines);
+          resendAll(connection);
         }
-        pass(lines);
+        exchangeLines(connection);
       }
     } catch (IOException e) {
-      note("broken");
-      Thread.sleep(PAUSE_MILLIS);
+      countEvent("broken");
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
   }
 
   private String firstLine() {
-    String open = String.format("OPEN %s%08x %s c=%s,d=%d,g=%s", name, ++connections, name, plan.className(),
+    String open = String.format("OPEN %s%08x %s c=%s,d=%d,g=%s", name, ++connectionCount, name, settings.className(),
         DEADLINE_MILLIS, name);
-    if (connections > 1) {
+    if (connectionCount > 1) {
       open += ",again=1";
     }
-    if (plan.resumes()) {
-      open += ",resume=1" + (token.isEmpty() ? "" : ",token=" + token + ",got=" + got);
+    if (settings.resumable()) {
+      open += ",resume=1" + (token.isEmpty() ? "" : ",token=" + token + ",got=" + received);
     }
     return open;
   }
 
   /** Whether a server has taken it. */
-  private boolean answered(String answer) throws InterruptedException {
+  private boolean isAccepted(String answer) throws InterruptedException {
     if (answer != null && answer.startsWith("UP ")) {
       return true;
     }
-    note(answer == null ? "closed" : answer.replaceAll(" [0-9].*", ""));
+    countEvent(answer == null ? "closed" : answer.replaceAll(" [0-9].*", ""));
     if (answer != null && answer.matches("ERR (used|token|other|got)")) {
       breaches.add(name + ": " + answer + " to an honest token");
-      forget();
+      resetSession();
     }
-    boolean advised = answer != null && answer.matches("BUSY [0-9]+");
-    Thread.sleep(advised ? Long.parseLong(answer.substring("BUSY ".length())) : PAUSE_MILLIS);
+    boolean retryDelayGiven = answer != null && answer.matches("BUSY [0-9]+");
+    Thread.sleep(retryDelayGiven ? Long.parseLong(answer.substring("BUSY ".length())) : RETRY_DELAY_MILLIS);
     return false;
   }
 
   /** The line behind UP. */
-  private void began(String line, Lines lines) throws IOException {
-    String[] words = (line == null ? "" : line).split(" ");
-    if (words.length < 3 || !words[0].equals("RESUME")) {
+  private void onResumeLine(String line, LineConnection connection) throws IOException {
+    String[] fields = (line == null ? "" : line).split(" ");
+    if (fields.length < 3 || !fields[0].equals("RESUME")) {
       throw new IOException("no RESUME line, but " + line);
     }
-    note(words[1].equals("at") ? "at" : words[1].equals("new") ? "new" : words[1] + " " + words[2]);
-    if (words[1].equals("at")) {
-      drop(Long.parseLong(words[2]));
-      for (String again : kept) {
-        lines.write(again);
+    countEvent(fields[1].equals("at") ? "at" : fields[1].equals("new") ? "new" : fields[1] + " " + fields[2]);
+    if (fields[1].equals("at")) {
+      dropAcknowledged(Long.parseLong(fields[2]));
+      for (String unacknowledgedLine : unacknowledged) {
+        connection.writeLines(unacknowledgedLine);
       }
     } else {
       if (!token.isEmpty()) {
         breaches.add(name + ": had to begin anew: " + line);
       }
-      forget();
+      resetSession();
     }
-    token = words[1].equals("off") ? "" : words[words.length - 1];
+    token = fields[1].equals("off") ? "" : fields[fields.length - 1];
   }
 
-  private void forget() {
+  private void resetSession() {
     token = "";
-    got = 0;
+    received = 0;
     sent = 0;
     acknowledged = 0;
-    dropped = 0;
-    kept.clear();
+    droppedCount = 0;
+    unacknowledged.clear();
   }
 
   /** Without a session a client can only send its stream once more. */
-  private void restart(Lines lines) throws IOException {
-    restated += sent;
+  private void resendAll(LineConnection connection) throws IOException {
+    resent += sent;
     for (long number = 1; number <= sent; number++) {
-      lines.write(line(number));
+      connection.writeLines(lineText(number));
     }
-    got = 0;
+    received = 0;
   }
 
-  private void drop(long count) {
-    while (dropped < count && !kept.isEmpty()) {
-      kept.poll();
-      dropped++;
+  private void dropAcknowledged(long count) {
+    while (droppedCount < count && !unacknowledged.isEmpty()) {
+      unacknowledged.poll();
+      droppedCount++;
     }
     acknowledged = Math.max(acknowledged, count);
-    if (dropped < count) {
+    if (droppedCount < count) {
       breaches.add(name + ": " + count + " lines acknowledged of " + sent);
     }
   }
 
-  private void pass(Lines lines) throws IOException {
-    lines.patience(plan.paceMillis());
-    boolean first = true;
-    if (connections > 1) {
+  private void exchangeLines(LineConnection connection) throws IOException {
+    connection.setReadTimeout(settings.paceMillis());
+    boolean firstLinePending = true;
+    if (connectionCount > 1) {
       // A user's next line does not wait: what is measured is the gap, not the pace.
-      sendNext(lines);
+      sendNext(connection);
     }
-    while (!isDone() && System.nanoTime() < plan.until()) {
+    while (!isDone() && System.nanoTime() < settings.deadlineNanos()) {
       try {
-        String line = lines.read();
+        String line = connection.readLine();
         if (line == null) {
           return;
         }
-        first = heard(line, first);
+        firstLinePending = onLine(line, firstLinePending);
       } catch (SocketTimeoutException e) {
-        sendNext(lines);
+        sendNext(connection);
       }
     }
   }
 
-  private void sendNext(Lines lines) throws IOException {
-    if (sent < plan.lines()) {
+  private void sendNext(LineConnection connection) throws IOException {
+    if (sent < settings.lines()) {
       sent++;
-      kept.add(line(sent));
-      lines.write(line(sent));
+      unacknowledged.add(lineText(sent));
+      connection.writeLines(lineText(sent));
     }
   }
 
   /** Whether the first line of the connection is still to come. */
-  private boolean heard(String line, boolean first) {
-    String[] words = line.split(" ");
-    switch (words[0]) {
-      case "ACK" -> drop(Long.parseLong(words[1]));
-      case "TOKEN" -> token = words[1];
+  private boolean onLine(String line, boolean firstLinePending) {
+    String[] fields = line.split(" ");
+    switch (fields[0]) {
+      case "ACK" -> dropAcknowledged(Long.parseLong(fields[1]));
+      case "TOKEN" -> token = fields[1];
       case "MOVE" -> {
-        note("moved");
-        token = words.length > 1 ? words[1] : token;
+        countEvent("moved");
+        token = fields.length > 1 ? fields[1] : token;
       }
       case "LOAD", "BYE" -> { }
       case "RESUME" -> {
@@ -214,30 +214,30 @@
         token = "";
       }
       default -> {
-        data(line);
+        onDataLine(line);
         long now = System.nanoTime();
-        if (first && lastLine != 0) {
-          gaps.add(now - lastLine);
+        if (firstLinePending && lastLineNanos != 0) {
+          gaps.add(now - lastLineNanos);
         }
-        lastLine = now;
+        lastLineNanos = now;
         return false;
       }
     }
-    return first;
+    return firstLinePending;
   }
 
-  private void data(String line) {
-    got++;
-    if (!plan.resumes()) {
-      acknowledged = got;
-      kept.poll();
-    } else if (!line.equals("price " + got)) {
-      breaches.add(name + ": line " + got + " to the client is '" + line + "'");
+  private void onDataLine(String line) {
+    received++;
+    if (!settings.resumable()) {
+      acknowledged = received;
+      unacknowledged.poll();
+    } else if (!line.equals("price " + received)) {
+      breaches.add(name + ": line " + received + " to the client is '" + line + "'");
     }
   }
 
-  private void note(String what) {
-    notes.merge(what, 1, Integer::sum);
+  private void countEvent(String event) {
+    eventCounts.merge(event, 1, Integer::sum);
   }
 
   // ---- What is to be told of it, once its thread has ended -------------------------------------
@@ -254,13 +254,13 @@
     return acknowledged;
   }
 
-  public long got() {
-    return got;
+  public long received() {
+    return received;
   }
 
   /** Lines sent once more that had been sent before. */
-  public long restated() {
-    return restated;
+  public long resent() {
+    return resent;
   }
 
   public List<String> breaches() {
@@ -272,7 +272,7 @@
     return gaps;
   }
 
-  public Map<String, Integer> notes() {
-    return notes;
+  public Map<String, Integer> eventCounts() {
+    return eventCounts;
   }
 }
--- /dev/null
+++ b/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
@@ -0,0 +1,150 @@
+package lemondeal.evacuation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Supplier;
+import java.util.stream.IntStream;
+import lemondeal.lab.evacuation.InvariantChecker;
+import lemondeal.lab.evacuation.EpochsGrow;
+import lemondeal.lab.evacuation.KeysReturn;
+import lemondeal.lab.evacuation.LeavesInTime;
+import lemondeal.lab.evacuation.LittleMovesNobody;
+import lemondeal.lab.evacuation.MajorityBehindDecisions;
+import lemondeal.lab.evacuation.FleetSimulation;
+import lemondeal.lab.evacuation.NoSendToLeftZone;
+import lemondeal.lab.evacuation.FaultSchedule;
+import lemondeal.lab.evacuation.SharesWithinBudget;
+import org.junit.jupiter.api.Test;
+
+/** Seeded faults against every rule, and fleets that lack one. In this package: mistakes have no public door. */
+class FleetSimulationTest {
+  private static final SlowStartRamp SLOW_START = new SlowStartRamp(5, 20, 4_000);
+  /** Dwells shorter than by default, so that a run sees several decisions; what ends a share is as by default. */
+  private static final EvacuationSettings SETTINGS = new EvacuationSettings(EvidenceSettings.DEFAULT, 200, 1_500, 2_000,
+      2_500, 4_000, 2, 8_000, 1_000, 0.01);
+  private static final FleetSimulation.Topology TOPOLOGY = new FleetSimulation.Topology(memberZones(Integer.getInteger("evacuation.members", 5)), 3, 4,
+      SETTINGS, SLOW_START, 400_000);
+
+  /** Evenly over three zones. */
+  private static int[] memberZones(int members) {
+    return IntStream.range(0, members).map(member -> member * 3 / members).toArray();
+  }
+
+  private static FaultSchedule faultSchedule(long seed) {
+    return FaultSchedule.generate(seed, TOPOLOGY.members(), TOPOLOGY.zones(), TOPOLOGY.serversPerZone());
+  }
+
+  private static List<InvariantChecker> checkers(long seed) {
+    long voteTtl = SETTINGS.withClockDrift(SETTINGS.voteTtl());
+    long leaseTtl = SETTINGS.withClockDrift(SETTINGS.leaseTtl());
+    return List.of(new EpochsGrow(), new MajorityBehindDecisions(TOPOLOGY.members(), voteTtl), new NoSendToLeftZone(),
+        new SharesWithinBudget(SLOW_START, TOPOLOGY.members(), leaseTtl),
+        new LeavesInTime(TOPOLOGY.members()), new KeysReturn(FaultSchedule.FIRST_FAULT_MILLIS, 3_000),
+        new LittleMovesNobody(faultSchedule(seed)));
+  }
+
+  private static FleetSimulation simulation(long seed, List<InvariantChecker> checkers, Supplier<QuorumRules> quorumRules) {
+    return simulation(seed, TOPOLOGY, checkers, quorumRules);
+  }
+
+  private static FleetSimulation simulation(long seed, FleetSimulation.Topology topology, List<InvariantChecker> checkers, Supplier<QuorumRules> quorumRules) {
+    return new FleetSimulation(seed, topology, faultSchedule(seed), (membership, settings, slowStart, incarnation, savedState, now) ->
+            new Evacuation(membership, settings, slowStart, incarnation, savedState, now, quorumRules.get()), checkers);
+  }
+
+  private static final int SEEDS = Integer.getInteger("evacuation.seeds", 200);
+
+  @Test
+  void noInvariantBreaksUnderRandomFaults() {
+    long slowestMajorityMillis = 0;
+    double peakBudgetUse = 0;
+    double maxBytesPerReport = 0;
+    long startNanos = System.nanoTime();
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      List<InvariantChecker> checkers = checkers(seed);
+      FleetSimulation simulation = simulation(seed, checkers, QuorumRules::new);
+      assertEquals(List.of(), simulation.run(), "seed " + seed + "\n" + simulation.trace() + "\nseed " + seed);
+      peakBudgetUse = Math.max(peakBudgetUse, ((SharesWithinBudget) checkers.get(3)).peakBudgetUse());
+      slowestMajorityMillis = Math.max(slowestMajorityMillis, ((LeavesInTime) checkers.get(4)).slowestMajorityMillis());
+      maxBytesPerReport = Math.max(maxBytesPerReport, simulation.bytesPerReport());
+    }
+    System.out.printf("%d seeds in %.1f s: majority within %d ms, %.3f of a budget in use, %.0f bytes a row%n", SEEDS,
+        (System.nanoTime() - startNanos) / 1e9, slowestMajorityMillis, peakBudgetUse, maxBytesPerReport);
+    assertTrue(slowestMajorityMillis > 0 && peakBudgetUse > 0.5, "something was decided and opened");
+  }
+
+  /** Rules that some seed sees broken without this part. */
+  private static Set<String> brokenWithout(Supplier<QuorumRules> faultyRules) {
+    return brokenInvariants(TOPOLOGY, 2, faultyRules);
+  }
+
+  private static Set<String> brokenInvariants(FleetSimulation.Topology topology, long firstSeed, Supplier<QuorumRules> faultyRules) {
+    Set<String> broken = new TreeSet<>();
+    for (long seed = firstSeed; seed <= firstSeed + 60; seed += 2) {
+      simulation(seed, topology, checkers(seed), faultyRules).run().forEach(breach -> broken.add(breach.replaceFirst(":.*", "")));
+    }
+    return broken;
+  }
+
+  @Test
+  void decisionsWithoutMajorityAreDetected() {
+    Set<String> broken = brokenWithout(() -> new QuorumRules() {
+      @Override
+      boolean isMajority(int voters, int members) {
+        return voters >= 1;
+      }
+    });
+    assertTrue(broken.contains("MajorityBehindDecisions"), broken::toString);
+  }
+
+  @Test
+  void leasesThatNeverExpireAreDetected() {
+    Set<String> broken = brokenWithout(() -> new QuorumRules() {
+      @Override
+      boolean leaseHolds(int backers, int members) {
+        return true;
+      }
+    });
+    assertTrue(broken.contains("SharesWithinBudget"), broken::toString);
+  }
+
+  @Test
+  void acceptingOlderEpochsIsDetected() {
+    Set<String> broken = brokenWithout(() -> new QuorumRules() {
+      @Override
+      boolean isNewerEpoch(long told, long known) {
+        return told != known;
+      }
+    });
+    assertTrue(broken.contains("EpochsGrow"), broken::toString);
+  }
+
+  @Test
+  void loansNotReservedAreDetected() {
+    Set<String> broken = brokenInvariants(TOPOLOGY, 1, () -> new QuorumRules() {
+      @Override
+      double reservedForLoans(double lent) {
+        return 0;
+      }
+    });
+    assertTrue(broken.contains("SharesWithinBudget"), broken::toString);
+  }
+
+  private static Set<String> brokenWithEvidence(EvidenceSettings evidence) {
+    EvacuationSettings settings = new EvacuationSettings(evidence, 200, 1_500, 2_000, 2_500, 4_000, 2, 8_000, 1_000,
+        0.01);
+    return brokenInvariants(new FleetSimulation.Topology(TOPOLOGY.memberZones(), 3, 4, settings, SLOW_START, 400_000), 1, QuorumRules::new);
+  }
+
+  @Test
+  void hastyAndSlowEvidenceSettingsAreDetected() {
+    Set<String> hasty = brokenWithEvidence(new EvidenceSettings(150, 3_000, 1, 3_500));
+    assertTrue(hasty.contains("LittleMovesNobody"), hasty::toString);
+    Set<String> slow = brokenWithEvidence(new EvidenceSettings(2_000, 4_000, 4, 3_500));
+    assertTrue(slow.contains("LeavesInTime"), slow::toString);
+  }
+}
--- a/lab/src/test/java/lemondeal/lab/OperatorLimitsTest.java
+++ b/lab/src/test/java/lemondeal/lab/OperatorLimitsTest.java
@@ -20,28 +20,28 @@
   Path folder;
 
   @Test
-  void ringsBeyondTheDirectMemoryAreOneLineAndExitTwo() throws Exception {
+  void ringsLargerThanDirectMemoryAreRefusedAtStart() throws Exception {
     Path config = folder.resolve("config.json");
     Files.writeString(config, Files.readString(Path.of("../example/config.json"))
         .replaceFirst("\"memory_mb\": *[0-9]+", "\"memory_mb\":4096"));
     Path operator = folder.resolve("operator.yaml");
     Files.writeString(operator, "version: 1\nlimits: {rings_mb: 200}\n");
-    ProcessBuilder builder = new ProcessBuilder(ServeProcess.command("serve", "--config", operator.toString()))
+    ProcessBuilder builder = new ProcessBuilder(ProxyProcess.command("serve", "--config", operator.toString()))
         .redirectErrorStream(true);
     builder.environment().keySet().removeIf(name -> name.startsWith("GW_"));
     builder.environment().put("GW_CONFIG", config.toString());
     builder.environment().put("GW_LISTEN", "127.0.0.1:0");
-    Process serve = builder.start();
-    String said = new String(serve.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertTrue(serve.waitFor(30, TimeUnit.SECONDS));
-    assertEquals(2, serve.exitValue(), said);
+    Process proxy = builder.start();
+    String output = new String(proxy.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    assertTrue(proxy.waitFor(30, TimeUnit.SECONDS));
+    assertEquals(2, proxy.exitValue(), output);
     // The lab's proxies run with -Xmx96m and no bound of their own on direct memory: the heap's bound holds.
     Matcher matcher = Pattern.compile("limits\\.rings_mb: found 200; allowed: at most ([0-9]+) with this JVM's ([0-9]+) MB")
-        .matcher(said);
-    assertTrue(matcher.find(), said);
-    int most = Integer.parseInt(matcher.group(2));
-    assertTrue(most > 64 && most <= 96, said);
-    assertEquals(most - 4, Integer.parseInt(matcher.group(1)), said);
-    assertEquals(1, said.lines().filter(line -> line.startsWith("lemondeal:")).count(), said);
+        .matcher(output);
+    assertTrue(matcher.find(), output);
+    int directMemoryMb = Integer.parseInt(matcher.group(2));
+    assertTrue(directMemoryMb > 64 && directMemoryMb <= 96, output);
+    assertEquals(directMemoryMb - 4, Integer.parseInt(matcher.group(1)), output);
+    assertEquals(1, output.lines().filter(line -> line.startsWith("lemondeal:")).count(), output);
   }
 }
--- a/lab/src/test/java/lemondeal/lab/consul/JudgedStandInTest.java
+++ b/lab/src/test/java/lemondeal/lab/consul/FakeConsulTest.java
@@ -48,16 +48,16 @@
  * proxy asks. What the library sees and what the proxy's own reading makes of the same answers is compared at each step.
  */
 @Timeout(60)
-class JudgedStandInTest {
-  private ConsulStandIn standIn;
+class FakeConsulTest {
+  private FakeConsul consul;
   private Consul library;
   private AgentClient agent;
   private HealthClient health;
 
   @BeforeEach
   void start() throws Exception {
-    standIn = new ConsulStandIn();
-    library = Consul.builder().withUrl("http://127.0.0.1:" + standIn.address().getPort()).withPing(true)
+    consul = new FakeConsul();
+    library = Consul.builder().withUrl("http://127.0.0.1:" + consul.address().getPort()).withPing(true)
         .withReadTimeoutMillis(20_000).build();
     agent = library.agentClient();
     health = library.healthClient();
@@ -66,7 +66,7 @@
   @AfterEach
   void end() {
     library.destroy();
-    standIn.close();
+    consul.close();
   }
 
   private void register(String id, int port, String... tags) {
@@ -78,7 +78,7 @@
   /** What the proxy's parser and mapping make of the answer to these words. */
   private Map<String, String> proxySees(String query) throws Exception {
     HttpResponse<InputStream> answer = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(
-        "http://127.0.0.1:" + standIn.address().getPort() + "/v1/health/service/link" + query))
+        "http://127.0.0.1:" + consul.address().getPort() + "/v1/health/service/link" + query))
         .timeout(Duration.ofSeconds(10)).build(), HttpResponse.BodyHandlers.ofInputStream());
     assertEquals(200, answer.statusCode());
     Map<String, String> seen = new TreeMap<>();
@@ -96,46 +96,46 @@
 
   private static Map<String, String> librarySees(List<ServiceHealth> answer) {
     Map<String, String> seen = new TreeMap<>();
-    for (ServiceHealth one : answer) {
-      List<String> statuses = one.getChecks().stream().map(HealthCheck::getStatus).toList();
-      boolean maintenance = one.getChecks().stream().anyMatch(check -> check.getCheckId().contains("_maintenance"));
+    for (ServiceHealth entry : answer) {
+      List<String> statuses = entry.getChecks().stream().map(HealthCheck::getStatus).toList();
+      boolean maintenance = entry.getChecks().stream().anyMatch(check -> check.getCheckId().contains("_maintenance"));
       Health worst = maintenance ? Health.MAINTENANCE : statuses.contains("critical") ? Health.CRITICAL
           : statuses.contains("warning") ? Health.WARNING : Health.PASSING;
-      seen.put(one.getNode().getNode() + "/" + one.getService().getId(), worst + " " + one.getService().getPort() + " "
-          + one.getService().getWeights().orElseThrow().getPassing() + "/"
-          + one.getService().getWeights().orElseThrow().getWarning());
+      seen.put(entry.getNode().getNode() + "/" + entry.getService().getId(), worst + " " + entry.getService().getPort() + " "
+          + entry.getService().getWeights().orElseThrow().getPassing() + "/"
+          + entry.getService().getWeights().orElseThrow().getWarning());
     }
     return seen;
   }
 
-  private void bothSee(String... expected) throws Exception {
+  private void assertBothSee(String... expected) throws Exception {
     Map<String, String> library = librarySees(health.getAllServiceInstances("link").getResponse());
     assertEquals(library, proxySees(""));
-    assertEquals(List.of(expected), library.entrySet().stream().map(one -> one.getKey() + " " + one.getValue()).toList());
+    assertEquals(List.of(expected), library.entrySet().stream().map(entry -> entry.getKey() + " " + entry.getValue()).toList());
   }
 
   @Test
-  void theLibraryAndTheProxySeeTheSameAtEachStep() throws Exception {
+  void libraryAndProxyReadTheSameState() throws Exception {
     assertEquals("127.0.0.1:8300", library.statusClient().getLeader());
     register("a", 7001, "primary", "zone=a");
     register("b", 7002);
-    bothSee("agent-node/a PASSING 7001 10/2", "agent-node/b PASSING 7002 10/2");
+    assertBothSee("agent-node/a PASSING 7001 10/2", "agent-node/b PASSING 7002 10/2");
     agent.fail("a");
-    bothSee("agent-node/a CRITICAL 7001 10/2", "agent-node/b PASSING 7002 10/2");
+    assertBothSee("agent-node/a CRITICAL 7001 10/2", "agent-node/b PASSING 7002 10/2");
     agent.warn("a");
-    bothSee("agent-node/a WARNING 7001 10/2", "agent-node/b PASSING 7002 10/2");
+    assertBothSee("agent-node/a WARNING 7001 10/2", "agent-node/b PASSING 7002 10/2");
     agent.pass("a");
     agent.toggleMaintenanceMode("b", true);
-    bothSee("agent-node/a PASSING 7001 10/2", "agent-node/b MAINTENANCE 7002 10/2");
+    assertBothSee("agent-node/a PASSING 7001 10/2", "agent-node/b MAINTENANCE 7002 10/2");
     assertEquals(List.of("a"), health.getHealthyServiceInstances("link").getResponse().stream()
         .map(one -> one.getService().getId()).toList(), "passing alone");
     agent.toggleMaintenanceMode("b", false);
-    standIn.catalogue().check("agent-node/a", "serfHealth", "critical");
-    bothSee("agent-node/a CRITICAL 7001 10/2", "agent-node/b PASSING 7002 10/2");
+    consul.catalogue().setCheck("agent-node/a", "serfHealth", "critical");
+    assertBothSee("agent-node/a CRITICAL 7001 10/2", "agent-node/b PASSING 7002 10/2");
     assertEquals(List.of("serfHealth"), health.getChecksByState(State.FAIL).getResponse().stream()
         .map(HealthCheck::getCheckId).toList());
     agent.deregister("b");
-    bothSee("agent-node/a CRITICAL 7001 10/2");
+    assertBothSee("agent-node/a CRITICAL 7001 10/2");
     assertEquals(List.of("agent-node"), library.catalogClient().getNodes().getResponse().stream()
         .map(node -> node.getNode()).toList());
     var listed = library.catalogClient().getService("link").getResponse().get(0);
@@ -169,7 +169,7 @@
 
   /** The expressions that an operator may write pick the same entries through the library and through the proxy. */
   @Test
-  void filtersPickTheSame() throws Exception {
+  void filtersSelectTheSameEntries() throws Exception {
     register("a", 7001, "primary");
     register("b", 7002);
     register("c", 7003, "primary", "old");
@@ -178,12 +178,12 @@
         "primary in Service.Tags and not (\"old\" in Service.Tags)", "a", "Service.Tags is empty", "b",
         "Checks.Status == critical", "c", "Service.Port != 7002 or Service.ID matches \"^b\"", "abc",
         "Service.Meta contains pool", "abc", "Service.Meta.none == x", "", "Service.Meta.none != x", "abc"));
-    for (Map.Entry<String, String> one : expected.entrySet()) {
-      QueryOptions options = ImmutableQueryOptions.builder().filter(one.getKey()).build();
+    for (Map.Entry<String, String> filterAndIds : expected.entrySet()) {
+      QueryOptions options = ImmutableQueryOptions.builder().filter(filterAndIds.getKey()).build();
       List<ServiceHealth> answer = health.getAllServiceInstances("link", options).getResponse();
-      assertEquals(one.getValue(), answer.stream().map(entry -> entry.getService().getId()).sorted()
-          .collect(Collectors.joining()), one.getKey());
-      assertEquals(librarySees(answer), proxySees("?filter=" + URLEncoder.encode(one.getKey(), StandardCharsets.UTF_8)));
+      assertEquals(filterAndIds.getValue(), answer.stream().map(entry -> entry.getService().getId()).sorted()
+          .collect(Collectors.joining()), filterAndIds.getKey());
+      assertEquals(librarySees(answer), proxySees("?filter=" + URLEncoder.encode(filterAndIds.getKey(), StandardCharsets.UTF_8)));
     }
     ConsulException refused = assertThrows(ConsulException.class, () -> health.getAllServiceInstances("link",
         ImmutableQueryOptions.builder().filter("Service.Nothing == x").build()));
@@ -192,30 +192,30 @@
 
   /** Modes of consistency, datacenters and tokens, as Consul takes or refuses them. */
   @Test
-  void refusalsAreConsuls() throws Exception {
+  void refusalsMatchConsul() throws Exception {
     register("a", 7001);
     for (ConsistencyMode mode : List.of(ConsistencyMode.DEFAULT, ConsistencyMode.STALE, ConsistencyMode.CONSISTENT)) {
       assertEquals(1, health.getAllServiceInstances("link", ImmutableQueryOptions.builder().consistencyMode(mode).build())
           .getResponse().size());
     }
-    assertEquals(Optional.of(500), code(ImmutableQueryOptions.builder().datacenter("mars").build()));
-    standIn.tokens("t"::equals);
-    assertEquals(Optional.of(403), code(ImmutableQueryOptions.builder().build()));
-    assertEquals(Optional.empty(), code(ImmutableQueryOptions.builder().token("t").build()));
-    standIn.tokens(token -> true);
-    List<Optional<Integer>> moods = new ArrayList<>();
-    for (ConsulStandIn.Mood mood : List.of(ConsulStandIn.Mood.FAILS, ConsulStandIn.Mood.TOO_OFTEN)) {
-      standIn.mood(mood);
-      moods.add(code(ImmutableQueryOptions.builder().build()));
+    assertEquals(Optional.of(500), errorCode(ImmutableQueryOptions.builder().datacenter("mars").build()));
+    consul.setTokenFilter("t"::equals);
+    assertEquals(Optional.of(403), errorCode(ImmutableQueryOptions.builder().build()));
+    assertEquals(Optional.empty(), errorCode(ImmutableQueryOptions.builder().token("t").build()));
+    consul.setTokenFilter(token -> true);
+    List<Optional<Integer>> codes = new ArrayList<>();
+    for (FakeConsul.ResponseMode mode : List.of(FakeConsul.ResponseMode.FAILS, FakeConsul.ResponseMode.TOO_OFTEN)) {
+      consul.setResponseMode(mode);
+      codes.add(errorCode(ImmutableQueryOptions.builder().build()));
     }
-    assertEquals(List.of(Optional.of(500), Optional.of(429)), moods);
-    standIn.mood(ConsulStandIn.Mood.NO_LEADER);
+    assertEquals(List.of(Optional.of(500), Optional.of(429)), codes);
+    consul.setResponseMode(FakeConsul.ResponseMode.NO_LEADER);
     assertEquals(false, health.getAllServiceInstances("link").isKnownLeader());
-    standIn.mood(ConsulStandIn.Mood.STALE);
+    consul.setResponseMode(FakeConsul.ResponseMode.STALE);
     assertEquals(60_000, health.getAllServiceInstances("link").getLastContact());
   }
 
-  private Optional<Integer> code(QueryOptions options) {
+  private Optional<Integer> errorCode(QueryOptions options) {
     try {
       health.getAllServiceInstances("link", options);
       return Optional.empty();
--- a/lab/src/test/java/lemondeal/lab/emulator/policy/PoliciesTest.java
+++ b/lab/src/test/java/lemondeal/lab/emulator/policy/PoliciesTest.java
@@ -26,18 +26,18 @@
 /** Each baseline behaves as its literature says. */
 class PoliciesTest {
   private static final int KEYS = 20_000;
-  private int requests;
+  private int requestCount;
 
   private static Balancer.Settings settings() {
-    Balancer.RequestClass one = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, 500_000,
+    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, 500_000,
         2_000_000, 1, 0);
-    return new Balancer.Settings(0, 1, 0, List.of(one), List.of(), new Balancer.Rules(20_000, 1_000_000, 4, 2_000_000,
+    return new Balancer.Settings(0, 1, 0, List.of(requestClass), List.of(), new Balancer.Rules(20_000, 1_000_000, 4, 2_000_000,
         0.35, 9_000_000, 0), new Balancer.Limits(3, true, true, false, false, true, 2_000_000, 1_000_000),
         new Balancer.Prices(0, 0, 0, 0, 0), Balancer.WeightMeaning.ROUGH, true, false, false, false, false, 1);
   }
 
-  private static Balancer started(String policy, double... weights) {
-    Balancer module = Policies.named(policy).make(0, null);
+  private static Balancer startPolicy(String policy, double... weights) {
+    Balancer module = Policies.byName(policy).create(0, null);
     module.on(0, new Start(1, settings()));
     module.on(0, list(weights));
     return module;
@@ -54,10 +54,10 @@
   }
 
   private Request request(String key) {
-    return new Request("r" + requests++, 2_000_000, 0, key, null, Double.NaN, false, false, 0, false);
+    return new Request("r" + requestCount++, 2_000_000, 0, key, null, Double.NaN, false, false, 0, false);
   }
 
-  private String sent(Balancer module, Request request) {
+  private String sendRequest(Balancer module, Request request) {
     for (Action action : module.on(1, new Arrived(request))) {
       if (action instanceof Send send) {
         return send.server();
@@ -66,114 +66,114 @@
     return "";
   }
 
-  private Map<String, String> placed(Balancer module) {
-    Map<String, String> placed = new HashMap<>();
+  private Map<String, String> placeKeys(Balancer module) {
+    Map<String, String> serverByKey = new HashMap<>();
     for (int i = 0; i < KEYS; i++) {
-      placed.put("k" + i, sent(module, request("k" + i)));
+      serverByKey.put("k" + i, sendRequest(module, request("k" + i)));
     }
-    return placed;
+    return serverByKey;
   }
 
-  private static Map<String, Integer> counts(Map<String, String> placed) {
+  private static Map<String, Integer> counts(Map<String, String> serverByKey) {
     Map<String, Integer> counts = new HashMap<>();
-    placed.values().forEach(server -> counts.merge(server, 1, Integer::sum));
+    serverByKey.values().forEach(server -> counts.merge(server, 1, Integer::sum));
     return counts;
   }
 
-  private static int moved(Map<String, String> before, Map<String, String> after) {
-    int moved = 0;
-    for (Map.Entry<String, String> one : before.entrySet()) {
-      moved += one.getValue().equals(after.get(one.getKey())) ? 0 : 1;
+  private static int countMoved(Map<String, String> before, Map<String, String> after) {
+    int movedKeys = 0;
+    for (Map.Entry<String, String> entry : before.entrySet()) {
+      movedKeys += entry.getValue().equals(after.get(entry.getKey())) ? 0 : 1;
     }
-    return moved;
+    return movedKeys;
   }
 
   /** Shares by weight, and only the keys of what changed are moved. */
   @Test
-  void rendezvousSharesByWeightAndDisruptsNothingElse() {
-    Map<String, String> before = placed(started("rendezvous", 1, 2, 3, 4));
+  void rendezvousFollowsWeightsWithMinimalDisruption() {
+    Map<String, String> before = placeKeys(startPolicy("rendezvous", 1, 2, 3, 4));
     Map<String, Integer> counts = counts(before);
     for (int i = 0; i < 4; i++) {
       assertEquals((i + 1) / 10.0, counts.get("s" + i) / (double) KEYS, 0.012);
     }
-    Map<String, String> without = placed(started("rendezvous", 1, 2, 0, 4));
-    assertEquals(counts.get("s2"), moved(before, without), "only the keys of the one that left");
-    Map<String, String> heavier = placed(started("rendezvous", 1, 2, 3, 8));
-    before.forEach((key, server) -> assertTrue(server.equals(heavier.get(key)) || heavier.get(key).equals("s3"),
+    Map<String, String> withoutThird = placeKeys(startPolicy("rendezvous", 1, 2, 0, 4));
+    assertEquals(counts.get("s2"), countMoved(before, withoutThird), "only the keys of the one that left");
+    Map<String, String> withHeavierLast = placeKeys(startPolicy("rendezvous", 1, 2, 3, 8));
+    before.forEach((key, server) -> assertTrue(server.equals(withHeavierLast.get(key)) || withHeavierLast.get(key).equals("s3"),
         "keys move to the one that grew alone"));
-    assertEquals(placed(started("rendezvous", 1, 2, 3, 4)), before, "any proxy ranks alike");
+    assertEquals(placeKeys(startPolicy("rendezvous", 1, 2, 3, 4)), before, "any proxy ranks alike");
   }
 
   /** Maglev's table: places by weight, and little beyond the keys of the one that left is moved. */
   @Test
-  void maglevSharesItsTableByWeight() {
+  void maglevDividesItsTableByWeight() {
     Policies.Maglev maglev = new Policies.Maglev();
     maglev.on(0, new Start(1, settings()));
     maglev.on(0, list(1, 1, 2));
-    assertEquals(0.5, maglev.places("s2") / (double) (maglev.places("s0") + maglev.places("s1") + maglev.places("s2")), 0.01);
-    Map<String, String> before = placed(started("maglev", 1, 1, 1, 1, 1, 1, 1, 1, 1, 1));
-    Map<String, String> after = placed(started("maglev", 1, 1, 1, 1, 0, 1, 1, 1, 1, 1));
-    int own = counts(before).get("s4");
-    int moved = moved(before, after);
-    assertTrue(moved >= own && moved < 2.5 * own, moved + " moved, " + own + " had to");
+    assertEquals(0.5, maglev.entryCount("s2") / (double) (maglev.entryCount("s0") + maglev.entryCount("s1") + maglev.entryCount("s2")), 0.01);
+    Map<String, String> before = placeKeys(startPolicy("maglev", 1, 1, 1, 1, 1, 1, 1, 1, 1, 1));
+    Map<String, String> after = placeKeys(startPolicy("maglev", 1, 1, 1, 1, 0, 1, 1, 1, 1, 1));
+    int keysOfRemoved = counts(before).get("s4");
+    int movedKeys = countMoved(before, after);
+    assertTrue(movedKeys >= keysOfRemoved && movedKeys < 2.5 * keysOfRemoved, movedKeys + " moved, " + keysOfRemoved + " had to");
   }
 
   /** Nobody has more than a quarter over its share, also of connections that stand. */
   @Test
-  void boundedLoadsAreBounded() {
-    Balancer module = started("ring-bounded", 1, 1, 1, 1, 1);
-    Map<String, Integer> open = new HashMap<>();
+  void boundedLoadRingKeepsItsBound() {
+    Balancer module = startPolicy("ring-bounded", 1, 1, 1, 1, 1);
+    Map<String, Integer> connections = new HashMap<>();
     for (int i = 0; i < 2_000; i++) {
       Request request = request("same-key-" + i % 7);
-      String server = sent(module, request);
+      String server = sendRequest(module, request);
       module.on(1, new Established(request.id(), 0, server, 1));
-      open.merge(server, 1, Integer::sum);
-      int most = open.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-      assertTrue(most <= Math.ceil(1.25 * (i + 1) / 5), "after " + (i + 1) + ": " + open);
+      connections.merge(server, 1, Integer::sum);
+      int maxConnections = connections.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+      assertTrue(maxConnections <= Math.ceil(1.25 * (i + 1) / 5), "after " + (i + 1) + ": " + connections);
     }
   }
 
   /** Two choices spread far better than one (balls into bins), least connections best of all by their own count. */
   @Test
-  void twoChoicesBeatOne() {
+  void twoChoicesBalanceBetterThanRandom() {
     int bins = 100;
     double[] weights = new double[bins];
     java.util.Arrays.fill(weights, 1);
-    Map<String, Integer> worst = new HashMap<>();
+    Map<String, Integer> maxConnections = new HashMap<>();
     for (String policy : List.of("random", "two-choices", "least-connections", "round-robin")) {
-      Balancer module = started(policy, weights);
-      Map<String, Integer> open = new HashMap<>();
+      Balancer module = startPolicy(policy, weights);
+      Map<String, Integer> connections = new HashMap<>();
       for (int i = 0; i < bins * 10; i++) {
-        open.merge(sent(module, request("k" + i)), 1, Integer::sum);
+        connections.merge(sendRequest(module, request("k" + i)), 1, Integer::sum);
       }
-      worst.put(policy, open.values().stream().mapToInt(Integer::intValue).max().orElse(0));
+      maxConnections.put(policy, connections.values().stream().mapToInt(Integer::intValue).max().orElse(0));
     }
-    assertEquals(10, worst.get("least-connections"));
-    assertEquals(10, worst.get("round-robin"));
-    assertTrue(worst.get("two-choices") <= 13, worst.toString());
-    assertTrue(worst.get("random") >= 16, worst + ": the fullest of 100 bins with 10 balls each on average");
+    assertEquals(10, maxConnections.get("least-connections"));
+    assertEquals(10, maxConnections.get("round-robin"));
+    assertTrue(maxConnections.get("two-choices") <= 13, maxConnections.toString());
+    assertTrue(maxConnections.get("random") >= 16, maxConnections + ": the fullest of 100 bins with 10 balls each on average");
   }
 
   /** A failed attempt goes to another server, and when the attempts are used up the client is told when to come. */
   @Test
-  void attemptsGoElsewhereAndEndWithAdvice() {
+  void attemptsUseOtherServersAndEndWithRetryAfter() {
     for (String policy : Policies.names()) {
       if (policy.equals("lemondeal") || policy.equals("full-knowledge")) {
         continue;
       }
-      Balancer module = started(policy, 1, 1, 1, 1);
+      Balancer module = startPolicy(policy, 1, 1, 1, 1);
       Request request = request("k");
-      List<String> tried = new ArrayList<>(List.of(sent(module, request)));
+      List<String> triedServers = new ArrayList<>(List.of(sendRequest(module, request)));
       for (int attempt = 0; attempt < 3; attempt++) {
-        Action action = module.on(2, new Ended(request.id(), attempt, tried.get(attempt), Outcome.NO_CONNECTION, 1, false,
+        Action action = module.on(2, new Ended(request.id(), attempt, triedServers.get(attempt), Outcome.NO_CONNECTION, 1, false,
             null)).get(0);
         if (action instanceof Send send) {
-          tried.add(send.server());
+          triedServers.add(send.server());
         } else {
           assertTrue(action instanceof Refuse refuse && refuse.retryAfter() > 0, policy + " " + action);
         }
       }
-      assertEquals(3, tried.stream().distinct().count(), policy + " " + tried);
+      assertEquals(3, triedServers.stream().distinct().count(), policy + " " + triedServers);
     }
   }
 }
--- a/lab/src/test/java/lemondeal/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/lemondeal/lab/experiment/ExperimentTest.java
@@ -23,7 +23,7 @@
 
 /** Experiments from their file to their folder: every mistake told, the same result however it was played. */
 class ExperimentTest {
-  private static final String SOUND = """
+  private static final String VALID = """
       version: 1
       name: small
       question: Does it play?
@@ -45,149 +45,149 @@
   @TempDir
   private Path folder;
 
-  private Path file(String text) throws IOException {
+  private Path writeFile(String text) throws IOException {
     return Files.writeString(folder.resolve("experiment.yaml"), text);
   }
 
-  private List<String> faults(String text) throws IOException {
-    Path file = file(text);
-    return assertThrows(FileFaults.class, () -> ExperimentReader.read(file)).faults();
+  private List<String> readErrors(String text) throws IOException {
+    Path file = writeFile(text);
+    return assertThrows(InvalidFileException.class, () -> ExperimentReader.read(file)).errors();
   }
 
-  private static String with(String from, String to) {
-    assertTrue(SOUND.contains(from), from);
-    return SOUND.replace(from, to);
+  private static String replaced(String from, String to) {
+    assertTrue(VALID.contains(from), from);
+    return VALID.replace(from, to);
   }
 
   @Test
-  void everyMistakeIsToldWithItsPlaceAndWhatIsAllowed() throws IOException {
+  void everyErrorIsReportedWithItsLocationAndAllowedValues() throws IOException {
     assertEquals(List.of("scenario.fleets[0].cores: found 0; allowed: cores, above 0 to 1024"),
-        faults(with("count: 3, cores: 2", "count: 3, cores: 0")));
+        readErrors(replaced("count: 3, cores: 2", "count: 3, cores: 0")));
     assertEquals(List.of("scenario: unknown key 'sonds'; allowed: " + "the keys seconds, settle, zones, proxies, fleets, "
         + "classes, per_second, bursts, groups, network, store, discovery, front, rules and faults"),
-        faults(with("zones: 2", "sonds: 2")));
+        readErrors(replaced("zones: 2", "sonds: 2")));
     assertEquals(List.of("scenario: the key 'seconds' is missing; allowed: a whole number of seconds, 1 to 86400"),
-        faults(with("  seconds: 8\n", "")));
+        readErrors(replaced("  seconds: 8\n", "")));
     assertEquals(List.of("policies: found 'best'; allowed: lemondeal, random, round-robin, least-connections, two-choices, "
-        + "rendezvous, modulo, carp, ring, ring-bounded, maglev, full-knowledge"), faults(with("[lemondeal, random]", "[lemondeal, best]")));
+        + "rendezvous, modulo, carp, ring, ring-bounded, maglev, full-knowledge"), readErrors(replaced("[lemondeal, random]", "[lemondeal, best]")));
     assertEquals(List.of("policies: 'random' stands twice; allowed: each policy once"),
-        faults(with("[lemondeal, random]", "[random, random]")));
+        readErrors(replaced("[lemondeal, random]", "[random, random]")));
     assertEquals(List.of("scenario.faults[0]: column 17: found 'huge'; allowed: large, small, servers"),
-        faults(with("slow 1 of large", "slow 1 of huge")));
-    assertTrue(faults(with("[served, setup-p99-ms]", "[sold]")).get(0).startsWith("measure: found 'sold'; allowed: served, worst-10s"));
+        readErrors(replaced("slow 1 of large", "slow 1 of huge")));
+    assertTrue(readErrors(replaced("[served, setup-p99-ms]", "[sold]")).get(0).startsWith("measure: found 'sold'; allowed: served, worst-10s"));
     assertEquals(List.of("expect[0]: column 11: found the policy 'maglev'; allowed: lemondeal, random"),
-        faults(with("served of lemondeal > 0.5", "served of maglev > 0.5")));
-    assertEquals(List.of("baseline: found 'maglev'; allowed: lemondeal, random"), faults(SOUND + "baseline: maglev\n"));
+        readErrors(replaced("served of lemondeal > 0.5", "served of maglev > 0.5")));
+    assertEquals(List.of("baseline: found 'maglev'; allowed: lemondeal, random"), readErrors(VALID + "baseline: maglev\n"));
     assertEquals(List.of("sweep: found 'fleets.9.cores', which leads nowhere in scenario; allowed: a path such as per_second "
-        + "or fleets.0.cores"), faults(SOUND + "sweep: {fleets.9.cores: [1, 2]}\n"));
-    assertTrue(faults(SOUND + "sweep: {fleets.0.cores: [1, -2]}\n").get(0)
+        + "or fleets.0.cores"), readErrors(VALID + "sweep: {fleets.9.cores: [1, 2]}\n"));
+    assertTrue(readErrors(VALID + "sweep: {fleets.0.cores: [1, -2]}\n").get(0)
         .contains("sweep {fleets.0.cores=-2}: scenario.fleets[0].cores: found -2; allowed: cores, above 0 to 1024"));
-    assertTrue(faults("version: 1\nversion: 1\n").get(0).startsWith("line 2"), "a key that stands twice");
-    assertTrue(faults("a: [").get(0).startsWith("line "), "no YAML");
-    assertTrue(faults("").get(0).contains("found"));
-    assertEquals(2, faults(with("zones: 2", "zones: 0").replace("per_second: 30", "per_second: many")).size(), "all at once");
+    assertTrue(readErrors("version: 1\nversion: 1\n").get(0).startsWith("line 2"), "a key that stands twice");
+    assertTrue(readErrors("a: [").get(0).startsWith("line "), "no YAML");
+    assertTrue(readErrors("").get(0).contains("found"));
+    assertEquals(2, readErrors(replaced("zones: 2", "zones: 0").replace("per_second: 30", "per_second: many")).size(), "all at once");
   }
 
   @Test
   void sweepsAndPointsAreCombined() throws IOException {
-    Experiment experiment = ExperimentReader.read(file(SOUND + """
+    Experiment experiment = ExperimentReader.read(writeFile(VALID + """
         points: [{fleets.0.count: 3, per_second: 30}, {fleets.0.count: 6, per_second: 60}]
         sweep: {proxies: [2, 4], faults.0: ['at 1s kill 1 of small', 'at 1s drain 1 of small']}
         """));
     assertEquals(8, experiment.points().size());
-    assertEquals(64, experiment.runs());
+    assertEquals(64, experiment.runCount());
     Experiment.Point last = experiment.points().get(7);
     assertEquals("count=6, proxies=4, 0=at 1s drain 1 of small", last.name());
-    assertEquals(60, last.scenario().perSecond());
-    assertEquals(6, last.scenario().fleets().get(0).count());
+    assertEquals(60, last.scenario().clientsPerSecond());
+    assertEquals(6, last.scenario().pools().get(0).count());
     assertEquals(lemondeal.lab.emulator.Fault.Kind.DRAIN, last.scenario().faults().get(0).kind());
   }
 
-  private String digests(int threads, Path rows) throws Exception {
-    Experiment experiment = ExperimentReader.read(file(SOUND));
-    StringBuilder all = new StringBuilder();
+  private String runAndDescribe(int threads, Path rows) throws Exception {
+    Experiment experiment = ExperimentReader.read(writeFile(VALID));
+    StringBuilder description = new StringBuilder();
     try (PrintStream quiet = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8)) {
-      List<Row> played = new Runner(experiment, threads, quiet).run(rows);
-      played.forEach(row -> all.append(row.key()).append(' ').append(row.digest()).append(' ').append(row.figures()).append('\n'));
-      all.append(new Report(experiment, played).markdown());
+      List<Row> resultRows = new ExperimentRunner(experiment, threads, quiet).run(rows);
+      resultRows.forEach(row -> description.append(row.key()).append(' ').append(row.digest()).append(' ').append(row.figures()).append('\n'));
+      description.append(new Report(experiment, resultRows).markdown());
     }
-    return all.toString();
+    return description.toString();
   }
 
   @Test
-  void theResultIsTheSameOnOneThreadAndOnEight() throws Exception {
-    assertEquals(digests(1, folder.resolve("one")), digests(8, folder.resolve("eight")));
+  void resultDoesNotDependOnTheNumberOfThreads() throws Exception {
+    assertEquals(runAndDescribe(1, folder.resolve("one")), runAndDescribe(8, folder.resolve("eight")));
   }
 
   /** Broken off at any byte of its rows and played on: as if it had never been. */
   @Test
-  void aRunThatWasBrokenOffGoesOnWhereItStopped() throws Exception {
+  void interruptedExperimentResumes() throws Exception {
     Path rows = folder.resolve("rows");
-    String whole = digests(1, rows);
+    String complete = runAndDescribe(1, rows);
     byte[] bytes = Files.readAllBytes(rows);
-    for (int cut : new int[] {0, 1, 1000, bytes.length / 2, bytes.length - 1}) {
-      Files.write(rows, Arrays.copyOf(bytes, cut));
-      int kept = RowFile.read(rows).size();
-      assertEquals(Stream.of(new String(bytes, 0, cut, StandardCharsets.UTF_8).split("(?<=\n)"))
-          .filter(line -> line.endsWith("\n")).count(), kept);
-      assertEquals(whole, digests(4, rows), "cut at " + cut);
+    for (int length : new int[] {0, 1, 1000, bytes.length / 2, bytes.length - 1}) {
+      Files.write(rows, Arrays.copyOf(bytes, length));
+      int keptRows = RowFile.read(rows).size();
+      assertEquals(Stream.of(new String(bytes, 0, length, StandardCharsets.UTF_8).split("(?<=\n)"))
+          .filter(line -> line.endsWith("\n")).count(), keptRows);
+      assertEquals(complete, runAndDescribe(4, rows), "cut at " + length);
     }
     Files.writeString(rows, "no row\n");
     assertTrue(assertThrows(IOException.class, () -> RowFile.read(rows)).getMessage().contains("no row"));
   }
 
-  private static int lab(StringWriter said, String... words) {
-    CommandLine line = new CommandLine(new Lab());
-    line.setOut(new PrintWriter(said, true));
-    line.setErr(new PrintWriter(said, true));
-    return line.execute(words);
+  private static int runLab(StringWriter output, String... arguments) {
+    CommandLine commandLine = new CommandLine(new Lab());
+    commandLine.setOut(new PrintWriter(output, true));
+    commandLine.setErr(new PrintWriter(output, true));
+    return commandLine.execute(arguments);
   }
 
   @Test
-  void theCommandsKeepListAndCompareResults() throws IOException {
-    Path file = file(SOUND);
-    String out = folder.resolve("results/one").toString();
-    StringWriter said = new StringWriter();
-    assertEquals(0, lab(said, "run", file.toString(), "--out", out, "--threads", "4"), said.toString());
-    assertTrue(said.toString().contains("- every rule was kept in every run"), said.toString());
-    assertTrue(said.toString().contains("- holds: served of lemondeal > 0.5"), said.toString());
+  void commandsSaveListAndCompareResults() throws IOException {
+    Path file = writeFile(VALID);
+    String firstFolder = folder.resolve("results/one").toString();
+    StringWriter output = new StringWriter();
+    assertEquals(0, runLab(output, "run", file.toString(), "--out", firstFolder, "--threads", "4"), output.toString());
+    assertTrue(output.toString().contains("- every rule was kept in every run"), output.toString());
+    assertTrue(output.toString().contains("- holds: served of lemondeal > 0.5"), output.toString());
     for (String name : List.of("rows.jsonl", "rows.csv", "report.md", "index.html", "served.svg", "course.svg",
         "experiment.yaml", "machine.txt")) {
       assertTrue(Files.size(folder.resolve("results/one").resolve(name)) > 20, name);
     }
     assertEquals(9, Files.readAllLines(folder.resolve("results/one/rows.csv")).size(), "a head and a row a run");
-    assertEquals(0, lab(said = new StringWriter(), "list", folder.resolve("results").toString()));
-    assertTrue(said.toString().contains("one: 8 runs; Does it play?"), said.toString());
-    file(with("served of lemondeal > 0.5", "served of lemondeal > 1"));
-    assertEquals(2, lab(said = new StringWriter(), "run", file.toString(), "--out", out));
-    assertTrue(said.toString().contains("holds the rows of another experiment"), said.toString());
-    String other = folder.resolve("results/two").toString();
-    assertEquals(1, lab(said = new StringWriter(), "run", file.toString(), "--out", other), "an expectation does not hold");
-    assertTrue(said.toString().contains("DOES NOT HOLD: served of lemondeal > 1"), said.toString());
-    assertEquals(0, lab(said = new StringWriter(), "compare", out, other));
-    assertFalse(said.toString().contains("| lemondeal | served"), "the same runs do not differ: " + said);
-    file(with("per_second: 30", "per_second: 80"));
-    String third = folder.resolve("results/three").toString();
-    assertEquals(0, lab(said = new StringWriter(), "run", file.toString(), "--out", third), said.toString());
-    assertEquals(0, lab(said = new StringWriter(), "compare", out, third));
-    assertTrue(said.toString().contains("| lemondeal | clients |"), said.toString());
-    assertEquals(2, lab(said = new StringWriter(), "compare", out, folder.toString()));
-    assertTrue(said.toString().contains("holds no results"), said.toString());
-    file("version: 2\n");
-    assertEquals(2, lab(said = new StringWriter(), "run", file.toString()));
-    assertTrue(said.toString().contains("version: found 2; allowed: 1"), said.toString());
-    assertEquals(2, lab(new StringWriter(), "run", file.toString(), "--threads", "0"));
+    assertEquals(0, runLab(output = new StringWriter(), "list", folder.resolve("results").toString()));
+    assertTrue(output.toString().contains("one: 8 runs; Does it play?"), output.toString());
+    writeFile(replaced("served of lemondeal > 0.5", "served of lemondeal > 1"));
+    assertEquals(2, runLab(output = new StringWriter(), "run", file.toString(), "--out", firstFolder));
+    assertTrue(output.toString().contains("holds the rows of another experiment"), output.toString());
+    String secondFolder = folder.resolve("results/two").toString();
+    assertEquals(1, runLab(output = new StringWriter(), "run", file.toString(), "--out", secondFolder), "an expectation does not hold");
+    assertTrue(output.toString().contains("DOES NOT HOLD: served of lemondeal > 1"), output.toString());
+    assertEquals(0, runLab(output = new StringWriter(), "compare", firstFolder, secondFolder));
+    assertFalse(output.toString().contains("| lemondeal | served"), "the same runs do not differ: " + output);
+    writeFile(replaced("per_second: 30", "per_second: 80"));
+    String thirdFolder = folder.resolve("results/three").toString();
+    assertEquals(0, runLab(output = new StringWriter(), "run", file.toString(), "--out", thirdFolder), output.toString());
+    assertEquals(0, runLab(output = new StringWriter(), "compare", firstFolder, thirdFolder));
+    assertTrue(output.toString().contains("| lemondeal | clients |"), output.toString());
+    assertEquals(2, runLab(output = new StringWriter(), "compare", firstFolder, folder.toString()));
+    assertTrue(output.toString().contains("holds no results"), output.toString());
+    writeFile("version: 2\n");
+    assertEquals(2, runLab(output = new StringWriter(), "run", file.toString()));
+    assertTrue(output.toString().contains("version: found 2; allowed: 1"), output.toString());
+    assertEquals(2, runLab(new StringWriter(), "run", file.toString(), "--threads", "0"));
   }
 
   /** Student's t for ten values, as tables have it, and a difference that is one only when its interval says so. */
   @Test
-  void meansHaveTheirIntervals() {
+  void meansHaveConfidenceIntervals() {
     Statistics.Mean mean = Statistics.mean(List.of(1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 10.0));
     assertEquals(5.5, mean.mean());
-    assertEquals(2.262157 * Math.sqrt(55.0 / 6 / 10), mean.half(), 1e-4);
+    assertEquals(2.262157 * Math.sqrt(55.0 / 6 / 10), mean.halfWidth(), 1e-4);
     assertTrue(Statistics.difference(List.of(1.1, 2.1, 3.2), List.of(1.0, 2.0, 3.0)).mean() > 0);
-    assertFalse(Statistics.difference(List.of(1.0, 3.0, 2.0), List.of(2.0, 1.0, 2.5)).isClear());
-    assertTrue(Statistics.difference(List.of(2.0, 3.0, 4.1), List.of(1.0, 2.0, 3.0)).isClear());
-    assertFalse(Statistics.mean(List.of(3.0)).isClear(), "one value says nothing of its spread");
+    assertFalse(Statistics.difference(List.of(1.0, 3.0, 2.0), List.of(2.0, 1.0, 2.5)).isSignificant());
+    assertTrue(Statistics.difference(List.of(2.0, 3.0, 4.1), List.of(1.0, 2.0, 3.0)).isSignificant());
+    assertFalse(Statistics.mean(List.of(3.0)).isSignificant(), "one value says nothing of its spread");
   }
 }
--- a/lab/src/test/java/lemondeal/lab/soak/ClockStepTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/ClockStepTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,7 +17,7 @@
 class ClockStepTest {
   private static final int REQUESTS = 60;
   /** Of two servers alike, one gets about half of the requests once it is warm. */
-  private static final int LEAST = REQUESTS / 6;
+  private static final int MIN_SERVED = REQUESTS / 6;
 
   @TempDir
   Path folder;
@@ -25,7 +25,7 @@
   /** Slow start is a span of real time: a server that starts after a step is warm when that span is over. */
   @ParameterizedTest
   @ValueSource(longs = {0, 2, 3_600, -2, -3_600})
-  void aServerThatStartsAfterAStepIsWarmInItsTime(long seconds) throws Exception {
+  void slowStartEndsOnTimeAfterAClockStep(long seconds) throws Exception {
     try (OneProxySite site = new OneProxySite(folder, 2)) {
       Duration step = Duration.ofSeconds(seconds);
       site.proxy.shim().stepWallClock(step);
@@ -35,19 +35,19 @@
       long startedAt = System.currentTimeMillis() + step.toMillis();
       site.listing.put(restarted, ServerListing.IN_SERVICE, startedAt);
       Threads.sleepMillis(SoakConfig.WARM_WITHIN_MILLIS + 500);
-      assertTrue(servedBy(site, restarted) >= LEAST, () -> site.ledger.summary());
-      assertEquals(List.of(), site.ledger.violations());
+      assertTrue(servedBy(site, restarted) >= MIN_SERVED, () -> site.checker.summary());
+      assertEquals(List.of(), site.checker.violations());
     }
   }
 
   /** How many of the clients that come and go one after another are served there. */
   private static int servedBy(OneProxySite site, SoakServer server) throws Exception {
-    int there = 0;
+    int served = 0;
     for (int i = 0; i < REQUESTS; i++) {
-      try (Lines client = site.client(RequestClass.READ)) {
-        there += client.read().startsWith("UP " + server.identity().id() + "-") ? 1 : 0;
+      try (LineConnection client = site.sendRequest(RequestClass.READ)) {
+        served += client.readLine().startsWith("UP " + server.identity().id() + "-") ? 1 : 0;
       }
     }
-    return there;
+    return served;
   }
 }
--- a/lab/src/test/java/lemondeal/lab/soak/FailingDiskTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/FailingDiskTest.java
@@ -28,13 +28,13 @@
 @Timeout(120)
 class FailingDiskTest {
   private static final long NOW = 1_000_000;
-  private static final int MOST = 100_000;
-  private static final int PATIENCE_S = 20;
+  private static final int MAX_CLAIMS = 100_000;
+  private static final int TIMEOUT_SECONDS = 20;
   /** Claims that are made before the process is killed. */
-  private static final int CLAIMS = 600;
+  private static final int CLAIMS_BEFORE_KILL = 600;
   /** Before one in so many claims some of the next calls begin to fail. */
-  private static final int FAULT_EVERY = 25;
-  private static final String WRITTEN = "written ";
+  private static final int FAULT_ONE_IN = 25;
+  private static final String WRITTEN_PREFIX = "written ";
 
   @TempDir
   Path folder;
@@ -47,72 +47,72 @@
     return new ClaimState(16, 32 + number, "holder-" + number, NOW + 1000, NOW + 50_000);
   }
 
-  private static CasStore.Written await(Consumer<Consumer<CasStore.Written>> call) throws InterruptedException {
-    BlockingQueue<CasStore.Written> answers = new LinkedBlockingQueue<>();
+  private static CasStore.Result await(Consumer<Consumer<CasStore.Result>> call) throws InterruptedException {
+    BlockingQueue<CasStore.Result> answers = new LinkedBlockingQueue<>();
     call.accept(answers::add);
-    CasStore.Written answer = answers.poll(PATIENCE_S, TimeUnit.SECONDS);
+    CasStore.Result answer = answers.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertTrue(answer != null, "no answer of the store");
     return answer;
   }
 
   /** Makes the claims that it is told of on standard input, one number a line, and says what came of each. */
-  public static final class Child {
+  public static final class ClaimWriter {
     public static void main(String[] args) throws Exception {
-      try (DiskStore store = DiskStore.open(Path.of(args[0]), MOST, () -> NOW, new PlainLog(System.err));
+      try (DiskStore store = DiskStore.open(Path.of(args[0]), MAX_CLAIMS, () -> NOW, new PlainLog(System.err));
           BufferedReader in = new BufferedReader(new java.io.InputStreamReader(System.in, StandardCharsets.UTF_8))) {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
           int number = Integer.parseInt(line);
-          CasStore.Written answer = await(told -> store.compareAndSet(session(number), 0, state(number), told));
-          System.out.println((answer.done() ? WRITTEN : "refused ") + number);
+          CasStore.Result answer = await(callback -> store.compareAndSet(session(number), 0, state(number), callback));
+          System.out.println((answer.success() ? WRITTEN_PREFIX : "refused ") + number);
         }
       }
     }
   }
 
-  private Process start(FaultShim shim) throws IOException {
+  private Process startChild(FaultShim shim) throws IOException {
     ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-        System.getProperty("java.class.path"), Child.class.getName(), folder.resolve("claims").toString())
+        System.getProperty("java.class.path"), ClaimWriter.class.getName(), folder.resolve("claims").toString())
         .redirectError(ProcessBuilder.Redirect.DISCARD);
     builder.environment().putAll(shim.environment());
     return builder.start();
   }
 
   /** Lets some of the next writes or syncs of files fail. */
-  private static void fail(FaultShim shim, UniformRandomProvider random) {
+  private static void injectFault(FaultShim shim, UniformRandomProvider random) {
     FaultShim.SystemCall call = random.nextBoolean() ? FaultShim.SystemCall.FILE_WRITE : FaultShim.SystemCall.FILE_SYNC;
-    shim.fail(call, random.nextBoolean() ? Errno.ENOSPC : Errno.EIO, 1 + random.nextInt(5));
+    shim.failNext(call, random.nextBoolean() ? Errno.ENOSPC : Errno.EIO, 1 + random.nextInt(5));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void whatWasAcknowledgedIsThereAfterAKill(long seed) throws Exception {
+  void acknowledgedClaimsSurviveAKill(long seed) throws Exception {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     FaultShim shim = FaultShim.create(FaultShim.compile(folder), folder.resolve("shim"));
     List<Integer> acknowledged = new ArrayList<>();
-    Process child = start(shim);
-    try (BufferedReader said = child.inputReader(StandardCharsets.UTF_8);
-        java.io.BufferedWriter told = child.outputWriter(StandardCharsets.UTF_8)) {
-      for (int i = 0; i < CLAIMS; i++) {
-        if (random.nextInt(FAULT_EVERY) == 0) {
-          fail(shim, random);
+    Process child = startChild(shim);
+    try (BufferedReader childOutput = child.inputReader(StandardCharsets.UTF_8);
+        java.io.BufferedWriter childInput = child.outputWriter(StandardCharsets.UTF_8)) {
+      for (int i = 0; i < CLAIMS_BEFORE_KILL; i++) {
+        if (random.nextInt(FAULT_ONE_IN) == 0) {
+          injectFault(shim, random);
         }
-        told.write(i + "\n");
-        told.flush();
-        if (said.readLine().equals(WRITTEN + i)) {
+        childInput.write(i + "\n");
+        childInput.flush();
+        if (childOutput.readLine().equals(WRITTEN_PREFIX + i)) {
           acknowledged.add(i);
         }
       }
       // One more is under way as the process is killed.
-      told.write(CLAIMS + "\n");
-      told.flush();
+      childInput.write(CLAIMS_BEFORE_KILL + "\n");
+      childInput.flush();
     } finally {
       child.destroyForcibly().waitFor();
     }
-    assertTrue(acknowledged.size() > CLAIMS / 2 && acknowledged.size() < CLAIMS, acknowledged.size() + " written");
-    try (DiskStore store = DiskStore.open(folder.resolve("claims"), MOST, () -> NOW, new PlainLog(System.err))) {
+    assertTrue(acknowledged.size() > CLAIMS_BEFORE_KILL / 2 && acknowledged.size() < CLAIMS_BEFORE_KILL, acknowledged.size() + " written");
+    try (DiskStore store = DiskStore.open(folder.resolve("claims"), MAX_CLAIMS, () -> NOW, new PlainLog(System.err))) {
       for (int number : acknowledged) {
-        CasStore.Written read = await(answer -> store.read(session(number), answer));
-        assertEquals(new CasStore.Versioned(1, state(number)), read.now(), "acknowledged, and lost: " + number);
+        CasStore.Result read = await(callback -> store.read(session(number), callback));
+        assertEquals(new CasStore.VersionedState(1, state(number)), read.current(), "acknowledged, and lost: " + number);
       }
     }
   }
--- a/lab/src/test/java/lemondeal/lab/soak/FaultSoakTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/FaultSoakTest.java
@@ -13,15 +13,15 @@
 /** The short form of the soak, with fixed seeds; {@code make soak} runs many. */
 @Timeout(180)
 class FaultSoakTest {
-  private static final Soak.Size SHORT = new Soak.Size(10, 6, 8_000);
+  private static final Soak.Size SHORT_SOAK = new Soak.Size(10, 6, 8_000);
 
   @TempDir
   Path folder;
 
   @ParameterizedTest
   @ValueSource(longs = {100, 101})
-  void noRuleIsBrokenUnderDrawnFaults(long seed) throws Exception {
-    Soak.Result result = Soak.run(seed, SHORT, folder, System.out);
+  void noRuleIsBrokenUnderRandomFaults(long seed) throws Exception {
+    Soak.Result result = Soak.run(seed, SHORT_SOAK, folder, System.out);
     System.out.println("soak of seed " + seed + ": " + result.summary());
     assertEquals(List.of(), result.violations());
     // A soak that sent next to nothing has shown nothing.
--- a/lab/src/test/java/lemondeal/lab/soak/SystemCallsTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/SystemCallsTest.java
@@ -6,7 +6,7 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import lemondeal.lab.Lines;
+import lemondeal.lab.LineConnection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -17,51 +17,51 @@
 @Timeout(120)
 class SystemCallsTest {
   /** Failures in a row; each pause that grows with them is over by then, or it is not bounded. */
-  private static final int IN_A_ROW = 8;
+  private static final int CONSECUTIVE_FAILURES = 8;
 
   @TempDir
   Path folder;
 
   @ParameterizedTest
   @EnumSource(value = Errno.class, names = {"ENFILE", "ENOBUFS", "ECONNABORTED"})
-  void clientsAreAcceptedAgainSoonAfterAcceptHasFailed(Errno error) throws Exception {
+  void clientsAreAcceptedSoonAfterAcceptFails(Errno error) throws Exception {
     try (OneProxySite site = new OneProxySite(folder, 2)) {
-      site.proxy.shim().fail(FaultShim.SystemCall.ACCEPT, error, IN_A_ROW);
+      site.proxy.shim().failNext(FaultShim.SystemCall.ACCEPT, error, CONSECUTIVE_FAILURES);
       for (int i = 0; i < 3; i++) {
-        try (Lines client = site.client(RequestClass.READ)) {
-          assertTrue(client.read().startsWith("UP "));
+        try (LineConnection client = site.sendRequest(RequestClass.READ)) {
+          assertTrue(client.readLine().startsWith("UP "));
         }
       }
-      assertEquals(List.of(), site.ledger.violations());
+      assertEquals(List.of(), site.checker.violations());
     }
   }
 
   /** The system would reset whoever waits in its queue as the socket closes. */
   @Test
-  void whoWaitsInTheQueueIsAnsweredThoughAcceptFailsAtTheStop() throws Exception {
+  void clientsInTheAcceptQueueAreAnsweredIfAcceptFailsDuringShutdown() throws Exception {
     try (OneProxySite site = new OneProxySite(folder, 2)) {
-      site.proxy.shim().fail(FaultShim.SystemCall.ACCEPT, Errno.ENFILE, Integer.MAX_VALUE);
-      try (Lines client = site.client(RequestClass.READ)) {
+      site.proxy.shim().failNext(FaultShim.SystemCall.ACCEPT, Errno.ENFILE, Integer.MAX_VALUE);
+      try (LineConnection client = site.sendRequest(RequestClass.READ)) {
         Thread stop = Threads.start("stop", () -> assertDoesNotThrow(site.proxy::stop));
         // The socket is to close 0.45 s after the order.
         Threads.sleepMillis(700);
-        site.proxy.shim().heal();
-        assertEquals("BUSY", client.read().split(" ")[0]);
+        site.proxy.shim().clearFaults();
+        assertEquals("BUSY", client.readLine().split(" ")[0]);
         stop.join();
       }
-      assertEquals(List.of(), site.ledger.violations());
+      assertEquals(List.of(), site.checker.violations());
     }
   }
 
   @ParameterizedTest
   @EnumSource(value = Errno.class, names = {"EADDRNOTAVAIL", "ENETUNREACH", "EAGAIN"})
-  void aConnectionThatCannotBeMadeForAMomentCostsNoRequest(Errno error) throws Exception {
+  void aBriefConnectFailureLosesNoRequest(Errno error) throws Exception {
     try (OneProxySite site = new OneProxySite(folder, 3)) {
-      site.proxy.shim().fail(FaultShim.SystemCall.CONNECT, error, 1);
-      try (Lines client = site.client(RequestClass.WRITE)) {
-        assertTrue(client.read().startsWith("UP "));
+      site.proxy.shim().failNext(FaultShim.SystemCall.CONNECT, error, 1);
+      try (LineConnection client = site.sendRequest(RequestClass.WRITE)) {
+        assertTrue(client.readLine().startsWith("UP "));
       }
-      assertEquals(List.of(), site.ledger.violations());
+      assertEquals(List.of(), site.checker.violations());
     }
   }
 
@@ -69,16 +69,16 @@
   @Test
   void shortReadsAndWritesAndInterruptedWaitsLoseNothing() throws Exception {
     try (OneProxySite site = new OneProxySite(folder, 2)) {
-      site.proxy.shim().bytesAtOnce(1);
-      site.proxy.shim().fail(FaultShim.SystemCall.WAIT, Errno.EINTR, 500);
-      try (Lines client = site.client(RequestClass.READ)) {
-        assertTrue(client.read().startsWith("UP "));
-        client.write("a line that takes many reads");
-        assertTrue(client.read().endsWith(" a line that takes many reads"));
+      site.proxy.shim().limitSocketBytes(1);
+      site.proxy.shim().failNext(FaultShim.SystemCall.WAIT, Errno.EINTR, 500);
+      try (LineConnection client = site.sendRequest(RequestClass.READ)) {
+        assertTrue(client.readLine().startsWith("UP "));
+        client.writeLines("a line that takes many reads");
+        assertTrue(client.readLine().endsWith(" a line that takes many reads"));
       }
       site.proxy.stop();
       assertEquals(0, site.proxy.incarnation().process.exitValue());
-      assertEquals(List.of(), site.ledger.violations());
+      assertEquals(List.of(), site.checker.violations());
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/OperatorFeatures.java
+++ b/proxy/src/main/java/lemondeal/OperatorFeatures.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import lemondeal.claims.CasClaims;
+import lemondeal.claims.CasClaimService;
 import lemondeal.claims.CasStore;
 import lemondeal.claims.DiskStore;
 import lemondeal.claims.FleetStore;
@@ -26,18 +26,18 @@
 import lemondeal.log.JsonLog;
 import lemondeal.log.PlainLog;
 import lemondeal.module.DecisionModule;
-import lemondeal.operator.FileFaults;
+import lemondeal.operator.InvalidFileException;
 import lemondeal.operator.KeyFile;
-import lemondeal.operator.Operator;
+import lemondeal.operator.OperatorConfig;
 import lemondeal.proxy.Proxy;
-import lemondeal.resume.Resumption;
+import lemondeal.resume.ResumptionContext;
 
 /** The optional features that the operator's file enables in a proxy. None of them is loaded without such a file. */
 final class OperatorFeatures implements AutoCloseable {
   private final Path file;
-  private final Operator operator;
+  private final OperatorConfig operator;
   private EventLog log;
-  private Resumption resumption;
+  private ResumptionContext resumption;
   /** Null unless claims are kept in a fleet's store. */
   private FleetStore claimStore;
   /** Null unless the proxies of a fleet exchange rows. */
@@ -48,7 +48,7 @@
   /** Null unless Consul is the source of server lists, and until the proxy has created it. */
   private ConsulServices consul;
 
-  private OperatorFeatures(Path file, Operator operator) {
+  private OperatorFeatures(Path file, OperatorConfig operator) {
     this.file = file;
     this.operator = operator;
   }
@@ -56,19 +56,19 @@
   /** Reads the file; throws with all errors if it cannot be used. */
   static OperatorFeatures read(Path file) {
     try {
-      Operator operator = Operator.read(file);
-      if (operator.ringsMb() > 0) {
-        DirectMemory.check(file, operator.ringsMb());
+      OperatorConfig operator = OperatorConfig.read(file);
+      if (operator.ringBufferMegabytes() > 0) {
+        DirectMemory.check(file, operator.ringBufferMegabytes());
       }
       return new OperatorFeatures(file, operator);
-    } catch (FileFaults e) {
+    } catch (InvalidFileException e) {
       throw new ConfigException(e.getMessage());
     }
   }
 
   /** Maximum size of all ring buffers, in megabytes. */
   int ringsMb() {
-    return operator.ringsMb() > 0 ? operator.ringsMb() : Limits.DEFAULT_RINGS_MB;
+    return operator.ringBufferMegabytes() > 0 ? operator.ringBufferMegabytes() : Limits.DEFAULT_RINGS_MB;
   }
 
   /** Creates what the proxy needs: the log, the claims and keys of resumable sessions, and the fleet member. */
@@ -78,7 +78,7 @@
     fleetMember = operator.fleet() == null ? null : fleetMember(operator.fleet(), config, log);
   }
 
-  private FleetMember fleetMember(Operator.Fleet section, Config config, EventLog log) {
+  private FleetMember fleetMember(OperatorConfig.Fleet section, Config config, EventLog log) {
     FleetSettings settings = section.settings();
     String name = settings.name() != null ? settings.name() : config.name();
     if (!config.settings().limits().mayMessagePeers()) {
@@ -116,7 +116,7 @@
     }
   }
 
-  private Resumption resumption(Path file, Operator.Resume section, Config config, EventLog log) {
+  private ResumptionContext resumption(Path file, OperatorConfig.Resume section, Config config, EventLog log) {
     List<String> classes = config.names().classes();
     for (String name : section.settings().classes()) {
       if (!classes.contains(name)) {
@@ -124,20 +124,20 @@
             + String.join(", ", classes));
       }
     }
-    return new Resumption(section.settings(), KeyFile.read(section.keys()),
-        new CasClaims(openClaimStore(section, log), System::currentTimeMillis), config.name(),
+    return new ResumptionContext(section.settings(), KeyFile.read(section.keyFile()),
+        new CasClaimService(openClaimStore(section, log), System::currentTimeMillis), config.name(),
         System::currentTimeMillis);
   }
 
-  private CasStore openClaimStore(Operator.Resume section, EventLog log) {
+  private CasStore openClaimStore(OperatorConfig.Resume section, EventLog log) {
     try {
-      return switch (section.claims()) {
-        case MEMORY -> new MemoryStore(section.mostClaims(), System::currentTimeMillis);
-        case DISK -> DiskStore.open(section.folder(), section.mostClaims(), System::currentTimeMillis, log);
-        case FLEET -> claimStore = FleetStore.open(section.stores(), section.tls(), section.settings().patience(), log);
+      return switch (section.claimStorage()) {
+        case MEMORY -> new MemoryStore(section.maxClaims(), System::currentTimeMillis);
+        case DISK -> DiskStore.open(section.claimsFolder(), section.maxClaims(), System::currentTimeMillis, log);
+        case FLEET -> claimStore = FleetStore.open(section.storeAddresses(), section.tls(), section.settings().claimTimeoutMillis(), log);
       };
     } catch (IOException e) {
-      throw new ConfigException("claims in " + (section.claims() == Operator.ClaimsIn.DISK ? section.folder()
+      throw new ConfigException("claims in " + (section.claimStorage() == OperatorConfig.ClaimStorage.DISK ? section.claimsFolder()
           : "the fleet's store") + ": " + e.getMessage());
     }
   }
@@ -147,18 +147,18 @@
   }
 
   /** Null if sessions cannot resume. */
-  Resumption resumption() {
+  ResumptionContext resumption() {
     return resumption;
   }
 
   /** The source of server lists: Consul if the file configures it, otherwise the platform's discovery. */
   ListSource.Factory listSources() {
-    return operator.consul().isEmpty() ? ListSource.PLATFORM
+    return operator.consulServices().isEmpty() ? ListSource.PLATFORM
         : ConsulServices.factory(consulSettings(operator), log, created -> consul = created);
   }
 
-  private static List<ConsulSettings> consulSettings(Operator operator) {
-    return operator.consul().stream().map(Operator.ConsulService::settings).toList();
+  private static List<ConsulSettings> consulSettings(OperatorConfig operator) {
+    return operator.consulServices().stream().map(OperatorConfig.ConsulService::settings).toList();
   }
 
   /** The decision module, restricted by the fleet's zone evacuation where that is enabled. */
@@ -174,14 +174,14 @@
 
   /** One module for all classes, or one for each Consul service and its classes. */
   private Balancer placementModule(Config config) {
-    if (operator.consul().isEmpty() || operator.consul().get(0).classes().isEmpty()) {
+    if (operator.consulServices().isEmpty() || operator.consulServices().get(0).classes().isEmpty()) {
       return new DecisionModule();
     }
     List<String> names = config.names().classes();
     int[] serviceOfClass = new int[names.size()];
     Arrays.fill(serviceOfClass, -1);
     List<Balancer> modules = new ArrayList<>();
-    for (Operator.ConsulService service : operator.consul()) {
+    for (OperatorConfig.ConsulService service : operator.consulServices()) {
       for (String name : service.classes()) {
         if (!names.contains(name)) {
           throw new ConfigException(file + ": discovery.consul.services: found class '" + name + "'; allowed: "
@@ -205,8 +205,8 @@
    * used; the previous ones then stay in use.
    */
   void reload() {
-    Operator reloaded = Operator.read(file);
-    if (consul != null && !reloaded.consul().isEmpty()) {
+    OperatorConfig reloaded = OperatorConfig.read(file);
+    if (consul != null && !reloaded.consulServices().isEmpty()) {
       try {
         consul.reload(consulSettings(reloaded));
         log.info("consul-reload", "lemondeal: Consul's section, its token and certificates read anew");
@@ -218,7 +218,7 @@
     if (resumption == null) {
       return;
     }
-    resumption.use(KeyFile.read(operator.resume().keys()));
+    resumption.replaceKeys(KeyFile.read(operator.resume().keyFile()));
     TlsFiles tls = operator.resume().tls();
     if (claimStore != null && tls != null) {
       try {
@@ -233,12 +233,12 @@
   }
 
   /** Whether everything that takes effect only at a start is unchanged. */
-  private boolean hasSameStartupSettings(Operator reloaded) {
-    return new Operator(reloaded.jsonLog(), reloaded.ringsMb(), operator.consul(), reloaded.resume(),
+  private boolean hasSameStartupSettings(OperatorConfig reloaded) {
+    return new OperatorConfig(reloaded.jsonLog(), reloaded.ringBufferMegabytes(), operator.consulServices(), reloaded.resume(),
         hasSameFleetSettings(reloaded) ? operator.fleet() : reloaded.fleet()).equals(operator);
   }
 
-  private boolean hasSameFleetSettings(Operator reloaded) {
+  private boolean hasSameFleetSettings(OperatorConfig reloaded) {
     return reloaded.fleet() != null && operator.fleet() != null
         && reloaded.fleet().settings().equals(operator.fleet().settings())
         && Objects.equals(reloaded.fleet().evacuation(), operator.fleet().evacuation());
--- a/proxy/src/main/java/lemondeal/ZoneEvacuationService.java
+++ b/proxy/src/main/java/lemondeal/ZoneEvacuationService.java
@@ -21,7 +21,7 @@
 import lemondeal.fleet.TimedRow;
 import lemondeal.log.EventLog;
 import lemondeal.net.Timers;
-import lemondeal.operator.Operator;
+import lemondeal.operator.OperatorConfig;
 import lemondeal.proxy.Proxy;
 import lemondeal.saved.StateFile;
 
@@ -40,18 +40,18 @@
   private int pendingWrites;
 
   /** @throws ConfigException if a proxy of the fleet is in a zone that the platform's configuration does not name */
-  ZoneEvacuationService(Operator.Fleet section, Config config, FleetMember member, long incarnation, long now,
+  ZoneEvacuationService(OperatorConfig.Fleet section, Config config, FleetMember member, long incarnation, long now,
       Balancer module, EventLog log) {
     this.member = member;
     this.log = log;
     zoneNames = config.names().zones();
-    Operator.Evacuation ownSection = section.evacuation();
-    stateFile = new StateFile(ownSection.kept(), log);
+    OperatorConfig.Evacuation ownSection = section.evacuation();
+    stateFile = new StateFile(ownSection.stateFile(), log);
     ZoneMembership membership = membership(section, member);
     EvacuationSettings settings = settings(section.settings().sendIntervalMillis());
     Evacuation evacuation = new Evacuation(membership, settings,
-        SlowStartRamp.of(config.settings().rules(), ownSection.connections()), incarnation, savedState(), now);
-    balancer = new EvacuatingBalancer(module, membership, evacuation, ownSection.moves(), settings.reportInterval(),
+        SlowStartRamp.of(config.settings().rules(), ownSection.usualConnections()), incarnation, savedState(), now);
+    balancer = new EvacuatingBalancer(module, membership, evacuation, ownSection.movesPerSecond(), settings.reportInterval(),
         this, now);
   }
 
@@ -65,7 +65,7 @@
         defaults.maxClockDrift());
   }
 
-  private ZoneMembership membership(Operator.Fleet section, FleetMember member) {
+  private ZoneMembership membership(OperatorConfig.Fleet section, FleetMember member) {
     List<ZoneMembership.Member> members = new ArrayList<>();
     for (FleetRoster.Member configured : section.settings().roster().members()) {
       int zone = zoneNames.indexOf(configured.zone());
--- a/proxy/src/main/java/lemondeal/claims/CasStore.java
+++ b/proxy/src/main/java/lemondeal/claims/CasStore.java
@@ -6,16 +6,16 @@
 public interface CasStore extends AutoCloseable {
 
   /** A state with its version; version 0 and {@link ClaimState#NONE} where the key is not there. */
-  record Versioned(long version, ClaimState state) {}
+  record VersionedState(long version, ClaimState state) {}
 
   /** How a write ended. {@code now} is what stands afterwards; null where the store could not be reached. */
-  record Written(boolean done, Versioned now, String fault) {}
+  record Result(boolean success, VersionedState current, String error) {}
 
   /** Reads the session's state. A fault is told as {@code now} null. */
-  void read(String session, Consumer<Written> told);
+  void read(String session, Consumer<Result> callback);
 
   /** Writes if the version is the expected one. */
-  void compareAndSet(String session, long version, ClaimState state, Consumer<Written> told);
+  void compareAndSet(String session, long expectedVersion, ClaimState state, Consumer<Result> callback);
 
   @Override
   void close();
--- a/proxy/src/main/java/lemondeal/claims/Claim.java
+++ b/proxy/src/main/java/lemondeal/claims/Claim.java
@@ -9,4 +9,4 @@
  * @param lease how long the claim holds unless it is settled, milliseconds
  * @param forgetAt when no token of the session can be good any more, Unix milliseconds
  */
-public record Claim(String session, long epoch, String holder, long lease, long forgetAt) {}
+public record Claim(String session, long epoch, String holder, long leaseMillis, long forgetAt) {}
--- a/proxy/src/main/java/lemondeal/claims/ClaimAnswer.java
+++ b/proxy/src/main/java/lemondeal/claims/ClaimAnswer.java
@@ -7,11 +7,11 @@
   record Granted(long fence) implements ClaimAnswer {}
 
   /** Another claim is not settled yet; in so many milliseconds it will have run out at the latest. */
-  record Held(long millis) implements ClaimAnswer {}
+  record Held(long remainingMillis) implements ClaimAnswer {}
 
   /** A connection has gone on from a token of this epoch, or from a later one. */
   record Used() implements ClaimAnswer {}
 
   /** Nothing can be said now: the store is silent, down or full, or too many write at once. The token stays good. */
-  record Unknown(String why) implements ClaimAnswer {}
+  record Unknown(String reason) implements ClaimAnswer {}
 }
--- a/proxy/src/main/java/lemondeal/claims/ClaimState.java
+++ b/proxy/src/main/java/lemondeal/claims/ClaimState.java
@@ -19,7 +19,7 @@
     return !holder.isEmpty() && now < leaseUntil;
   }
 
-  boolean isHeldBy(String who) {
-    return holder.equals(who);
+  boolean isHeldBy(String claimant) {
+    return holder.equals(claimant);
   }
 }
--- a/proxy/src/main/java/lemondeal/claims/DiskStore.java
+++ b/proxy/src/main/java/lemondeal/claims/DiskStore.java
@@ -23,37 +23,37 @@
  * a few hundred thousand states of a few bytes need a log and no more, and its files should be readable for an operator.
  */
 public final class DiskStore implements CasStore {
-  private static final int QUEUE = 4096;
+  private static final int QUEUE_CAPACITY = 4096;
   /** A disk that hangs must not hold up the end of the process. */
-  private static final long CLOSE_MILLIS = 1000;
-  private static final int BATCH = 512;
+  private static final long CLOSE_TIMEOUT_MILLIS = 1000;
+  private static final int MAX_BATCH = 512;
   /** A log is worth a new snapshot when it is this many times as long as what it says, and not short. */
-  private static final int WASTE = 4;
-  private static final int SHORT = 4096;
+  private static final int COMPACTION_RATIO = 4;
+  private static final int MIN_COMPACTION_RECORDS = 4096;
 
-  private record Job(String session, long version, ClaimState state, Consumer<Written> told) {
+  private record Job(String session, long expectedVersion, ClaimState newState, Consumer<Result> callback) {
     boolean isWrite() {
-      return state != null;
+      return newState != null;
     }
   }
 
   private static final Job STOP = new Job(null, 0, null, null);
 
   private final Path folder;
-  private final int most;
-  private final LongSupplier millis;
+  private final int maxSessions;
+  private final LongSupplier unixMillis;
   private final EventLog log;
-  private final BlockingQueue<Job> jobs = new LinkedBlockingQueue<>(QUEUE);
-  private final Thread thread = new Thread(this::work, "claims");
+  private final BlockingQueue<Job> jobs = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
+  private final Thread thread = new Thread(this::processJobs, "claims");
   /** The thread's own from here on. */
   private MemoryStore states;
-  private LogFolder files;
-  private String away = "";
+  private WriteAheadLog writeAheadLog;
+  private String unavailableReason = "";
 
-  private DiskStore(Path folder, int most, LongSupplier millis, EventLog log) {
+  private DiskStore(Path folder, int maxSessions, LongSupplier unixMillis, EventLog log) {
     this.folder = folder;
-    this.most = most;
-    this.millis = millis;
+    this.maxSessions = maxSessions;
+    this.unixMillis = unixMillis;
     this.log = log;
   }
 
@@ -61,159 +61,159 @@
    * Opens the folder, making it where it is missing, and reads what it holds. Throws where that can't be read; that
    * another process holds it is no failure, but told to whoever asks.
    */
-  public static DiskStore open(Path folder, int most, LongSupplier millis, EventLog log) throws IOException {
-    DiskStore store = new DiskStore(folder, most, millis, log);
-    store.take();
+  public static DiskStore open(Path folder, int maxSessions, LongSupplier unixMillis, EventLog log) throws IOException {
+    DiskStore store = new DiskStore(folder, maxSessions, unixMillis, log);
+    store.openFolder();
     store.thread.setDaemon(true);
     store.thread.start();
     return store;
   }
 
   @Override
-  public void read(String session, Consumer<Written> told) {
-    put(new Job(session, 0, null, told));
+  public void read(String session, Consumer<Result> callback) {
+    enqueue(new Job(session, 0, null, callback));
   }
 
   @Override
-  public void compareAndSet(String session, long version, ClaimState state, Consumer<Written> told) {
-    put(new Job(session, version, state, told));
+  public void compareAndSet(String session, long expectedVersion, ClaimState state, Consumer<Result> callback) {
+    enqueue(new Job(session, expectedVersion, state, callback));
   }
 
-  private void put(Job job) {
+  private void enqueue(Job job) {
     if (!jobs.offer(job)) {
-      job.told().accept(new Written(false, null, "too much waits for the disk"));
+      job.callback().accept(new Result(false, null, "too much waits for the disk"));
     }
   }
 
   // ---- The thread's own -----------------------------------------------------------------------
 
   /** Goes on behind the order to stop until nothing is left: an answer may have brought the next job with it. */
-  private void work() {
+  private void processJobs() {
     boolean stopping = false;
     try {
       while (!stopping || !jobs.isEmpty()) {
         List<Job> batch = new ArrayList<>();
         batch.add(jobs.take());
-        jobs.drainTo(batch, BATCH - 1);
+        jobs.drainTo(batch, MAX_BATCH - 1);
         stopping |= batch.remove(STOP);
-        carryOut(batch);
+        processBatch(batch);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      leave();
+      closeFolder();
     }
   }
 
-  private void carryOut(List<Job> batch) {
+  private void processBatch(List<Job> batch) {
     try {
-      if (files == null) {
-        take();
+      if (writeAheadLog == null) {
+        openFolder();
       }
     } catch (IOException e) {
-      away = "the folder cannot be read: " + e;
+      unavailableReason = "the folder cannot be read: " + e;
     }
-    if (files == null) {
-      batch.forEach(job -> job.told().accept(new Written(false, null, away)));
+    if (writeAheadLog == null) {
+      batch.forEach(job -> job.callback().accept(new Result(false, null, unavailableReason)));
       return;
     }
-    Map<String, Versioned> changes = new LinkedHashMap<>();
-    List<Written> answers = new ArrayList<>();
+    Map<String, VersionedState> changes = new LinkedHashMap<>();
+    List<Result> results = new ArrayList<>();
     for (Job job : batch) {
-      answers.add(answer(job, changes));
+      results.add(apply(job, changes));
     }
-    String fault = write(changes);
+    String error = persist(changes);
     for (int i = 0; i < batch.size(); i++) {
-      batch.get(i).told().accept(fault.isEmpty() ? answers.get(i) : new Written(false, null, fault));
+      batch.get(i).callback().accept(error.isEmpty() ? results.get(i) : new Result(false, null, error));
     }
     compact();
   }
 
   /** What the job is told once all changes are on disk. */
-  private Written answer(Job job, Map<String, Versioned> changes) {
-    Versioned changed = changes.get(job.session());
-    Versioned now = changed != null ? changed : states.get(job.session());
+  private Result apply(Job job, Map<String, VersionedState> changes) {
+    VersionedState pending = changes.get(job.session());
+    VersionedState current = pending != null ? pending : states.get(job.session());
     if (!job.isWrite()) {
-      return new Written(true, now, "");
+      return new Result(true, current, "");
     }
-    if (now.version() != job.version()) {
-      return new Written(false, now, "");
+    if (current.version() != job.expectedVersion()) {
+      return new Result(false, current, "");
     }
-    if (now.version() == 0 && states.all().size() + changes.size() >= most) {
-      return new Written(false, null, "all " + most + " claims are held");
+    if (current.version() == 0 && states.unexpired().size() + changes.size() >= maxSessions) {
+      return new Result(false, null, "all " + maxSessions + " claims are held");
     }
-    Versioned next = new Versioned(now.version() + 1, job.state());
-    changes.put(job.session(), next);
-    return new Written(true, next, "");
+    VersionedState updated = new VersionedState(current.version() + 1, job.newState());
+    changes.put(job.session(), updated);
+    return new Result(true, updated, "");
   }
 
   /** Empty, or why nothing was written. */
-  private String write(Map<String, Versioned> changes) {
+  private String persist(Map<String, VersionedState> changes) {
     if (changes.isEmpty()) {
       return "";
     }
     try {
-      files.append(records(changes));
+      writeAheadLog.append(encodeRecords(changes));
       changes.forEach(states::put);
       return "";
     } catch (IOException e) {
       log.warn("claims-not-written", "lemondeal: claims cannot be written: " + e, "folder", folder.toString());
-      if (!files.isSound()) {
+      if (!writeAheadLog.isEndKnown()) {
         // The end of the log is not known any more: it is read anew, and cut where it is torn.
-        leave();
+        closeFolder();
       }
       return "the disk: " + e.getMessage();
     }
   }
 
-  private static List<byte[]> records(Map<String, Versioned> changes) {
+  private static List<byte[]> encodeRecords(Map<String, VersionedState> changes) {
     List<byte[]> records = new ArrayList<>(changes.size());
-    changes.forEach((session, versioned) -> records.add(LogRecord.newBuilder()
+    changes.forEach((session, versionedState) -> records.add(LogRecord.newBuilder()
         .setSession(session)
-        .setVersion(versioned.version())
-        .setState(StateCodec.write(versioned.state()))
+        .setVersion(versionedState.version())
+        .setState(StateCodec.encode(versionedState.state()))
         .build().toByteArray()));
     return records;
   }
 
   private void compact() {
-    if (files == null || files.records() < SHORT || files.records() < (long) WASTE * states.all().size()) {
+    if (writeAheadLog == null || writeAheadLog.records() < MIN_COMPACTION_RECORDS || writeAheadLog.records() < (long) COMPACTION_RATIO * states.unexpired().size()) {
       return;
     }
     try {
-      files.begin(records(states.all()));
+      writeAheadLog.writeSnapshot(encodeRecords(states.unexpired()));
     } catch (IOException e) {
       log.warn("claims-not-compacted", "lemondeal: claims cannot be compacted: " + e, "folder", folder.toString());
     }
   }
 
   /** Takes the folder, unless another process holds it. */
-  private void take() throws IOException {
-    MemoryStore read = new MemoryStore(most, millis);
-    LogFolder taken = LogFolder.open(folder, record -> {
+  private void openFolder() throws IOException {
+    MemoryStore loadedStates = new MemoryStore(maxSessions, unixMillis);
+    WriteAheadLog opened = WriteAheadLog.open(folder, record -> {
       try {
-        LogRecord r = LogRecord.parseFrom(record);
-        read.put(r.getSession(), new Versioned(r.getVersion(), StateCodec.read(r.getState())));
+        LogRecord logRecord = LogRecord.parseFrom(record);
+        loadedStates.put(logRecord.getSession(), new VersionedState(logRecord.getVersion(), StateCodec.decode(logRecord.getState())));
       } catch (InvalidProtocolBufferException e) {
         throw new IOException("a record with a true checksum cannot be read", e);
       }
     });
-    if (taken == null) {
-      away = "another process holds the claims";
+    if (opened == null) {
+      unavailableReason = "another process holds the claims";
       return;
     }
-    if (taken.tornBytes() > 0) {
-      log.warn("claims-torn", "lemondeal: the last " + taken.tornBytes() + " bytes of the claims' log were torn and are cut off",
-          "folder", folder.toString(), "bytes", taken.tornBytes());
+    if (opened.truncatedBytes() > 0) {
+      log.warn("claims-torn", "lemondeal: the last " + opened.truncatedBytes() + " bytes of the claims' log were torn and are cut off",
+          "folder", folder.toString(), "bytes", opened.truncatedBytes());
     }
-    states = read;
-    files = taken;
+    states = loadedStates;
+    writeAheadLog = opened;
   }
 
-  private void leave() {
-    if (files != null) {
-      files.close();
-      files = null;
+  private void closeFolder() {
+    if (writeAheadLog != null) {
+      writeAheadLog.close();
+      writeAheadLog = null;
     }
   }
 
@@ -221,7 +221,7 @@
   public void close() {
     try {
       jobs.put(STOP);
-      thread.join(CLOSE_MILLIS);
+      thread.join(CLOSE_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/proxy/src/main/java/lemondeal/claims/FleetStore.java
+++ b/proxy/src/main/java/lemondeal/claims/FleetStore.java
@@ -32,20 +32,20 @@
  * store that is away is told at once, as a fault. Answers come on the library's threads.
  */
 public final class FleetStore implements CasStore {
-  private static final long CLOSE_SECONDS = 1;
-  private static final long FIRST_CALL_MILLIS = 3000;
+  private static final long CLOSE_TIMEOUT_SECONDS = 1;
+  private static final long WARM_UP_TIMEOUT_MILLIS = 3000;
   private static final int KEY_BYTES = 16;
 
   private final List<InetSocketAddress> addresses;
-  private final long patience;
+  private final long callTimeoutMillis;
   private final EventLog log;
   /** Replaced whole when certificates are read anew; calls on the one before run to their end. */
   private volatile ManagedChannel channel;
   private volatile ClaimStoreGrpc.ClaimStoreStub stub;
 
-  private FleetStore(List<InetSocketAddress> addresses, long patience, EventLog log) {
+  private FleetStore(List<InetSocketAddress> addresses, long callTimeoutMillis, EventLog log) {
     this.addresses = List.copyOf(addresses);
-    this.patience = patience;
+    this.callTimeoutMillis = callTimeoutMillis;
     this.log = log;
   }
 
@@ -59,11 +59,11 @@
    * @param patience milliseconds that a call may take
    * @throws IOException where a file of {@code tls} can't be read or used
    */
-  public static FleetStore open(List<InetSocketAddress> addresses, TlsFiles tls, long patience, EventLog log)
+  public static FleetStore open(List<InetSocketAddress> addresses, TlsFiles tls, long callTimeoutMillis, EventLog log)
       throws IOException {
-    FleetStore store = new FleetStore(addresses, patience, log);
-    store.use(store.channel(tls));
-    store.warm();
+    FleetStore store = new FleetStore(addresses, callTimeoutMillis, log);
+    store.switchChannel(store.buildChannel(tls));
+    store.warmUp();
     return store;
   }
 
@@ -74,17 +74,17 @@
    * @throws IOException where a file can't be read or used: the channel before stays
    */
   public void reload(TlsFiles tls) throws IOException {
-    ManagedChannel before = channel;
-    use(channel(tls));
-    before.shutdown();
+    ManagedChannel previous = channel;
+    switchChannel(buildChannel(tls));
+    previous.shutdown();
   }
 
-  private ManagedChannel channel(TlsFiles tls) throws IOException {
-    String first = Addresses.format(addresses.get(0));
-    String authority = tls != null && tls.name() != null ? tls.name() : first;
+  private ManagedChannel buildChannel(TlsFiles tls) throws IOException {
+    String firstAddress = Addresses.format(addresses.get(0));
+    String authority = tls != null && tls.name() != null ? tls.name() : firstAddress;
     @SuppressWarnings("deprecation") // The one way to give a channel addresses without a look-up that is not global.
-    NettyChannelBuilder builder = NettyChannelBuilder.forTarget(StoreAddresses.SCHEME + ":///" + first)
-        .nameResolverFactory(new StoreAddresses(addresses, authority))
+    NettyChannelBuilder builder = NettyChannelBuilder.forTarget(StaticAddressResolver.SCHEME + ":///" + firstAddress)
+        .nameResolverFactory(new StaticAddressResolver(addresses, authority))
         .keepAliveTime(10, TimeUnit.SECONDS);
     if (tls == null) {
       builder.usePlaintext();
@@ -106,24 +106,24 @@
     }
   }
 
-  private void use(ManagedChannel fresh) {
-    channel = fresh;
-    stub = ClaimStoreGrpc.newStub(fresh);
+  private void switchChannel(ManagedChannel newChannel) {
+    channel = newChannel;
+    stub = ClaimStoreGrpc.newStub(newChannel);
   }
 
   /** Makes the first calls, which are slow, before any client waits for one. */
-  private void warm() {
+  private void warmUp() {
     try {
-      ClaimStoreGrpc.ClaimStoreBlockingStub first = ClaimStoreGrpc.newBlockingStub(channel)
-          .withDeadlineAfter(FIRST_CALL_MILLIS, TimeUnit.MILLISECONDS);
-      ByteString noSession = ByteString.copyFrom(new byte[KEY_BYTES]);
-      first.read(ReadRequest.newBuilder().setKey(noSession).build());
+      ClaimStoreGrpc.ClaimStoreBlockingStub blockingStub = ClaimStoreGrpc.newBlockingStub(channel)
+          .withDeadlineAfter(WARM_UP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      ByteString unusedKey = ByteString.copyFrom(new byte[KEY_BYTES]);
+      blockingStub.read(ReadRequest.newBuilder().setKey(unusedKey).build());
       // Writes nothing: no key has that version.
-      first.compareAndSet(CompareAndSetRequest.newBuilder().setKey(noSession).setExpectedVersion(Long.MAX_VALUE).build());
+      blockingStub.compareAndSet(CompareAndSetRequest.newBuilder().setKey(unusedKey).setExpectedVersion(Long.MAX_VALUE).build());
     } catch (StatusRuntimeException e) {
-      String all = addresses.stream().map(Addresses::format).collect(Collectors.joining(", "));
-      log.warn("claims-away", "lemondeal: the claim store at " + all + " does not answer: "
-          + e.getStatus().getCode() + describe(e.getStatus()), "store", all);
+      String addressList = addresses.stream().map(Addresses::format).collect(Collectors.joining(", "));
+      log.warn("claims-away", "lemondeal: the claim store at " + addressList + " does not answer: "
+          + e.getStatus().getCode() + describe(e.getStatus()), "store", addressList);
     }
   }
 
@@ -132,31 +132,31 @@
   }
 
   @Override
-  public void read(String session, Consumer<Written> told) {
-    stub.withDeadlineAfter(patience, TimeUnit.MILLISECONDS).read(
-        ReadRequest.newBuilder().setKey(key(session)).build(),
-        new Once<Entry>(told, entry -> new Written(true, versioned(entry), "")));
+  public void read(String session, Consumer<Result> callback) {
+    stub.withDeadlineAfter(callTimeoutMillis, TimeUnit.MILLISECONDS).read(
+        ReadRequest.newBuilder().setKey(toKey(session)).build(),
+        new UnaryObserver<Entry>(callback, entry -> new Result(true, toVersionedState(entry), "")));
   }
 
   @Override
-  public void compareAndSet(String session, long version, ClaimState state, Consumer<Written> told) {
+  public void compareAndSet(String session, long expectedVersion, ClaimState state, Consumer<Result> callback) {
     CompareAndSetRequest request = CompareAndSetRequest.newBuilder()
-        .setKey(key(session))
-        .setExpectedVersion(version)
-        .setValue(StateCodec.write(state))
+        .setKey(toKey(session))
+        .setExpectedVersion(expectedVersion)
+        .setValue(StateCodec.encode(state))
         .setForgetAtMs(state.forgetAt())
         .build();
-    stub.withDeadlineAfter(patience, TimeUnit.MILLISECONDS).compareAndSet(request,
-        new Once<CompareAndSetReply>(told, reply -> new Written(reply.getWritten(), versioned(reply.getNow()), "")));
+    stub.withDeadlineAfter(callTimeoutMillis, TimeUnit.MILLISECONDS).compareAndSet(request,
+        new UnaryObserver<CompareAndSetReply>(callback, reply -> new Result(reply.getWritten(), toVersionedState(reply.getNow()), "")));
   }
 
-  private static ByteString key(String session) {
+  private static ByteString toKey(String session) {
     return ByteString.copyFrom(HexFormat.of().parseHex(session));
   }
 
-  private static Versioned versioned(Entry entry) throws InvalidProtocolBufferException {
-    return entry.getVersion() == 0 ? new Versioned(0, ClaimState.NONE)
-        : new Versioned(entry.getVersion(), StateCodec.read(entry.getValue()));
+  private static VersionedState toVersionedState(Entry entry) throws InvalidProtocolBufferException {
+    return entry.getVersion() == 0 ? new VersionedState(0, ClaimState.NONE)
+        : new VersionedState(entry.getVersion(), StateCodec.decode(entry.getValue()));
   }
 
   @Override
@@ -164,7 +164,7 @@
     channel.shutdown();
     try {
       // What was settled last is still on its way.
-      if (!channel.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS)) {
+      if (!channel.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         channel.shutdownNow();
       }
     } catch (InterruptedException e) {
@@ -174,34 +174,34 @@
   }
 
   /** A reply to a message. */
-  private interface Reader<T> {
-    Written read(T reply) throws InvalidProtocolBufferException;
+  private interface ReplyParser<T> {
+    Result parse(T reply) throws InvalidProtocolBufferException;
   }
 
   /** Tells the one reply of a call, or its failure. */
-  private static final class Once<T> implements StreamObserver<T> {
-    private final Consumer<Written> told;
-    private final Reader<T> reader;
+  private static final class UnaryObserver<T> implements StreamObserver<T> {
+    private final Consumer<Result> callback;
+    private final ReplyParser<T> parser;
 
-    Once(Consumer<Written> told, Reader<T> reader) {
-      this.told = told;
-      this.reader = reader;
+    UnaryObserver(Consumer<Result> callback, ReplyParser<T> parser) {
+      this.callback = callback;
+      this.parser = parser;
     }
 
     @Override
     public void onNext(T reply) {
-      Written written;
+      Result result;
       try {
-        written = reader.read(reply);
+        result = parser.parse(reply);
       } catch (InvalidProtocolBufferException e) {
-        written = new Written(false, null, "the store's value cannot be read");
+        result = new Result(false, null, "the store's value cannot be read");
       }
-      told.accept(written);
+      callback.accept(result);
     }
 
     @Override
-    public void onError(Throwable fault) {
-      told.accept(new Written(false, null, "the store: " + Status.fromThrowable(fault).getCode()));
+    public void onError(Throwable error) {
+      callback.accept(new Result(false, null, "the store: " + Status.fromThrowable(error).getCode()));
     }
 
     @Override
--- a/proxy/src/main/java/lemondeal/claims/MemoryStore.java
+++ b/proxy/src/main/java/lemondeal/claims/MemoryStore.java
@@ -11,22 +11,22 @@
  * its process. Not safe for use by several threads at once.
  */
 public final class MemoryStore implements CasStore {
-  private record Forgetting(long at, String session) implements Comparable<Forgetting> {
+  private record Expiry(long at, String session) implements Comparable<Expiry> {
     @Override
-    public int compareTo(Forgetting other) {
+    public int compareTo(Expiry other) {
       return Long.compare(at, other.at);
     }
   }
 
-  private final int most;
-  private final LongSupplier millis;
-  private final Map<String, Versioned> states = new HashMap<>();
-  private final PriorityQueue<Forgetting> forgettings = new PriorityQueue<>();
+  private final int maxSessions;
+  private final LongSupplier unixMillis;
+  private final Map<String, VersionedState> states = new HashMap<>();
+  private final PriorityQueue<Expiry> expiries = new PriorityQueue<>();
 
   /** Holds {@code most} sessions at once; beyond, a new one can't be written until an old one may be forgotten. */
-  public MemoryStore(int most, LongSupplier millis) {
-    this.most = most;
-    this.millis = millis;
+  public MemoryStore(int maxSessions, LongSupplier unixMillis) {
+    this.maxSessions = maxSessions;
+    this.unixMillis = unixMillis;
   }
 
   public int size() {
@@ -34,48 +34,48 @@
   }
 
   @Override
-  public void read(String session, Consumer<Written> told) {
-    told.accept(new Written(true, get(session), ""));
+  public void read(String session, Consumer<Result> callback) {
+    callback.accept(new Result(true, get(session), ""));
   }
 
-  Versioned get(String session) {
-    return states.getOrDefault(session, new Versioned(0, ClaimState.NONE));
+  VersionedState get(String session) {
+    return states.getOrDefault(session, new VersionedState(0, ClaimState.NONE));
   }
 
   @Override
-  public void compareAndSet(String session, long version, ClaimState state, Consumer<Written> told) {
-    forget();
-    Versioned now = get(session);
-    if (now.version() != version) {
-      told.accept(new Written(false, now, ""));
-    } else if (version == 0 && states.size() >= most) {
-      told.accept(new Written(false, null, "all " + most + " claims are held"));
+  public void compareAndSet(String session, long expectedVersion, ClaimState state, Consumer<Result> callback) {
+    evictExpired();
+    VersionedState current = get(session);
+    if (current.version() != expectedVersion) {
+      callback.accept(new Result(false, current, ""));
+    } else if (expectedVersion == 0 && states.size() >= maxSessions) {
+      callback.accept(new Result(false, null, "all " + maxSessions + " claims are held"));
     } else {
-      put(session, new Versioned(version + 1, state));
-      told.accept(new Written(true, get(session), ""));
+      put(session, new VersionedState(expectedVersion + 1, state));
+      callback.accept(new Result(true, get(session), ""));
     }
   }
 
   /** Takes a state as it is, as when a log is read again. */
-  void put(String session, Versioned versioned) {
-    Versioned before = states.put(session, versioned);
-    if (before == null || before.state().forgetAt() != versioned.state().forgetAt()) {
-      forgettings.add(new Forgetting(versioned.state().forgetAt(), session));
+  void put(String session, VersionedState versionedState) {
+    VersionedState previous = states.put(session, versionedState);
+    if (previous == null || previous.state().forgetAt() != versionedState.state().forgetAt()) {
+      expiries.add(new Expiry(versionedState.state().forgetAt(), session));
     }
   }
 
   /** All states that must be remembered. */
-  Map<String, Versioned> all() {
-    forget();
+  Map<String, VersionedState> unexpired() {
+    evictExpired();
     return states;
   }
 
-  private void forget() {
-    long now = millis.getAsLong();
-    while (!forgettings.isEmpty() && forgettings.peek().at() <= now) {
-      String session = forgettings.poll().session();
-      Versioned versioned = states.get(session);
-      if (versioned != null && versioned.state().forgetAt() <= now) {
+  private void evictExpired() {
+    long now = unixMillis.getAsLong();
+    while (!expiries.isEmpty() && expiries.peek().at() <= now) {
+      String session = expiries.poll().session();
+      VersionedState versionedState = states.get(session);
+      if (versionedState != null && versionedState.state().forgetAt() <= now) {
         states.remove(session);
       }
     }
@@ -84,6 +84,6 @@
   @Override
   public void close() {
     states.clear();
-    forgettings.clear();
+    expiries.clear();
   }
 }
--- a/proxy/src/main/java/lemondeal/claims/StateCodec.java
+++ b/proxy/src/main/java/lemondeal/claims/StateCodec.java
@@ -7,7 +7,7 @@
 final class StateCodec {
   private StateCodec() {}
 
-  static ByteString write(ClaimState state) {
+  static ByteString encode(ClaimState state) {
     return lemondeal.claims.wire.ClaimState.newBuilder()
         .setCommitted(state.committed())
         .setFence(state.fence())
@@ -17,7 +17,7 @@
         .build().toByteString();
   }
 
-  static ClaimState read(ByteString bytes) throws InvalidProtocolBufferException {
+  static ClaimState decode(ByteString bytes) throws InvalidProtocolBufferException {
     lemondeal.claims.wire.ClaimState state = lemondeal.claims.wire.ClaimState.parseFrom(bytes);
     return new ClaimState(state.getCommitted(), state.getFence(), state.getHolder(), state.getLeaseUntilMs(),
         state.getForgetAtMs());
--- a/proxy/src/main/java/lemondeal/claims/StoreAddresses.java
+++ b/proxy/src/main/java/lemondeal/claims/StaticAddressResolver.java
@@ -13,14 +13,14 @@
  * {@code pick_first} tries them in their order and keeps the first that answers. No name is looked up; the platform has no
  * DNS, and an installation that has one names the store's addresses in the operator's file all the same.
  */
-final class StoreAddresses extends NameResolver.Factory {
+final class StaticAddressResolver extends NameResolver.Factory {
   static final String SCHEME = "lemondeal-store";
 
   private final List<InetSocketAddress> addresses;
   private final String authority;
 
   /** @param authority what the store's certificate is checked against */
-  StoreAddresses(List<InetSocketAddress> addresses, String authority) {
+  StaticAddressResolver(List<InetSocketAddress> addresses, String authority) {
     this.addresses = List.copyOf(addresses);
     this.authority = authority;
   }
--- a/proxy/src/main/java/lemondeal/claims/LogFolder.java
+++ b/proxy/src/main/java/lemondeal/claims/WriteAheadLog.java
@@ -24,52 +24,52 @@
  * lost it. Reading: the highest snapshot, then its log up to the first record that is torn; what follows is cut off. Such
  * a tail was never answered, since answers wait for the disk.
  */
-final class LogFolder implements AutoCloseable {
-  private static final Pattern NAME = Pattern.compile("(snapshot|log)-([0-9]{1,18})");
-  private static final int HEADER = 8;
-  private static final int LONGEST = 1 << 16;
+final class WriteAheadLog implements AutoCloseable {
+  private static final Pattern FILE_NAME = Pattern.compile("(snapshot|log)-([0-9]{1,18})");
+  private static final int HEADER_BYTES = 8;
+  private static final int MAX_RECORD_BYTES = 1 << 16;
 
   /** Takes the records in their order. */
-  interface Reader {
-    void read(byte[] record) throws IOException;
+  interface RecordHandler {
+    void handle(byte[] record) throws IOException;
   }
 
   private final Path folder;
-  private final FileChannel lockFile;
-  private FileChannel log;
+  private final FileChannel lockChannel;
+  private FileChannel logChannel;
   private long generation;
-  private long end;
-  private long records;
-  private long torn;
-  private boolean sound = true;
+  private long logLength;
+  private long recordCount;
+  private long truncatedBytes;
+  private boolean endKnown = true;
 
-  private LogFolder(Path folder, FileChannel lockFile) {
+  private WriteAheadLog(Path folder, FileChannel lockChannel) {
     this.folder = folder;
-    this.lockFile = lockFile;
+    this.lockChannel = lockChannel;
   }
 
   /** Opens the folder and reads it; null if another process holds it. */
-  static LogFolder open(Path folder, Reader reader) throws IOException {
+  static WriteAheadLog open(Path folder, RecordHandler handler) throws IOException {
     Files.createDirectories(folder);
-    FileChannel lockFile = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    LogFolder opened = new LogFolder(folder, lockFile);
-    boolean read = false;
+    FileChannel lockChannel = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    WriteAheadLog opened = new WriteAheadLog(folder, lockChannel);
+    boolean loaded = false;
     try {
       if (opened.lock()) {
-        opened.read(reader);
-        read = true;
+        opened.load(handler);
+        loaded = true;
       }
     } finally {
-      if (!read) {
+      if (!loaded) {
         opened.close();
       }
     }
-    return read ? opened : null;
+    return loaded ? opened : null;
   }
 
   private boolean lock() throws IOException {
     try {
-      FileLock lock = lockFile.tryLock();
+      FileLock lock = lockChannel.tryLock();
       return lock != null;
     } catch (OverlappingFileLockException e) {
       // Held in this very process.
@@ -78,72 +78,72 @@
   }
 
   /** Bytes that were cut off the log when it was read. */
-  long tornBytes() {
-    return torn;
+  long truncatedBytes() {
+    return truncatedBytes;
   }
 
   /** Records in the log, without the snapshot's. */
   long records() {
-    return records;
+    return recordCount;
   }
 
   /** Whether the log's end is known; if not, the folder has to be opened anew. */
-  boolean isSound() {
-    return sound;
+  boolean isEndKnown() {
+    return endKnown;
   }
 
   /** Writes the records behind all others; returns when the disk has them. Of a failed write nothing stays. */
-  void append(List<byte[]> more) throws IOException {
-    ByteBuffer bytes = framed(more);
+  void append(List<byte[]> newRecords) throws IOException {
+    ByteBuffer bytes = frame(newRecords);
     try {
-      writeAll(log, bytes, end);
-      log.force(false);
-      end += bytes.limit();
-      records += more.size();
+      writeAll(logChannel, bytes, logLength);
+      logChannel.force(false);
+      logLength += bytes.limit();
+      recordCount += newRecords.size();
     } catch (IOException e) {
-      cutBack();
+      undoFailedWrite();
       throw e;
     }
   }
 
   /** Guards against a later, shorter write leaving the rest of a failed one behind it. */
-  private void cutBack() {
+  private void undoFailedWrite() {
     try {
-      log.truncate(end);
-      log.force(false);
+      logChannel.truncate(logLength);
+      logChannel.force(false);
     } catch (IOException e) {
-      sound = false;
+      endKnown = false;
     }
   }
 
   /** Begins a new log behind a snapshot of these records, and removes what is older. */
-  void begin(List<byte[]> all) throws IOException {
-    long next = generation + 1;
-    Path fresh = folder.resolve("snapshot.new");
-    try (FileChannel file = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
+  void writeSnapshot(List<byte[]> snapshotRecords) throws IOException {
+    long nextGeneration = generation + 1;
+    Path newSnapshot = folder.resolve("snapshot.new");
+    try (FileChannel file = FileChannel.open(newSnapshot, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
         StandardOpenOption.WRITE)) {
-      List<byte[]> withEnd = new ArrayList<>(all);
-      withEnd.add(new byte[0]);
-      writeAll(file, framed(withEnd), 0);
+      List<byte[]> withTerminator = new ArrayList<>(snapshotRecords);
+      withTerminator.add(new byte[0]);
+      writeAll(file, frame(withTerminator), 0);
       file.force(true);
     }
-    FileChannel nextLog = FileChannel.open(path("log", next), StandardOpenOption.CREATE,
+    FileChannel nextLog = FileChannel.open(path("log", nextGeneration), StandardOpenOption.CREATE,
         StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
     nextLog.force(true);
-    Files.move(fresh, path("snapshot", next), StandardCopyOption.ATOMIC_MOVE);
-    forceFolder();
-    log.close();
-    log = nextLog;
-    generation = next;
-    end = 0;
-    records = 0;
-    removeOlder();
+    Files.move(newSnapshot, path("snapshot", nextGeneration), StandardCopyOption.ATOMIC_MOVE);
+    syncFolder();
+    logChannel.close();
+    logChannel = nextLog;
+    generation = nextGeneration;
+    logLength = 0;
+    recordCount = 0;
+    deleteOlderFiles();
   }
 
-  private static ByteBuffer framed(List<byte[]> records) {
+  private static ByteBuffer frame(List<byte[]> records) {
     int size = 0;
     for (byte[] record : records) {
-      size += HEADER + record.length;
+      size += HEADER_BYTES + record.length;
     }
     ByteBuffer bytes = ByteBuffer.allocate(size);
     for (byte[] record : records) {
@@ -160,75 +160,75 @@
     return (int) crc.getValue();
   }
 
-  private static void writeAll(FileChannel file, ByteBuffer bytes, long from) throws IOException {
+  private static void writeAll(FileChannel file, ByteBuffer bytes, long position) throws IOException {
     while (bytes.hasRemaining()) {
-      file.write(bytes, from + bytes.position());
+      file.write(bytes, position + bytes.position());
     }
   }
 
-  private void read(Reader reader) throws IOException {
+  private void load(RecordHandler handler) throws IOException {
     generation = highestSnapshot();
     if (generation > 0) {
       byte[] bytes = Files.readAllBytes(path("snapshot", generation));
-      if (records(bytes, reader) != bytes.length) {
+      if (records(bytes, handler) != bytes.length) {
         throw new IOException(path("snapshot", generation) + " is damaged; move the folder away to begin without it");
       }
     }
-    log = FileChannel.open(path("log", generation), StandardOpenOption.CREATE, StandardOpenOption.READ,
+    logChannel = FileChannel.open(path("log", generation), StandardOpenOption.CREATE, StandardOpenOption.READ,
         StandardOpenOption.WRITE);
     byte[] bytes = Files.readAllBytes(path("log", generation));
-    end = records(bytes, record -> {
-      reader.read(record);
-      records++;
+    logLength = records(bytes, record -> {
+      handler.handle(record);
+      recordCount++;
     });
-    torn = bytes.length - end;
-    if (torn > 0) {
-      log.truncate(end);
-      log.force(true);
+    truncatedBytes = bytes.length - logLength;
+    if (truncatedBytes > 0) {
+      logChannel.truncate(logLength);
+      logChannel.force(true);
     }
-    removeOlder();
-    forceFolder();
+    deleteOlderFiles();
+    syncFolder();
   }
 
   /** Reads records up to the first that is not whole; returns where that begins. An empty one is the end. */
-  private static int records(byte[] bytes, Reader reader) throws IOException {
-    ByteBuffer in = ByteBuffer.wrap(bytes);
-    while (in.remaining() >= HEADER) {
-      int from = in.position();
-      int length = in.getInt();
-      int checksum = in.getInt();
-      if (length < 0 || length > LONGEST || length > in.remaining()) {
-        return from;
+  private static int records(byte[] bytes, RecordHandler handler) throws IOException {
+    ByteBuffer input = ByteBuffer.wrap(bytes);
+    while (input.remaining() >= HEADER_BYTES) {
+      int recordStart = input.position();
+      int length = input.getInt();
+      int checksum = input.getInt();
+      if (length < 0 || length > MAX_RECORD_BYTES || length > input.remaining()) {
+        return recordStart;
       }
       byte[] record = new byte[length];
-      in.get(record);
+      input.get(record);
       if (checksum(record) != checksum) {
-        return from;
+        return recordStart;
       }
       if (length == 0) {
-        return in.position();
+        return input.position();
       }
-      reader.read(record);
+      handler.handle(record);
     }
-    return in.position();
+    return input.position();
   }
 
   private long highestSnapshot() throws IOException {
-    return files().filter(name -> name.group(1).equals("snapshot")).mapToLong(name -> Long.parseLong(name.group(2)))
+    return listFiles().filter(name -> name.group(1).equals("snapshot")).mapToLong(name -> Long.parseLong(name.group(2)))
         .max().orElse(0);
   }
 
-  private void removeOlder() throws IOException {
-    for (Matcher name : files().toList()) {
+  private void deleteOlderFiles() throws IOException {
+    for (Matcher name : listFiles().toList()) {
       if (Long.parseLong(name.group(2)) < generation) {
         Files.deleteIfExists(folder.resolve(name.group()));
       }
     }
   }
 
-  private Stream<Matcher> files() throws IOException {
+  private Stream<Matcher> listFiles() throws IOException {
     try (Stream<Path> paths = Files.list(folder)) {
-      return paths.map(path -> NAME.matcher(path.getFileName().toString())).filter(Matcher::matches).toList().stream();
+      return paths.map(path -> FILE_NAME.matcher(path.getFileName().toString())).filter(Matcher::matches).toList().stream();
     }
   }
 
@@ -237,7 +237,7 @@
   }
 
   /** A rename is on disk only when its folder is. */
-  private void forceFolder() throws IOException {
+  private void syncFolder() throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
     }
@@ -246,14 +246,14 @@
   /** Gives the folder up for other processes. */
   @Override
   public void close() {
-    for (FileChannel channel : new FileChannel[] {log, lockFile}) {
+    for (FileChannel channel : new FileChannel[] {logChannel, lockChannel}) {
       try {
         if (channel != null) {
           channel.close();
         }
       } catch (IOException e) {
         // All that was answered is on disk already.
-        sound = false;
+        endKnown = false;
       }
     }
   }
--- a/proxy/src/main/java/lemondeal/cli/CheckConfig.java
+++ b/proxy/src/main/java/lemondeal/cli/CheckConfig.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import lemondeal.operator.KeyFile;
-import lemondeal.operator.Operator;
+import lemondeal.operator.OperatorConfig;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -23,9 +23,9 @@
 
   @Override
   public Integer call() {
-    Operator operator = Operator.read(file);
+    OperatorConfig operator = OperatorConfig.read(file);
     if (operator.resume() != null) {
-      KeyFile.read(operator.resume().keys());
+      KeyFile.read(operator.resume().keyFile());
     }
     spec.commandLine().getOut().println(file + ": can be used");
     return CommandLine.ExitCode.OK;
--- a/proxy/src/main/java/lemondeal/cli/CompilePolicy.java
+++ b/proxy/src/main/java/lemondeal/cli/CompilePolicy.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import lemondeal.failover.Measured;
+import lemondeal.failover.Measurements;
 import lemondeal.failover.Plan;
 import lemondeal.failover.PlanCodec;
 import lemondeal.failover.PolicyCompiler;
@@ -30,7 +30,7 @@
 
   @Override
   public Integer call() throws IOException {
-    Plan plan = PolicyCompiler.compile(file, Measured.NONE);
+    Plan plan = PolicyCompiler.compile(file, Measurements.NONE);
     if (out != null) {
       Files.write(out, PlanCodec.encode(plan));
     }
--- a/proxy/src/main/java/lemondeal/cli/KeysCommand.java
+++ b/proxy/src/main/java/lemondeal/cli/KeysCommand.java
@@ -22,8 +22,8 @@
 @Command(name = "keys", mixinStandardHelpOptions = true,
     description = "Make and rotate the keys of resume tokens. Proxies take a changed file over on SIGHUP.")
 final class KeysCommand implements Runnable {
-  private static final DateTimeFormatter ID = DateTimeFormatter.ofPattern("'k'yyyyMMddHHmmss").withZone(ZoneOffset.UTC);
-  private static final String FILE = "The key file.";
+  private static final DateTimeFormatter ID_FORMAT = DateTimeFormatter.ofPattern("'k'yyyyMMddHHmmss").withZone(ZoneOffset.UTC);
+  private static final String FILE_DESCRIPTION = "The key file.";
 
   @Spec
   private CommandSpec spec;
@@ -38,11 +38,11 @@
   }
 
   private static String newId(String given) {
-    return given != null ? given : ID.format(Instant.now());
+    return given != null ? given : ID_FORMAT.format(Instant.now());
   }
 
   @Command(name = "make", mixinStandardHelpOptions = true, description = "Make a file with one new key.")
-  void make(@Parameters(paramLabel = "FILE", description = FILE) Path file,
+  void make(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
       @Option(names = "--id", description = "The key's id; the time where it is not given.") String id) throws IOException {
     if (Files.exists(file)) {
       throw new IllegalArgumentException(file + " is there already; 'keys rotate' puts a new key into it");
@@ -53,44 +53,44 @@
 
   @Command(name = "add", mixinStandardHelpOptions = true,
       description = "Add a new key that is accepted but not used yet: the first step where several proxies share keys.")
-  void add(@Parameters(paramLabel = "FILE", description = FILE) Path file,
+  void add(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
       @Option(names = "--id", description = "The key's id; the time where it is not given.") String id) throws IOException {
-    write(file, KeyFile.read(file).with(KeyFile.newKey(newId(id))));
+    write(file, KeyFile.read(file).withKey(KeyFile.newKey(newId(id))));
   }
 
   @Command(name = "use", mixinStandardHelpOptions = true,
       description = "Make tokens with this key from now on: the second step, once all proxies accept it.")
-  void use(@Parameters(index = "0", paramLabel = "FILE", description = FILE) Path file,
+  void use(@Parameters(index = "0", paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
       @Parameters(index = "1", paramLabel = "ID", description = "The key's id.") String id) throws IOException {
-    write(file, KeyFile.read(file).using(id));
+    write(file, KeyFile.read(file).withPresentKey(id));
   }
 
   @Command(name = "drop", mixinStandardHelpOptions = true,
       description = "Accept this key no more: the last step, once the tokens made with it have expired.")
-  void drop(@Parameters(index = "0", paramLabel = "FILE", description = FILE) Path file,
+  void drop(@Parameters(index = "0", paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
       @Parameters(index = "1", paramLabel = "ID", description = "The key's id.") String id) throws IOException {
-    write(file, KeyFile.read(file).without(id));
+    write(file, KeyFile.read(file).withoutKey(id));
   }
 
   @Command(name = "rotate", mixinStandardHelpOptions = true,
       description = "Add a new key and use it at once, and keep the latest others: for a single proxy.")
-  void rotate(@Parameters(paramLabel = "FILE", description = FILE) Path file,
+  void rotate(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
       @Option(names = "--id", description = "The key's id; the time where it is not given.") String id,
       @Option(names = "--keep", defaultValue = "2", description = "How many others stay accepted (${DEFAULT-VALUE}).")
       int keep) throws IOException {
     Key key = KeyFile.newKey(newId(id));
-    KeyRing ring = KeyFile.read(file).with(key).using(key.id());
+    KeyRing ring = KeyFile.read(file).withKey(key).withPresentKey(key.id());
     while (ring.keys().size() > Math.max(0, keep) + 1) {
-      ring = ring.without(ring.keys().get(0).id());
+      ring = ring.withoutKey(ring.keys().get(0).id());
     }
     write(file, ring);
   }
 
   @Command(name = "list", mixinStandardHelpOptions = true, description = "List ids, times and which key is the present one.")
-  void list(@Parameters(paramLabel = "FILE", description = FILE) Path file) {
+  void list(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file) {
     KeyRing ring = KeyFile.read(file);
     for (Key key : ring.keys()) {
-      out().println(key.id() + "  made " + key.made() + (key.id().equals(ring.present()) ? "  present" : ""));
+      out().println(key.id() + "  made " + key.createdAt() + (key.id().equals(ring.presentId()) ? "  present" : ""));
     }
   }
 
--- a/proxy/src/main/java/lemondeal/cli/Lemondeal.java
+++ b/proxy/src/main/java/lemondeal/cli/Lemondeal.java
@@ -17,7 +17,7 @@
     description = "A proxy for long-lived connections, and the commands that go with it.",
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {"0:done", "1:failed", "2:bad use or bad input, told in a line for each fault"},
-    subcommands = {Lemondeal.ServeCommand.class, Lemondeal.Benchlink.class, CheckConfig.class, KeysCommand.class,
+    subcommands = {Lemondeal.ServeCommand.class, Lemondeal.BenchlinkCommand.class, CheckConfig.class, KeysCommand.class,
         TokenCommand.class, CompilePolicy.class, AutoComplete.GenerateCompletion.class, CommandLine.HelpCommand.class})
 public final class Lemondeal implements Runnable {
   @Spec
@@ -25,26 +25,26 @@
 
   /** Runs the command; the program is to end with what comes back, unless that is {@link Main#GOES_ON}. */
   public static int run(String[] args) {
-    CommandLine line = new CommandLine(new Lemondeal());
-    line.setParameterExceptionHandler(Lemondeal::badUse);
-    line.setExecutionExceptionHandler(Lemondeal::failed);
-    return line.execute(args);
+    CommandLine commandLine = new CommandLine(new Lemondeal());
+    commandLine.setParameterExceptionHandler(Lemondeal::usageError);
+    commandLine.setExecutionExceptionHandler(Lemondeal::executionError);
+    return commandLine.execute(args);
   }
 
   /** One clear line; the usage is there for whoever asks with --help. */
-  private static int badUse(ParameterException e, String[] args) {
-    CommandLine at = e.getCommandLine();
-    at.getErr().println("lemondeal: " + e.getMessage().replace('\n', ' ') + " ('" + at.getCommandSpec().qualifiedName()
+  private static int usageError(ParameterException e, String[] args) {
+    CommandLine command = e.getCommandLine();
+    command.getErr().println("lemondeal: " + e.getMessage().replace('\n', ' ') + " ('" + command.getCommandSpec().qualifiedName()
         + " --help' tells more)");
     return CommandLine.ExitCode.USAGE;
   }
 
-  private static int failed(Exception e, CommandLine at, CommandLine.ParseResult parsed) {
+  private static int executionError(Exception e, CommandLine command, CommandLine.ParseResult parsed) {
     for (String line : String.valueOf(e.getMessage()).split("\n")) {
-      at.getErr().println("lemondeal: " + line);
+      command.getErr().println("lemondeal: " + line);
     }
-    boolean input = e instanceof lemondeal.operator.FileFaults || e instanceof IllegalArgumentException;
-    return input ? CommandLine.ExitCode.USAGE : CommandLine.ExitCode.SOFTWARE;
+    boolean invalidInput = e instanceof lemondeal.operator.InvalidFileException || e instanceof IllegalArgumentException;
+    return invalidInput ? CommandLine.ExitCode.USAGE : CommandLine.ExitCode.SOFTWARE;
   }
 
   @Override
@@ -79,7 +79,7 @@
   /** {@code benchlink}. */
   @Command(name = "benchlink", mixinStandardHelpOptions = true,
       description = "Host the decision module on the simulator's wire, on standard input and output.")
-  static final class Benchlink implements java.util.concurrent.Callable<Integer> {
+  static final class BenchlinkCommand implements java.util.concurrent.Callable<Integer> {
     @Override
     public Integer call() throws java.io.IOException {
       return lemondeal.benchlink.SimulatorHost.host();
--- a/proxy/src/main/java/lemondeal/cli/TokenCommand.java
+++ b/proxy/src/main/java/lemondeal/cli/TokenCommand.java
@@ -34,16 +34,16 @@
     String line = in.readLine();
     PrintWriter out = spec.commandLine().getOut();
     try {
-      Token token = new TokenCodec().read(line == null ? "" : line.trim(), KeyFile.read(keys));
+      Token token = new TokenCodec().decode(line == null ? "" : line.trim(), KeyFile.read(keys));
       out.println("session     " + token.session());
       out.println("epoch       " + token.epoch());
       out.println("class       " + token.className());
-      out.println("group       " + (token.group().isEmpty() ? "none" : "digest " + token.group()));
-      out.println("to client   " + token.toClient() + " lines");
-      out.println("from client " + token.fromClient() + " lines acknowledged");
+      out.println("group       " + (token.groupDigest().isEmpty() ? "none" : "digest " + token.groupDigest()));
+      out.println("to client   " + token.linesToClient() + " lines");
+      out.println("from client " + token.acknowledgedLines() + " lines acknowledged");
       out.println("server      " + token.server());
-      out.println("issued      " + Instant.ofEpochMilli(token.issued()));
-      out.println("expires     " + Instant.ofEpochMilli(token.expires()));
+      out.println("issued      " + Instant.ofEpochMilli(token.issuedAt()));
+      out.println("expires     " + Instant.ofEpochMilli(token.expiresAt()));
       return CommandLine.ExitCode.OK;
     } catch (TokenException e) {
       spec.commandLine().getErr().println("lemondeal: standard input: " + e.getMessage() + "; allowed: a token made with "
