--- a/proxy/src/test/java/lemondeal/failover/CompilerTest.java
+++ b/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
@@ -11,48 +11,48 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import lemondeal.operator.FileFaults;
+import lemondeal.operator.InvalidFileException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a plan says for a failure, and which files are none. */
-class CompilerTest {
+class PolicyCompilerTest {
   @TempDir
   Path folder;
 
-  private static Policies three() {
-    Policies policy = new Policies().zone("hobart", "south", 40, 50, "").zone("launceston", "north", 30, 60, "")
+  private static PolicyFileBuilder threeZones() {
+    PolicyFileBuilder policy = new PolicyFileBuilder().zone("hobart", "south", 40, 50, "").zone("launceston", "north", 30, 60, "")
         .zone("devonport", "north", 20, 60, "");
     return policy.set(policy.regions, "south", "{helped_by: [{north: 1}]}")
         .set(policy.regions, "north", "{helped_by: [{south: 1}]}").set(policy.survive, "any_zone", true);
   }
 
   private static Map<String, Integer> weights(Plan plan, String origin, String... failed) {
-    return plan.weights(plan.of(List.of(failed)).orElseThrow(), origin);
+    return plan.weights(plan.findCase(List.of(failed)).orElseThrow(), origin);
   }
 
   private List<String> faults(String text) throws IOException {
     Path file = Files.writeString(folder.resolve("bad.yaml"), text);
-    return assertThrows(FileFaults.class, () -> PolicyCompiler.compile(file, Measured.NONE)).getMessage().lines()
+    return assertThrows(InvalidFileException.class, () -> PolicyCompiler.compile(file, Measurements.NONE)).getMessage().lines()
         .map(line -> line.substring(line.indexOf("bad.yaml"))).toList();
   }
 
-  private List<String> faults(Policies policy) throws IOException {
+  private List<String> faults(PolicyFileBuilder policy) throws IOException {
     return faults(policy.text(new Random(1)));
   }
 
   @Test
-  void theExampleHolds() {
-    Plan plan = PolicyCompiler.compile(Path.of("../deploy/failover.example.yaml"), Measured.NONE);
+  void exampleIsFeasible() {
+    Plan plan = PolicyCompiler.compile(Path.of("../deploy/failover.example.yaml"), Measurements.NONE);
     assertEquals(10, plan.cases().size());
     assertEquals(Map.of("hobart", 10_000), weights(plan, "hobart"));
     assertEquals(Map.of("devonport", 6667, "hobart", 3333), weights(plan, "launceston", "launceston"));
-    assertTrue(plan.of(List.of("hobart", "kingston", "devonport")).isEmpty());
+    assertTrue(plan.findCase(List.of("hobart", "kingston", "devonport")).isEmpty());
   }
 
   @Test
-  void onlyWhatIsLostMoves() throws IOException {
-    Plan plan = three().compile(folder);
+  void onlyLostLoadMoves() throws IOException {
+    Plan plan = threeZones().compile(folder);
     assertEquals(Map.of("devonport", 5000, "launceston", 5000), weights(plan, "hobart", "hobart"));
     assertEquals(Map.of("launceston", 10_000), weights(plan, "launceston", "hobart"));
     // Its own region goes first, as far as it can bear it.
@@ -60,9 +60,9 @@
   }
 
   @Test
-  void othersMoveOnlyWhereNothingElseFits() throws IOException {
+  void otherLoadMovesOnlyWhereNothingElseFits() throws IOException {
     // a can go to b alone, which is full of its own, a part of which c can take.
-    Policies policy = new Policies().zone("a", "r", 6, 6, ", served_by: [{a: 1}, {b: 1}]")
+    PolicyFileBuilder policy = new PolicyFileBuilder().zone("a", "r", 6, 6, ", served_by: [{a: 1}, {b: 1}]")
         .zone("b", "r", 6, 8, ", served_by: [{b: 1}, {c: 1}]").zone("c", "r", 0, 6, ", served_by: [{c: 1}]");
     Plan plan = policy.set(policy.survive, "together", "[[a]]").compile(folder);
     assertEquals(Map.of("b", 10_000), weights(plan, "a", "a"));
@@ -70,21 +70,21 @@
   }
 
   @Test
-  void sameBytesWhateverTheOrder() throws IOException {
-    byte[] bytes = PlanCodec.encode(three().compile(folder));
+  void outputIsIndependentOfTheFilesOrder() throws IOException {
+    byte[] bytes = PlanCodec.encode(threeZones().compile(folder));
     for (int seed = 2; seed < 12; seed++) {
-      Path file = Files.writeString(folder.resolve("shuffled.yaml"), three().text(new Random(seed)));
-      assertArrayEquals(bytes, PlanCodec.encode(PolicyCompiler.compile(file, Measured.NONE)));
+      Path file = Files.writeString(folder.resolve("shuffled.yaml"), threeZones().text(new Random(seed)));
+      assertArrayEquals(bytes, PlanCodec.encode(PolicyCompiler.compile(file, Measurements.NONE)));
     }
   }
 
   /** Also where much is tied: equal zones and weights, bounds met to the last digit, others that must make room. */
   @Test
-  void sameBytesWhereMuchIsTied() throws IOException {
-    int held = 0;
+  void outputIsDeterministicWithTies() throws IOException {
+    int feasible = 0;
     for (int seed = 0; seed < 60; seed++) {
       Random random = new Random(seed);
-      Policies policy = new Policies();
+      PolicyFileBuilder policy = new PolicyFileBuilder();
       int zones = 3 + random.nextInt(6);
       for (int i = 0; i < zones; i++) {
         policy.zone("z" + i, "r" + random.nextInt(3), 1 + random.nextInt(3), 2 + random.nextInt(4), "");
@@ -98,40 +98,40 @@
       for (int order = 0; order < results.length; order++) {
         Path file = Files.writeString(folder.resolve("tied.yaml"), policy.text(new Random(order)));
         try {
-          results[order] = PlanCodec.digest(PolicyCompiler.compile(file, Measured.NONE));
-        } catch (FileFaults e) {
+          results[order] = PlanCodec.digest(PolicyCompiler.compile(file, Measurements.NONE));
+        } catch (InvalidFileException e) {
           results[order] = e.getMessage().replaceAll("(?m)^.*?yaml:[0-9]+:[0-9]+|line [0-9]+", "");
         }
         assertEquals(results[0], results[order], "seed " + seed);
       }
-      held += results[0].length() == 64 ? 1 : 0;
+      feasible += results[0].length() == 64 ? 1 : 0;
     }
-    assertTrue(held > 10 && held < 60, held + " of 60 hold");
+    assertTrue(feasible > 10 && feasible < 60, feasible + " of 60 hold");
   }
 
   /** The sums of the issue: what the two that are left can bear. */
-  private static Policies tight() {
-    Policies policy = new Policies().zone("hobart", "south", 40, 60, "").zone("launceston", "north", 30, 40, "")
+  private static PolicyFileBuilder tightPolicy() {
+    PolicyFileBuilder policy = new PolicyFileBuilder().zone("hobart", "south", 40, 60, "").zone("launceston", "north", 30, 40, "")
         .zone("devonport", "north", 27, 44, "");
     return policy.set(policy.regions, "south", "{helped_by: [{north: 1}]}")
         .set(policy.regions, "north", "{helped_by: [{south: 1}]}").set(policy.survive, "together", "[[hobart]]");
   }
 
   @Test
-  void aRefusalTellsTheSumsAndTheLeastChange() throws IOException {
-    List<String> faults = faults(tight());
+  void infeasiblePolicyReportsSumsAndLeastChange() throws IOException {
+    List<String> faults = faults(tightPolicy());
     assertTrue(faults.get(0).contains(": if hobart fails, devonport and launceston bear 84 of 97 (the demand of "
         + "devonport, hobart and launceston); binding: capacity of devonport (44 usable of 44, line "), faults.get(0));
     // Sorted by name, devonport takes what either could.
     assertTrue(faults.get(1).endsWith(": the least change: zones.devonport.capacity 57 instead of 44"), faults.get(1));
     assertEquals(2, faults.size(), faults::toString);
-    tight().zone("devonport", "north", 27, 57, "").compile(folder);
-    faults(tight().zone("devonport", "north", 27, 56.99, ""));
+    tightPolicy().zone("devonport", "north", 27, 57, "").compile(folder);
+    faults(tightPolicy().zone("devonport", "north", 27, 56.99, ""));
   }
 
   @Test
-  void lessHeadroomOrMoreCrossingWhereThatIsEnough() throws IOException {
-    Policies policy = tight();
+  void lessHeadroomOrMoreCrossingIsSuggestedWhereSufficient() throws IOException {
+    PolicyFileBuilder policy = tightPolicy();
     policy.zone("devonport", "north", 27, 60, "").set(policy.top, "headroom", 0.1);
     List<String> faults = faults(policy);
     assertTrue(faults.get(0).contains("bear 90 of 97"), faults.get(0));
@@ -150,8 +150,8 @@
   }
 
   @Test
-  void aRegionNobodyMayHelpIsTold() throws IOException {
-    Policies policy = three();
+  void regionWithoutHelpersIsReported() throws IOException {
+    PolicyFileBuilder policy = threeZones();
     policy.set(policy.regions, "south", "{}");
     List<String> faults = faults(policy);
     assertTrue(faults.get(0).contains("if hobart fails, nobody may help: 0 of 40 (the demand of hobart)"),
@@ -161,7 +161,7 @@
 
   @Test
   void zeroCapacityAndZeroDemand() throws IOException {
-    Policies policy = three();
+    PolicyFileBuilder policy = threeZones();
     policy.zone("edge", "south", 5, 0, "").zone("spare", "south", 0, 50, "");
     Plan plan = policy.compile(folder);
     assertEquals(Map.of("spare", 5000, "hobart", 5000), weights(plan, "edge"));
@@ -174,8 +174,8 @@
   }
 
   @Test
-  void aCycleOfHelpersHelpsOneStepFar() throws IOException {
-    Policies policy = new Policies().zone("a", "r", 4, 8, ", served_by: [{a: 1}, {b: 1}]")
+  void cyclicHelpersAreUsedOneStepDeep() throws IOException {
+    PolicyFileBuilder policy = new PolicyFileBuilder().zone("a", "r", 4, 8, ", served_by: [{a: 1}, {b: 1}]")
         .zone("b", "r", 4, 8, ", served_by: [{b: 1}, {c: 1}]").zone("c", "r", 4, 8, ", served_by: [{c: 1}, {a: 1}]");
     Plan plan = policy.set(policy.survive, "any_zone", true).compile(folder);
     assertEquals(Map.of("a", 10_000), weights(plan, "c", "c"));
@@ -184,18 +184,18 @@
   }
 
   @Test
-  void measuredAboveItsFloorOnly() throws IOException {
-    Policies policy = tight().zone("devonport", "north", 27, "{measured: true, floor: 44}", "");
+  void measurementIsUsedOnlyAboveItsFloor() throws IOException {
+    PolicyFileBuilder policy = tightPolicy().zone("devonport", "north", 27, "{measured: true, floor: 44}", "");
     Path file = policy.write(folder);
-    for (double useless : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -5, 43}) {
-      Measured measured = new Measured(Map.of(), Map.of("devonport", useless));
-      assertThrows(FileFaults.class, () -> PolicyCompiler.compile(file, measured));
+    for (double unusable : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -5, 43}) {
+      Measurements measurements = new Measurements(Map.of(), Map.of("devonport", unusable));
+      assertThrows(InvalidFileException.class, () -> PolicyCompiler.compile(file, measurements));
     }
-    PolicyCompiler.compile(file, new Measured(Map.of(), Map.of("devonport", 57.0, "hobart", 1.0)));
+    PolicyCompiler.compile(file, new Measurements(Map.of(), Map.of("devonport", 57.0, "hobart", 1.0)));
   }
 
   @Test
-  void contradictionsAreToldWithTheirPlaces() throws IOException {
+  void contradictionsAreReportedWithTheirLocations() throws IOException {
     List<String> faults = faults("""
         version: 1
         fleet: f
@@ -215,7 +215,7 @@
         "bad.yaml:8:56: zones.a.served_by: the weights of this step sum to nothing; one must be above 0",
         "bad.yaml:8:71: zones.a.served_by: nothing is called 'nobody'; allowed: a, b",
         "bad.yaml:9:15: zones.b.region: no region is called 'nowhere'; allowed: empty, r"), faults);
-    Policies policy = three();
+    PolicyFileBuilder policy = threeZones();
     assertTrue(faults(policy.set(policy.survive, "any", "[{count: 4}]")).get(0).contains("4 of 3 zones"));
     assertTrue(faults(policy.set(policy.survive, "any", "[{count: 1, of: [x]}]")).get(0).contains("called 'x'"));
     policy.zone("hobart", "south", 1.2345, 50, "");
@@ -223,8 +223,8 @@
   }
 
   @Test
-  void weightsAreWholeAndSumUp() throws IOException {
-    Policies policy = new Policies().zone("a", "r", 1, 0, ", served_by: [{b: 1, c: 1, d: 1}]")
+  void weightsAreIntegersAndSumToFullWeight() throws IOException {
+    PolicyFileBuilder policy = new PolicyFileBuilder().zone("a", "r", 1, 0, ", served_by: [{b: 1, c: 1, d: 1}]")
         .zone("b", "r", 0, 0.334, "").zone("c", "r", 0, 0.334, "").zone("d", "r", 0, 0.334, "");
     assertEquals(Map.of("b", 3334, "c", 3333, "d", 3333), weights(policy.compile(folder), "a"));
   }
--- a/proxy/src/test/java/lemondeal/failover/Policies.java
+++ b/proxy/src/test/java/lemondeal/failover/PolicyFileBuilder.java
@@ -11,21 +11,21 @@
 import java.util.TreeMap;
 
 /** A policy's file, put together by tests: its parts can be written in any order, and changed. */
-final class Policies {
+final class PolicyFileBuilder {
   final Map<String, String> top = new TreeMap<>(Map.of("version", "1", "fleet", "f", "policy", "1"));
   final Map<String, String> regions = new TreeMap<>();
   final Map<String, String> zones = new TreeMap<>();
   final Map<String, String> survive = new TreeMap<>();
 
   /** @param rest what stands behind demand and capacity, such as {@code , served_by: [...]}, or nothing */
-  Policies zone(String name, String region, Object demand, Object capacity, String rest) {
+  PolicyFileBuilder zone(String name, String region, Object demand, Object capacity, String extraKeys) {
     regions.putIfAbsent(region, "{}");
-    zones.put(name, "{region: " + region + ", demand: " + demand + ", capacity: " + capacity + rest + "}");
+    zones.put(name, "{region: " + region + ", demand: " + demand + ", capacity: " + capacity + extraKeys + "}");
     return this;
   }
 
-  Policies set(Map<String, String> where, String key, Object value) {
-    where.put(key, value.toString());
+  PolicyFileBuilder set(Map<String, String> section, String key, Object value) {
+    section.put(key, value.toString());
     return this;
   }
 
@@ -51,6 +51,6 @@
   }
 
   Plan compile(Path folder) throws IOException {
-    return PolicyCompiler.compile(write(folder), Measured.NONE);
+    return PolicyCompiler.compile(write(folder), Measurements.NONE);
   }
 }
--- a/proxy/src/test/java/lemondeal/operator/OperatorTest.java
+++ b/proxy/src/test/java/lemondeal/operator/OperatorConfigTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The operator's own file and the key file: what is taken, and what is said of what is not. */
-class OperatorTest {
+class OperatorConfigTest {
   @TempDir
   Path folder;
 
@@ -27,25 +27,25 @@
 
   private List<String> faults(String text) throws IOException {
     Path file = file(text);
-    return assertThrows(FileFaults.class, () -> Operator.read(file)).faults().stream()
-        .map(fault -> fault.line() + ":" + fault.column() + " " + fault.what()).toList();
+    return assertThrows(InvalidFileException.class, () -> OperatorConfig.read(file)).faults().stream()
+        .map(fault -> fault.line() + ":" + fault.column() + " " + fault.message()).toList();
   }
 
   @Test
-  void theExampleCanBeUsedAndItsCommentsTellTheDefaults() throws IOException {
+  void exampleIsValidAndShowsTheDefaults() throws IOException {
     Path example = Path.of("../deploy/operator.example.yaml");
-    Operator operator = Operator.read(example);
-    assertTrue(operator.jsonLog());
-    Operator bare = Operator.read(file("version: 1\nresume: {classes: [order-sync], keys: keys.yaml}\n"));
-    assertEquals(bare.resume().settings(), operator.resume().settings(), "the example shows what holds without it");
-    assertEquals(Operator.ClaimsIn.MEMORY, bare.resume().claims());
-    assertEquals(folder.resolve("keys.yaml"), bare.resume().keys());
-    assertFalse(bare.jsonLog());
+    OperatorConfig config = OperatorConfig.read(example);
+    assertTrue(config.jsonLog());
+    OperatorConfig minimal = OperatorConfig.read(file("version: 1\nresume: {classes: [order-sync], keys: keys.yaml}\n"));
+    assertEquals(minimal.resume().settings(), config.resume().settings(), "the example shows what holds without it");
+    assertEquals(OperatorConfig.ClaimStorage.MEMORY, minimal.resume().claimStorage());
+    assertEquals(folder.resolve("keys.yaml"), minimal.resume().keyFile());
+    assertFalse(minimal.jsonLog());
   }
 
   @Test
-  void timesAndCountsAreRead() throws IOException {
-    Operator operator = Operator.read(file("""
+  void durationsAndCountsAreRead() throws IOException {
+    OperatorConfig config = OperatorConfig.read(file("""
         version: 1
         resume:
           classes: [a, b]
@@ -56,15 +56,15 @@
           window: 9
           claims: {in: disk, folder: claims}
         """));
-    assertEquals(Set.of("a", "b"), operator.resume().settings().classes());
-    assertEquals(120_000, operator.resume().settings().life());
-    assertEquals(250, operator.resume().settings().skew());
-    assertEquals(9, operator.resume().settings().window());
-    assertEquals(folder.resolve("claims"), operator.resume().folder());
+    assertEquals(Set.of("a", "b"), config.resume().settings().classes());
+    assertEquals(120_000, config.resume().settings().tokenLifetimeMillis());
+    assertEquals(250, config.resume().settings().clockSkewMillis());
+    assertEquals(9, config.resume().settings().maxUnacknowledgedLines());
+    assertEquals(folder.resolve("claims"), config.resume().claimsFolder());
   }
 
   @Test
-  void allFaultsAreToldAtOnceEachWithItsPlace() throws IOException {
+  void allFaultsAreReportedAtOnceWithTheirLocations() throws IOException {
     assertEquals(List.of(
         "1:10 version: found 2; allowed: the whole number 1",
         "2:1 the file: unknown key 'logg'; allowed: discovery, fleet, limits, log, resume, version",
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void whatASchemaCannotSayIsCheckedToo() throws IOException {
+  void rulesBeyondTheSchemaAreChecked() throws IOException {
     String start = "version: 1\nresume:\n  classes: [a]\n  keys: k\n";
     assertEquals(List.of("0:0 resume.claims.folder: is missing with in: disk"), faults(start + "  claims: {in: disk}\n"));
     assertEquals(List.of("0:0 resume.claims.store: has no meaning with in: memory"),
@@ -88,19 +88,19 @@
   }
 
   @Test
-  void aFleetsStoreHasOneAddressOrSeveralAndMaySpeakTls() throws IOException {
+  void fleetStoreTakesOneOrSeveralAddressesAndTls() throws IOException {
     String start = "version: 1\nlimits: {rings_mb: 20}\nresume:\n  classes: [a]\n  keys: k\n";
-    Operator one = Operator.read(file(start + "  claims: {in: fleet, store: '10.0.0.1:7000'}\n"));
-    assertEquals(List.of(new java.net.InetSocketAddress("10.0.0.1", 7000)), one.resume().stores());
+    OperatorConfig one = OperatorConfig.read(file(start + "  claims: {in: fleet, store: '10.0.0.1:7000'}\n"));
+    assertEquals(List.of(new java.net.InetSocketAddress("10.0.0.1", 7000)), one.resume().storeAddresses());
     assertEquals(null, one.resume().tls());
-    assertEquals(20, one.ringsMb());
-    Operator several = Operator.read(file(start + """
+    assertEquals(20, one.ringBufferMegabytes());
+    OperatorConfig several = OperatorConfig.read(file(start + """
           claims:
             in: fleet
             store: ['10.0.0.1:7000', '10.0.0.2:7000']
             tls: {authority: ca.pem, certificate: proxy.pem, key: proxy.key, name: claims.example}
         """));
-    assertEquals(2, several.resume().stores().size());
+    assertEquals(2, several.resume().storeAddresses().size());
     assertEquals(new lemondeal.config.TlsFiles(folder.resolve("ca.pem"), folder.resolve("proxy.pem"),
         folder.resolve("proxy.key"), "claims.example"), several.resume().tls());
     assertEquals(List.of("0:0 resume.claims.tls: certificate and key come together; found only certificate"),
@@ -113,8 +113,8 @@
   }
 
   @Test
-  void consulIsReadWithItsMappingAndBounds() throws IOException {
-    Operator operator = Operator.read(file("""
+  void consulSectionIsReadWithMappingAndLimits() throws IOException {
+    OperatorConfig config = OperatorConfig.read(file("""
         version: 1
         discovery:
           consul:
@@ -132,7 +132,7 @@
             damping: {quiet: 3s, most: 90s}
             guard: {most_lost: 0.3, empty: true}
         """));
-    lemondeal.consul.ConsulSettings consul = operator.consul().get(0).settings();
+    lemondeal.consul.ConsulSettings consul = config.consulServices().get(0).settings();
     assertEquals(2, consul.agents().size());
     assertEquals("dc2", consul.datacenter());
     assertEquals(lemondeal.consul.ConsulSettings.Consistency.STALE, consul.consistency());
@@ -145,7 +145,7 @@
     assertEquals(new lemondeal.membership.Damping.Settings(3_000, 90_000, 300_000), consul.damping());
     assertEquals(0.3, consul.guard().maxLostShare());
     assertTrue(consul.guard().acceptEmpty());
-    assertEquals(null, operator.resume());
+    assertEquals(null, config.resume());
     String start = "version: 1\ndiscovery:\n  consul:\n    service: link\n";
     assertEquals(List.of("0:0 discovery.consul.agents: 'consul:8500' is no numeric address:port"),
         faults(start + "    agents: ['consul:8500']\n"));
@@ -163,27 +163,27 @@
   }
 
   @Test
-  void eachClassHasItsServiceWithASavedListOfItsOwn() throws IOException {
+  void eachServiceHasItsClassesAndItsOwnSavedList() throws IOException {
     String start = "version: 1\ndiscovery:\n  consul:\n    agents: ['1.2.3.4:8500']\n";
-    Operator operator = Operator.read(file(start + """
+    OperatorConfig config = OperatorConfig.read(file(start + """
             saved: {file: last.list, most_age: 2h, every: 1s}
             services:
               - {service: link, classes: [chat, order-sync]}
               - {service: feed, classes: [menu-feed], filter: 'Service.Port != 7'}
         """));
-    assertEquals(2, operator.consul().size());
-    assertEquals(List.of("chat", "order-sync"), operator.consul().get(0).classes());
-    assertEquals("feed", operator.consul().get(1).settings().service());
-    assertEquals("Service.Port != 7", operator.consul().get(1).settings().filter());
+    assertEquals(2, config.consulServices().size());
+    assertEquals(List.of("chat", "order-sync"), config.consulServices().get(0).classes());
+    assertEquals("feed", config.consulServices().get(1).settings().service());
+    assertEquals("Service.Port != 7", config.consulServices().get(1).settings().filter());
     assertEquals(new lemondeal.saved.ListFile.Settings(folder.resolve("last.list.feed"), 7_200_000, 1_000),
-        operator.consul().get(1).settings().savedList());
+        config.consulServices().get(1).settings().savedList());
     assertEquals(List.of("0:0 discovery.consul.services: class 'a' stands twice; allowed: each class once",
         "0:0 discovery.consul.services: service 'x' stands twice; allowed: each service once"),
         faults(start + "    services: [{service: x, classes: [a]}, {service: x, classes: [a]}]\n"));
   }
 
   @Test
-  void whatIsNoYamlIsAFaultOfItsPlace() throws IOException {
+  void invalidYamlIsReportedWithItsLocation() throws IOException {
     assertEquals(List.of("2:1 the key 'version' stands here twice"), faults("version: 1\nversion: 1\n"));
     assertTrue(faults("version: [1\nlog: {").get(0).startsWith("2:"), "place of the mistake");
     assertTrue(faults("").get(0).contains("found null"));
@@ -196,7 +196,7 @@
 
   /** Whatever stands in the file: faults or a configuration, and never anything else. */
   @Test
-  void garbageIsFaults() throws IOException {
+  void garbageIsReportedAsFaults() throws IOException {
     Random random = new Random(41);
     String good = "version: 1\nresume:\n  classes: [a]\n  keys: k\n  life: 20s\n  claims: {in: memory}\n";
     for (int round = 0; round < 400; round++) {
@@ -206,42 +206,42 @@
       }
       Path file = file(text.toString());
       try {
-        Operator.read(file);
-      } catch (FileFaults e) {
+        OperatorConfig.read(file);
+      } catch (InvalidFileException e) {
         assertFalse(e.faults().isEmpty());
       }
     }
   }
 
   @Test
-  void keysAreWrittenForTheirOwnerAlone() throws IOException {
+  void keyFileIsReadableByItsOwnerOnly() throws IOException {
     Path file = folder.resolve("keys.yaml");
     KeyRing ring = new KeyRing("a-1", List.of(KeyFile.newKey("a-1"), KeyFile.newKey("b_2")));
     KeyFile.write(file, ring);
     assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(file)));
     KeyRing read = KeyFile.read(file);
-    assertEquals("a-1", read.present());
+    assertEquals("a-1", read.presentId());
     for (int i = 0; i < 2; i++) {
       assertTrue(java.util.Arrays.equals(ring.keys().get(i).secret(), read.keys().get(i).secret()));
-      assertEquals(ring.keys().get(i).made(), read.keys().get(i).made());
+      assertEquals(ring.keys().get(i).createdAt(), read.keys().get(i).createdAt());
     }
-    KeyFile.write(file, ring.using("b_2"));
-    assertEquals("b_2", KeyFile.read(file).present(), "replaced as a whole");
-    for (String open : List.of("rw-r-----", "rw----r--", "rwx------")) {
-      Files.setPosixFilePermissions(file, PosixFilePermissions.fromString(open));
-      assertTrue(assertThrows(FileFaults.class, () -> KeyFile.read(file)).getMessage().contains(open));
+    KeyFile.write(file, ring.withPresentKey("b_2"));
+    assertEquals("b_2", KeyFile.read(file).presentId(), "replaced as a whole");
+    for (String permissions : List.of("rw-r-----", "rw----r--", "rwx------")) {
+      Files.setPosixFilePermissions(file, PosixFilePermissions.fromString(permissions));
+      assertTrue(assertThrows(InvalidFileException.class, () -> KeyFile.read(file)).getMessage().contains(permissions));
     }
   }
 
   /** A secret with one wrong character is nearly one. */
   @Test
-  void faultsOfAKeyFileShowNothingOfIt() throws IOException {
+  void faultsOfAKeyFileShowNoSecret() throws IOException {
     Path file = folder.resolve("keys.yaml");
     KeyFile.write(file, new KeyRing("a", List.of(KeyFile.newKey("a"))));
     String text = Files.readString(file);
     String secret = text.replaceAll("(?s).*secret: \"(.{40}).*", "$1");
     Files.writeString(file, text.replace(secret, secret + "?"));
-    String message = assertThrows(FileFaults.class, () -> KeyFile.read(file)).getMessage();
+    String message = assertThrows(InvalidFileException.class, () -> KeyFile.read(file)).getMessage();
     assertFalse(message.contains(secret.substring(0, 8)), message);
     assertTrue(message.contains("6:13: keys[0].secret: allowed: 44 characters"), message);
   }
@@ -255,13 +255,13 @@
       """;
 
   @Test
-  void theFleetIsReadAndWhatIsLeftOutHasItsDefault() throws IOException {
-    Operator.Fleet fleet = Operator.read(file(FLEET)).fleet();
+  void fleetSectionIsReadWithDefaults() throws IOException {
+    OperatorConfig.Fleet fleet = OperatorConfig.read(file(FLEET)).fleet();
     assertEquals(2_000, fleet.settings().ttlMillis());
     assertEquals(200, fleet.settings().sendIntervalMillis());
     assertEquals("b", fleet.settings().roster().member("p-2").zone());
     assertTrue(fleet.fault("refused").toString().endsWith("operator.yaml:2:1: refused"), fleet.fault("").toString());
-    Operator.Fleet other = Operator.read(file(FLEET + "  name: p-2\n  listen: 127.0.0.1:7900\n  life: 9s\n  tell: 1s\n")).fleet();
+    OperatorConfig.Fleet other = OperatorConfig.read(file(FLEET + "  name: p-2\n  listen: 127.0.0.1:7900\n  life: 9s\n  tell: 1s\n")).fleet();
     assertEquals("p-2", other.settings().name());
     assertEquals(7900, other.settings().listen().getPort());
     assertEquals(9_000, other.settings().ttlMillis());
@@ -269,7 +269,7 @@
   }
 
   @Test
-  void faultsOfTheFleetHaveTheirLines() throws IOException {
+  void faultsOfTheFleetSectionHaveTheirLocations() throws IOException {
     assertEquals(List.of("6:9 fleet.life: found 1000 ms; allowed: at least 1500 ms, and 5 times fleet.tell, 200 ms"),
         faults(FLEET + "  life: 1s\n"));
     assertEquals(List.of("3:3 fleet.life: found 2000 ms; allowed: at least 1500 ms, and 5 times fleet.tell, 500 ms"),
--- a/proxy/src/test/java/lemondeal/proxy/BadClientsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/BadClientsTest.java
@@ -1,8 +1,8 @@
 package lemondeal.proxy;
 
-import static lemondeal.proxy.ProxyTest.ID;
-import static lemondeal.proxy.ProxyTest.OPEN;
-import static lemondeal.proxy.ProxyTest.up;
+import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
+import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
+import static lemondeal.proxy.ProxyTest.establish;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -20,53 +20,53 @@
 import lemondeal.Balancer.Ended;
 import lemondeal.Balancer.LoadChanged;
 import lemondeal.Balancer.Outcome;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Clients that do not keep to the protocol get an error or an end, and cost the others nothing. */
 @Timeout(30)
 class BadClientsTest {
-  private static final long WITHIN = 3_000_000_000L;
+  private static final long MAX_END_NANOS = 3_000_000_000L;
 
   /** Connections that said nothing once filled all that the proxy accepts: usual clients waited behind them. */
   @Test
-  void silentConnectionsKeepNobodyOut() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce, "", 256)) {
-      long from = System.nanoTime();
-      List<Peer> silent = new ArrayList<>();
-      for (int i = 0; i <= site.limits().maxPending() + 2 * site.limits().maxClients(); i++) {
-        silent.add(site.client());
+  void silentConnectionsDoNotBlockOthers() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, "", 256)) {
+      long startNanos = System.nanoTime();
+      List<LineSocket> silent = new ArrayList<>();
+      for (int i = 0; i <= fixture.limits().maxPending() + 2 * fixture.limits().maxClients(); i++) {
+        silent.add(fixture.newClient());
       }
-      assertEquals("BUSY", silent.get(0).line(), "the oldest is sent away");
-      assertNull(silent.get(0).line());
-      assertTrue(System.nanoTime() - from < site.limits().firstLineTimeout() * 1000, "and at once");
-      up(site, site.client(OPEN));
-      for (Peer peer : silent) {
-        peer.awaitEnd();
+      assertEquals("BUSY", silent.get(0).readLine(), "the oldest is sent away");
+      assertNull(silent.get(0).readLine());
+      assertTrue(System.nanoTime() - startNanos < fixture.limits().firstLineTimeout() * 1000, "and at once");
+      establish(fixture, fixture.newClient(OPEN_FIELDS));
+      for (LineSocket connection : silent) {
+        connection.readToEnd();
       }
-      assertTrue(System.nanoTime() - from < WITHIN, "every one is owed an end within 3 s of connecting");
+      assertTrue(System.nanoTime() - startNanos < MAX_END_NANOS, "every one is owed an end within 3 s of connecting");
     }
   }
 
   /** Clients that come in a burst are accepted before any of them is read: the first were once sent away unheard. */
   @Test
-  void aBurstOfUsualClientsIsHeardWhenAllSlotsAreTaken() throws Exception {
-    CountDownLatch come = new CountDownLatch(1);
-    try (Site site = new Site(event -> event instanceof LoadChanged ? await(come) : ProxyTest.sendOnce(event), "", 256)) {
-      Peer server = up(site, site.client(OPEN));
-      for (int i = 1; i < site.limits().maxClients(); i++) {
-        up(site, site.client(OPEN));
+  void aBurstOfClientsIsAnsweredWhenAllSlotsAreTaken() throws Exception {
+    CountDownLatch burstConnected = new CountDownLatch(1);
+    try (ProxyFixture fixture = new ProxyFixture(event -> event instanceof LoadChanged ? await(burstConnected) : ProxyTest.sendOnce(event), "", 256)) {
+      LineSocket server = establish(fixture, fixture.newClient(OPEN_FIELDS));
+      for (int i = 1; i < fixture.limits().maxClients(); i++) {
+        establish(fixture, fixture.newClient(OPEN_FIELDS));
       }
       server.send("LOAD 1\r\n");
-      site.await(LoadChanged.class);
-      List<Peer> burst = new ArrayList<>();
-      for (int i = 0; i < site.limits().acceptsPerTurn(); i++) {
-        burst.add(site.client(OPEN));
+      fixture.awaitEvent(LoadChanged.class);
+      List<LineSocket> burst = new ArrayList<>();
+      for (int i = 0; i < fixture.limits().acceptsPerTurn(); i++) {
+        burst.add(fixture.newClient(OPEN_FIELDS));
       }
-      come.countDown();
-      for (Peer peer : burst) {
-        assertEquals("BUSY 1000", peer.line());
+      burstConnected.countDown();
+      for (LineSocket connection : burst) {
+        assertEquals("BUSY 1000", connection.readLine());
       }
     }
   }
@@ -82,10 +82,10 @@
 
   /** The answers to a client that asked without reading once overran its ring. */
   @Test
-  void aFloodOfPingsThatIsNotReadIsHeldBack() throws Exception {
+  void aFloodOfPingsWithUnreadAnswersIsThrottledByBackPressure() throws Exception {
     String pings = "PING\r\n".repeat(1000);
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer flood = site.client();
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket flood = fixture.newClient();
       flood.socket.setReceiveBufferSize(8192);
       Thread sender = new Thread(() -> assertThrows(IOException.class, () -> {
         while (true) {
@@ -96,79 +96,79 @@
       // By then the buffers of both sides are full: the answers are more than the system holds.
       sender.join(1_000);
       assertTrue(sender.isAlive(), "the flood is held back, and not ended by a failure");
-      up(site, site.client(OPEN));
+      establish(fixture, fixture.newClient(OPEN_FIELDS));
       // Its connection ends when the time for a first line is over.
       sender.join();
     }
   }
 
   @Test
-  void anotherClientsOpenIdIsRefusedAndItsHolderUntouched() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer holder = site.client().send(ID + OPEN + "\r\n");
-      Peer server = site.atServer();
-      assertEquals("ERR", site.client().send(ID + OPEN + "\r\n").line());
-      server.line();
+  void aRequestIdInUseIsRejectedAndItsHolderUnaffected() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket holder = fixture.newClient().send(OPEN_PREFIX + OPEN_FIELDS + "\r\n");
+      LineSocket server = fixture.acceptAtServer();
+      assertEquals("ERR", fixture.newClient().send(OPEN_PREFIX + OPEN_FIELDS + "\r\n").readLine());
+      server.readLine();
       server.send("UP r1\r\n");
-      assertEquals("UP r1", holder.line());
-      assertEquals("ERR", site.client().send(ID + OPEN + "\r\n").line());
+      assertEquals("UP r1", holder.readLine());
+      assertEquals("ERR", fixture.newClient().send(OPEN_PREFIX + OPEN_FIELDS + "\r\n").readLine());
       server.send("BYE\r\n").close();
-      assertEquals("BYE", holder.line());
-      assertNull(holder.line());
-      site.await(Ended.class);
-      up(site, site.client().send(ID + OPEN + "\r\n"));
+      assertEquals("BYE", holder.readLine());
+      assertNull(holder.readLine());
+      fixture.awaitEvent(Ended.class);
+      establish(fixture, fixture.newClient().send(OPEN_PREFIX + OPEN_FIELDS + "\r\n"));
     }
   }
 
   /** A client waits behind its first line: whoever does not is told so, and nothing has run. */
   @Test
-  void commandsByTheHundredAreRefusedUnseen() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      assertEquals("ERR", site.client().send((ID + OPEN + "\r\n").repeat(300)).line());
-      assertFalse(site.events.stream().anyMatch(Arrived.class::isInstance));
+  void hundredsOfCommandsAtOnceAreRejected() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      assertEquals("ERR", fixture.newClient().send((OPEN_PREFIX + OPEN_FIELDS + "\r\n").repeat(300)).readLine());
+      assertFalse(fixture.events.stream().anyMatch(Arrived.class::isInstance));
     }
   }
 
   @Test
   void bytesBeforeUpEndTheRequest() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      Peer server = site.atServer();
-      server.line();
-      assertEquals("ERR", client.send("hello").line());
-      assertNull(server.line(), "the execution is given up");
-      site.await(ClientGone.class);
-      assertEquals(Outcome.CANCELLED, site.await(Ended.class).outcome());
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = fixture.acceptAtServer();
+      server.readLine();
+      assertEquals("ERR", client.send("hello").readLine());
+      assertNull(server.readLine(), "the execution is given up");
+      fixture.awaitEvent(ClientGone.class);
+      assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
   /** One that only ended its sending was once cut off without its answer. */
   @Test
   void aHalfClosedClientIsStillAnswered() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      site.atServer().line();
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      fixture.acceptAtServer().readLine();
       client.socket.shutdownOutput();
-      assertEquals("ERR", client.line());
-      assertNull(client.line());
+      assertEquals("ERR", client.readLine());
+      assertNull(client.readLine());
     }
   }
 
   /** A failure inside must not leave the connection hanging, nor reach any other. */
   @Test
-  void whatFailsInsideEndsThatConnectionAlone() throws Exception {
-    try (Site site = new Site(event -> {
+  void anInternalFailureEndsOnlyItsConnection() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(event -> {
       if (event instanceof Arrived e && e.request().clientRetry()) {
         throw new IllegalStateException("the module fails on this one");
       }
       return ProxyTest.sendOnce(event);
     })) {
-      Peer good = site.client(OPEN);
-      Peer server = up(site, good);
-      site.client(OPEN + ",r=1").awaitEnd();
+      LineSocket good = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, good);
+      fixture.newClient(OPEN_FIELDS + ",r=1").readToEnd();
       server.send("still here\r\n");
-      assertEquals("still here", good.line());
-      assertEquals("BUSY 250", site.client("c=chat,d=200").line(), "deadlines still come");
+      assertEquals("still here", good.readLine());
+      assertEquals("BUSY 250", fixture.newClient("c=chat,d=200").readLine(), "deadlines still come");
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/StartedProgram.java
+++ b/proxy/src/test/java/lemondeal/proxy/BlockedLogProgram.java
@@ -18,64 +18,64 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 import lemondeal.ProgramCommands;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 
 /** The program as it is started, with one server and a log that stands still until the test empties it. */
-final class StartedProgram implements AutoCloseable {
-  private static final int PATIENCE_S = 30;
+final class BlockedLogProgram implements AutoCloseable {
+  private static final int TIMEOUT_S = 30;
   /** Writes to the log until that takes no more, and becomes the program. */
-  private static final String FILL = "my $f = fcntl(STDERR, F_GETFL, 0); fcntl(STDERR, F_SETFL, $f | O_NONBLOCK);"
+  private static final String FILL_STDERR_SCRIPT = "my $f = fcntl(STDERR, F_GETFL, 0); fcntl(STDERR, F_SETFL, $f | O_NONBLOCK);"
       + " 1 while defined syswrite(STDERR, 'x'); fcntl(STDERR, F_SETFL, $f); exec(@ARGV) or die $!";
-  private static final String LISTENING = "0A";
+  private static final String LISTEN_STATE = "0A";
 
   private final ServerSocket server;
   private final Process process;
 
-  private StartedProgram(ServerSocket server, Process process) {
+  private BlockedLogProgram(ServerSocket server, Process process) {
     this.server = server;
     this.process = process;
   }
 
-  static StartedProgram withFullLog(Path folder) throws IOException {
+  static BlockedLogProgram withFullLog(Path folder) throws IOException {
     ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    server.setSoTimeout(PATIENCE_S * 1000);
-    String known = "[{\"instanceId\":\"s-1\",\"hostPort\":\"127.0.0.1:" + server.getLocalPort()
+    server.setSoTimeout(TIMEOUT_S * 1000);
+    String serverList = "[{\"instanceId\":\"s-1\",\"hostPort\":\"127.0.0.1:" + server.getLocalPort()
         + "\",\"zone\":\"a\",\"machineType\":\"toy\",\"lifecycle\":\"in_service\"}]";
     Path file = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("../example/config.json"))
-        .replace("\"instances\": []", "\"instances\": " + known));
+        .replace("\"instances\": []", "\"instances\": " + serverList));
     // The library's own words at its start would stand still there.
-    Path quiet = Files.writeString(folder.resolve("logging.properties"), ".level=OFF\n");
+    Path loggingConfig = Files.writeString(folder.resolve("logging.properties"), ".level=OFF\n");
     List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
-    command.addAll(List.of("perl", "-MFcntl", "-e", FILL, ProgramCommands.java(),
-        "-Djava.util.logging.config.file=" + quiet, "-cp", ProgramCommands.classPath(), "lemondeal.Main", "serve"));
+    command.addAll(List.of("perl", "-MFcntl", "-e", FILL_STDERR_SCRIPT, ProgramCommands.java(),
+        "-Djava.util.logging.config.file=" + loggingConfig, "-cp", ProgramCommands.classPath(), "lemondeal.Main", "serve"));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_LISTEN", "127.0.0.1:0",
         "GW_DISCOVERY", "127.0.0.1:1"));
     Process process = builder.start();
-    CompletableFuture.delayedExecutor(PATIENCE_S, TimeUnit.SECONDS).execute(process::destroyForcibly);
-    return new StartedProgram(server, process);
+    CompletableFuture.delayedExecutor(TIMEOUT_S, TimeUnit.SECONDS).execute(process::destroyForcibly);
+    return new BlockedLogProgram(server, process);
   }
 
-  Peer client() throws IOException {
-    while (listening().isEmpty()) {
+  LineSocket newClient() throws IOException {
+    while (listeningPorts().isEmpty()) {
       assertTrue(process.isAlive(), "the program ended");
       Thread.onSpinWait();
     }
-    return new Peer(new Socket(InetAddress.getLoopbackAddress(), listening().get(0)));
+    return new LineSocket(new Socket(InetAddress.getLoopbackAddress(), listeningPorts().get(0)));
   }
 
   /** Ports on which the program listens, as the system tells them. */
-  private List<Integer> listening() throws IOException {
-    List<String> sockets = names("/proc/" + process.pid() + "/fd", StartedProgram::target);
+  private List<Integer> listeningPorts() throws IOException {
+    List<String> sockets = entryNames("/proc/" + process.pid() + "/fd", BlockedLogProgram::linkTarget);
     try (Stream<String> rows = Stream.of("/proc/net/tcp", "/proc/net/tcp6").map(Path::of).filter(Files::exists)
-        .flatMap(StartedProgram::lines)) {
+        .flatMap(BlockedLogProgram::readLines)) {
       return rows.map(row -> row.trim().split("\\s+"))
-          .filter(row -> row[3].equals(LISTENING) && sockets.contains("socket:[" + row[9] + "]"))
+          .filter(row -> row[3].equals(LISTEN_STATE) && sockets.contains("socket:[" + row[9] + "]"))
           .map(row -> Integer.parseInt(row[1].substring(row[1].indexOf(':') + 1), 16)).toList();
     }
   }
 
-  private static Stream<String> lines(Path table) {
+  private static Stream<String> readLines(Path table) {
     try {
       return Files.readAllLines(table).stream();
     } catch (IOException e) {
@@ -83,16 +83,16 @@
     }
   }
 
-  private static List<String> names(String folder, Function<Path, String> name) throws IOException {
+  private static List<String> entryNames(String folder, Function<Path, String> toName) throws IOException {
     if (!Files.exists(Path.of(folder))) {
       return List.of();
     }
     try (Stream<Path> entries = Files.list(Path.of(folder))) {
-      return entries.map(name).toList();
+      return entries.map(toName).toList();
     }
   }
 
-  private static String target(Path link) {
+  private static String linkTarget(Path link) {
     try {
       return Files.readSymbolicLink(link).toString();
     } catch (IOException e) {
@@ -100,7 +100,7 @@
     }
   }
 
-  private static String text(Path file) {
+  private static String readText(Path file) {
     try {
       return Files.readString(file).trim();
     } catch (IOException e) {
@@ -108,15 +108,15 @@
     }
   }
 
-  Peer atServer() throws IOException {
-    return new Peer(server.accept());
+  LineSocket acceptAtServer() throws IOException {
+    return new LineSocket(server.accept());
   }
 
   /** Sends SIGTERM; returns once the program carries it out, or has ended. */
-  void order() throws IOException {
+  void terminate() throws IOException {
     process.toHandle().destroy();
     while (process.isAlive()
-        && !names("/proc/" + process.pid() + "/task", task -> text(task.resolve("comm"))).contains("stop")) {
+        && !entryNames("/proc/" + process.pid() + "/task", task -> readText(task.resolve("comm"))).contains("stop")) {
       Thread.onSpinWait();
     }
   }
@@ -126,7 +126,7 @@
   }
 
   /** From now on the log is read, and not kept. */
-  void emptyLog() {
+  void drainLog() {
     Thread reader = new Thread(() -> {
       try {
         process.getErrorStream().transferTo(OutputStream.nullOutputStream());
@@ -139,7 +139,7 @@
   }
 
   int exitCode() throws InterruptedException {
-    assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+    assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
     return process.exitValue();
   }
 
--- a/proxy/src/test/java/lemondeal/proxy/FullDescriptorsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DescriptorExhaustionTest.java
@@ -20,22 +20,22 @@
 import java.util.stream.IntStream;
 import lemondeal.config.Config;
 import lemondeal.config.Limits;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A process with few descriptors, all of which its clients would have. */
 @Timeout(120)
-class FullDescriptorsTest {
+class DescriptorExhaustionTest {
   private static final int SOCKETS = 128;
   private static final int SERVERS = 40;
-  private static final String OPEN = "OPEN %016x %016x c=chat,d=2000,g=%016x,h=1000\r\n";
+  private static final String OPEN_FORMAT = "OPEN %016x %016x c=chat,d=2000,g=%016x,h=1000\r\n";
 
   @TempDir
   Path folder;
 
-  private final List<Peer> kept = new ArrayList<>();
+  private final List<LineSocket> connections = new ArrayList<>();
   /** Links made for probes. */
   private final AtomicInteger probeLinks = new AtomicInteger();
 
@@ -43,7 +43,7 @@
   private void serve(ServerSocket server) {
     try {
       while (true) {
-        Peer link = new Peer(server.accept());
+        LineSocket link = new LineSocket(server.accept());
         link.socket.setSoTimeout(0);
         daemon(() -> answer(link));
       }
@@ -52,13 +52,13 @@
     }
   }
 
-  private void answer(Peer link) {
+  private void answer(LineSocket link) {
     try {
-      String line = link.line();
+      String line = link.readLine();
       if (line != null && line.equals("STATS")) {
         probeLinks.incrementAndGet();
       }
-      for (; line != null; line = link.line()) {
+      for (; line != null; line = link.readLine()) {
         link.send(line.startsWith("OPEN") ? "UP r1\r\n" : line.equals("STATS") ? "PONG x0=0.5\r\n" : line + "\r\n");
       }
       link.close();
@@ -75,7 +75,7 @@
   }
 
   private Path config(int discovery, int server) throws IOException {
-    String known = IntStream.range(0, SERVERS).mapToObj(i -> "{\"instanceId\":\"s-" + i + "\",\"hostPort\":\"127.0.0.1:"
+    String serverList = IntStream.range(0, SERVERS).mapToObj(i -> "{\"instanceId\":\"s-" + i + "\",\"hostPort\":\"127.0.0.1:"
         + server + "\",\"zone\":\"a\",\"machineType\":\"toy\",\"lifecycle\":\"in_service\",\"weight\":1}")
         .collect(Collectors.joining(","));
     return Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("../example/config.json"))
@@ -83,59 +83,59 @@
         .replace("127.0.0.1:8500", "127.0.0.1:" + discovery)
         .replace("\"sockets\": 1024", "\"sockets\": " + SOCKETS)
         .replace("\"keepalive\": 5000000", "\"keepalive\": 600000000")
-        .replace("\"instances\": []", "\"instances\": [" + known + "]"));
+        .replace("\"instances\": []", "\"instances\": [" + serverList + "]"));
   }
 
-  private static Peer connect(int port) throws IOException {
-    return new Peer(new Socket(InetAddress.getLoopbackAddress(), port));
+  private static LineSocket connect(int port) throws IOException {
+    return new LineSocket(new Socket(InetAddress.getLoopbackAddress(), port));
   }
 
   /** Fills whatever is left with connections that are of no use, and goes on to: the oldest of its own it closes. */
-  private static final class Flood implements AutoCloseable {
-    private final Deque<Peer> peers = new ArrayDeque<>();
-    private final LimitedProcess program;
+  private static final class ConnectionFlood implements AutoCloseable {
+    private final Deque<LineSocket> peers = new ArrayDeque<>();
+    private final DescriptorLimitedProcess program;
     private final Thread thread;
-    private volatile boolean over;
-    private volatile int most;
+    private volatile boolean stopped;
+    private volatile int maxDescriptors;
 
-    Flood(LimitedProcess program) {
+    ConnectionFlood(DescriptorLimitedProcess program) {
       this.program = program;
       thread = daemon(this::run);
     }
 
     private void run() {
-      for (int i = 0; !over; i++) {
+      for (int i = 0; !stopped; i++) {
         try {
-          Peer peer = connect(i % 7 == 0 ? program.adminPort() : program.port());
-          peers.add(peer);
+          LineSocket connection = connect(i % 7 == 0 ? program.adminPort() : program.port());
+          peers.add(connection);
           if (peers.size() > 2 * SOCKETS) {
             peers.remove().close();
           }
-          peer.send(List.of("", "garbage\r\n", "OPEN half a li", "PING\r\n").get(i % 4));
+          connection.send(List.of("", "garbage\r\n", "OPEN half a li", "PING\r\n").get(i % 4));
         } catch (IOException e) {
           assertTrue(true, "turned away, which is fine");
         }
-        most = Math.max(most, program.descriptors());
+        maxDescriptors = Math.max(maxDescriptors, program.openDescriptors());
       }
     }
 
     @Override
     public void close() throws IOException {
-      over = true;
+      stopped = true;
       try {
         thread.join();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         throw new IOException(e);
       }
-      for (Peer peer : peers) {
-        peer.close();
+      for (LineSocket connection : peers) {
+        connection.close();
       }
     }
   }
 
   /** Bound and not listening, so that it refuses. */
-  private static Socket refusing() throws IOException {
+  private static Socket boundWithoutListening() throws IOException {
     Socket socket = new Socket();
     socket.setReuseAddress(true);
     socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -143,38 +143,38 @@
   }
 
   @Test
-  void discoveryIsReachedWhenItIsBackThoughIdleClientsHoldAllThatTheyCan() throws Exception {
-    Socket down = refusing();
-    int discoveryPort = down.getLocalPort();
+  void discoveryIsReachedAgainWhileIdleClientsHoldAllDescriptors() throws Exception {
+    Socket closedDiscovery = boundWithoutListening();
+    int discoveryPort = closedDiscovery.getLocalPort();
     try (ServerSocket server = new ServerSocket(0, 1024, InetAddress.getLoopbackAddress())) {
       daemon(() -> serve(server));
       Path config = config(discoveryPort, server.getLocalPort());
       Limits limits = Config.read(Map.of("GW_CONFIG", config.toString())).limits();
-      try (LimitedProcess program = new LimitedProcess(config, SOCKETS)) {
-        assertTrue(program.files().size() + 1 <= 16 + 6, "the program's own: " + program.files());
-        List<Peer> standing = standing(program, limits);
-        try (Flood flood = new Flood(program)) {
+      try (DescriptorLimitedProcess program = new DescriptorLimitedProcess(config, SOCKETS)) {
+        assertTrue(program.nonSocketDescriptors().size() + 1 <= 16 + 6, "the program's own: " + program.nonSocketDescriptors());
+        List<LineSocket> established = establishClients(program, limits);
+        try (ConnectionFlood flood = new ConnectionFlood(program)) {
           // Refused meanwhile: each of these is a connection that the program has turned to in the flood.
           for (int i = 0; i < 20; i++) {
             assertThrottled(program, i);
           }
-          down.close();
-          try (ServerSocket back = new ServerSocket()) {
-            back.setReuseAddress(true);
-            back.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), discoveryPort));
-            back.setSoTimeout(20_000);
-            try (Peer watch = new Peer(back.accept())) {
-              assertTrue(watch.line().startsWith("GET /api/targets?stream=1"));
+          closedDiscovery.close();
+          try (ServerSocket reopenedDiscovery = new ServerSocket()) {
+            reopenedDiscovery.setReuseAddress(true);
+            reopenedDiscovery.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), discoveryPort));
+            reopenedDiscovery.setSoTimeout(20_000);
+            try (LineSocket watch = new LineSocket(reopenedDiscovery.accept())) {
+              assertTrue(watch.readLine().startsWith("GET /api/targets?stream=1"));
             }
-            for (Peer client : standing) {
-              assertEquals("still here", client.send("still here\r\n").line());
+            for (LineSocket client : established) {
+              assertEquals("still here", client.send("still here\r\n").readLine());
             }
             assertThrottled(program, 99);
           }
-          int cap = SOCKETS + 6;
-          assertTrue(flood.most > 2 * limits.maxClients() + limits.maxProbeLinks(), flood.most + " descriptors");
-          assertTrue(flood.most <= cap, flood.most + " descriptors");
-          assertEquals(List.of(), program.complaints());
+          int descriptorLimit = SOCKETS + 6;
+          assertTrue(flood.maxDescriptors > 2 * limits.maxClients() + limits.maxProbeLinks(), flood.maxDescriptors + " descriptors");
+          assertTrue(flood.maxDescriptors <= descriptorLimit, flood.maxDescriptors + " descriptors");
+          assertEquals(List.of(), program.unexpectedLogLines());
           assertTrue(program.isAlive());
         }
         assertTrue(probeLinks.get() > limits.maxProbeLinks(), probeLinks + " links for probes were made");
@@ -183,31 +183,31 @@
   }
 
   /** As many as have a slot, each up at its server. */
-  private List<Peer> standing(LimitedProcess program, Limits limits) throws Exception {
+  private List<LineSocket> establishClients(DescriptorLimitedProcess program, Limits limits) throws Exception {
     // A request in passing for each server or two: so the whole fleet is probed.
     for (int i = 0; i < 4 * SERVERS; i++) {
-      try (Peer client = connect(program.port())) {
-        client.send(String.format(OPEN, 20_000 + i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L)).line();
+      try (LineSocket client = connect(program.port())) {
+        client.send(String.format(OPEN_FORMAT, 20_000 + i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L)).readLine();
       }
     }
-    List<Peer> standing = new ArrayList<>();
-    for (int i = 0; standing.size() < limits.maxClients(); i++) {
-      Peer client = connect(program.port());
-      kept.add(client);
-      String answer = client.send(String.format(OPEN, i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L)).line();
+    List<LineSocket> established = new ArrayList<>();
+    for (int i = 0; established.size() < limits.maxClients(); i++) {
+      LineSocket client = connect(program.port());
+      connections.add(client);
+      String answer = client.send(String.format(OPEN_FORMAT, i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L)).readLine();
       if (answer.equals("UP r1")) {
-        standing.add(client);
+        established.add(client);
       }
     }
-    return standing;
+    return established;
   }
 
   /** A client beyond the slots is told so, or sent away where even that has no room. */
-  private static void assertThrottled(LimitedProcess program, int i) throws IOException {
-    try (Peer client = connect(program.port())) {
+  private static void assertThrottled(DescriptorLimitedProcess program, int index) throws IOException {
+    try (LineSocket client = connect(program.port())) {
       String answer;
       try {
-        answer = client.send(String.format(OPEN, 10_000 + i, 1, 1)).line();
+        answer = client.send(String.format(OPEN_FORMAT, 10_000 + index, 1, 1)).readLine();
       } catch (IOException e) {
         answer = null;
       }
--- /dev/null
+++ b/proxy/src/test/java/lemondeal/proxy/DialRaceTest.java
@@ -0,0 +1,251 @@
+package lemondeal.proxy;
+
+import static lemondeal.proxy.RaceSteps.expireTimersBeforeReading;
+import static lemondeal.proxy.RaceSteps.serverBacklog;
+import static lemondeal.proxy.RaceSteps.countConnecting;
+import static lemondeal.proxy.RaceSteps.serverPort;
+import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
+import static lemondeal.proxy.ProxyTest.establish;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.channels.SocketChannel;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Function;
+import lemondeal.Balancer.Action;
+import lemondeal.Balancer.Arrived;
+import lemondeal.Balancer.Ended;
+import lemondeal.Balancer.Established;
+import lemondeal.Balancer.Event;
+import lemondeal.Balancer.Outcome;
+import lemondeal.Balancer.Send;
+import lemondeal.proxy.RaceSteps.Gate;
+import lemondeal.proxy.ProxyFixture.LineSocket;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Connections to servers that come up late, or whose server acts in the moment in which they do. */
+@Timeout(30)
+class DialRaceTest {
+  /** Stands still once the dial has begun, before anything is known of it. */
+  private static Function<Event, List<Action>> blockAfterDial(Gate gate, List<ProxyFixture> sites) {
+    return event -> {
+      if (event instanceof Arrived) {
+        sites.get(0).proxy.executor().execute(gate::block);
+      }
+      return ProxyTest.sendOnce(event);
+    };
+  }
+
+  /** A site whose server does something between the moment in which a dial has come up and that in which it is seen. */
+  private static Outcome outcomeOfStepBeforeConnectIsSeen(ServerStep step) throws Exception {
+    Gate gate = new Gate();
+    List<ProxyFixture> sites = new ArrayList<>();
+    try (ProxyFixture fixture = new ProxyFixture(blockAfterDial(gate, sites))) {
+      sites.add(fixture);
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      gate.awaitReached();
+      LineSocket server = fixture.acceptAtServer();
+      step.run(fixture, server);
+      gate.open();
+      Outcome outcome = fixture.awaitEvent(Ended.class).outcome();
+      assertEquals("BUSY 250", client.readLine());
+      if (!server.socket.isClosed()) {
+        assertNull(server.readLine(), "nothing was written");
+      }
+      return outcome;
+    }
+  }
+
+  private interface ServerStep {
+    void run(ProxyFixture fixture, LineSocket server) throws Exception;
+  }
+
+  /** A server that closes at once once made a request that nobody had seen count as one that may have run. */
+  @Test
+  void aServerThatClosesAsItsConnectionComesUpCountsAsNoConnection() throws Exception {
+    assertEquals(Outcome.NO_CONNECTION, outcomeOfStepBeforeConnectIsSeen((fixture, server) -> server.endSending().awaitCloseReceived()));
+  }
+
+  @Test
+  void aServerThatResetsAsItsConnectionComesUpCountsAsNoConnection() throws Exception {
+    assertEquals(Outcome.NO_CONNECTION, outcomeOfStepBeforeConnectIsSeen((fixture, server) -> {
+      server.reset();
+      server.awaitCloseReceived();
+    }));
+  }
+
+  /** What a server says too early is judged once the line is written, and its end comes first. */
+  @ParameterizedTest
+  @CsvSource({"BUSY, REFUSED", "ERR, ERROR", "x, ERROR"})
+  void anAnswerBeforeTheFirstLineIsEvaluatedAfterIt(String answer, Outcome outcome) throws Exception {
+    Gate gate = new Gate();
+    List<ProxyFixture> sites = new ArrayList<>();
+    try (ProxyFixture fixture = new ProxyFixture(blockAfterDial(gate, sites))) {
+      sites.add(fixture);
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      gate.awaitReached();
+      LineSocket server = fixture.acceptAtServer().send(answer + "\r\n").awaitUnread(answer.length() + 2);
+      gate.open();
+      assertEquals(outcome, fixture.awaitEvent(Ended.class).outcome());
+      assertTrue(server.readLine().startsWith("OPEN "));
+      assertEquals("BUSY 250", client.readLine());
+    }
+    assertEquals(Outcome.NO_CONNECTION, outcomeOfStepBeforeConnectIsSeen((fixture, server) ->
+        server.send(answer + "\r\n").endSending().awaitCloseReceived()));
+  }
+
+  /**
+   * The server may have been told as draining right after the decision: a first line that a late dial wrote behind the
+   * grace was a send to a draining server.
+   */
+  @Test
+  void aDialThatCompletesAfterTheDrainGraceIsNotUsed() throws Exception {
+    long grace = 100_000;
+    Gate gate = new Gate();
+    List<ProxyFixture> sites = new ArrayList<>();
+    try (ProxyFixture fixture = ProxyFixture.of(blockAfterDial(gate, sites), options -> options.editConfig =
+        json -> json.replace("\"azs\"", "\"rules\":{\"drainGrace\":" + grace + "},\"azs\""))) {
+      sites.add(fixture);
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      gate.awaitReached();
+      Thread clockThread = new Thread(() -> {
+        try {
+          fixture.advanceClock(grace + 1);
+        } catch (InterruptedException e) {
+          throw new IllegalStateException(e);
+        }
+      });
+      clockThread.start();
+      KernelSockets.await(() -> clockThread.getState() == Thread.State.TIMED_WAITING);
+      LineSocket server = fixture.acceptAtServer();
+      gate.open();
+      assertEquals(Outcome.NO_CONNECTION, fixture.awaitEvent(Ended.class).outcome());
+      assertNull(server.readLine(), "nothing is written behind the grace");
+      assertEquals("BUSY 250", client.readLine());
+      clockThread.join();
+    }
+  }
+
+  /** Connections that nobody accepts fill the server's queue: the next ones do not come up. */
+  private static List<SocketChannel> fillBacklog(ProxyFixture fixture, int server) throws IOException {
+    List<SocketChannel> fillers = new ArrayList<>();
+    InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), serverPort(fixture, server));
+    for (int i = 0; i <= 50; i++) {
+      fillers.add(SocketChannel.open(address));
+    }
+    KernelSockets.await(() -> serverBacklog(fixture, server) > 50);
+    return fillers;
+  }
+
+  private static void closeAll(List<SocketChannel> channels) throws IOException {
+    for (SocketChannel channel : channels) {
+      channel.close();
+    }
+  }
+
+  /** Nobody waits for it any more: its descriptor is given back in the same turn. */
+  @Test
+  void aCancelledDialIsClosedAtOnce() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      List<SocketChannel> fillers = fillBacklog(fixture, 0);
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      KernelSockets.await(() -> countConnecting(serverPort(fixture, 0)) == 1);
+      client.endSending();
+      assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
+      fixture.awaitQueuedWork();
+      assertEquals(0, countConnecting(serverPort(fixture, 0)));
+      closeAll(fillers);
+    }
+  }
+
+  /** A dial that outlasts its attempt has written nothing: the request has not run, and goes elsewhere. */
+  @Test
+  void anAttemptThatTimesOutWhileDiallingHasNotRunAndIsReportedOnce() throws Exception {
+    try (ProxyFixture fixture = ProxyFixture.of(event -> {
+      if (event instanceof Arrived e) {
+        return List.of(new Send(e.request().id(), ProxyFixture.SERVER, 200_000));
+      }
+      return event instanceof Ended e && !e.requestFinished() ? List.of(new Send(e.id(), "s-2", 0)) : List.of();
+    }, options -> options.serverCount = 2)) {
+      List<SocketChannel> fillers = fillBacklog(fixture, 0);
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket second = fixture.acceptAtServer(1);
+      Ended first = fixture.awaitEvent(Ended.class);
+      assertEquals(Outcome.NO_CONNECTION, first.outcome());
+      assertEquals(0, first.attempt());
+      assertTrue(second.readLine().startsWith("OPEN "));
+      closeAll(fillers);
+      fixture.stopServer(0);
+      fixture.awaitQueuedWork();
+      second.send("UP r2\r\n");
+      assertEquals("UP r2", client.readLine());
+      assertEquals(1, fixture.awaitEvent(Established.class).attempt());
+      assertFalse(fixture.events.stream().anyMatch(Ended.class::isInstance), "the first is heard of once");
+    }
+  }
+
+  /** Many dials at one server that takes none end one by one, each told once, and leave nothing open. */
+  @Test
+  void dialsToAServerThatAcceptsNoneAreEachReportedOnce() throws Exception {
+    int count = 12;
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      List<SocketChannel> fillers = fillBacklog(fixture, 0);
+      List<LineSocket> clients = new ArrayList<>();
+      for (int i = 0; i < count; i++) {
+        clients.add(fixture.newClient(OPEN_FIELDS));
+      }
+      KernelSockets.await(() -> countConnecting(serverPort(fixture, 0)) == count);
+      fixture.advanceClock(600_000);
+      fixture.advanceClock(100_000);
+      for (LineSocket client : clients) {
+        assertEquals("BUSY 250", client.readLine());
+        assertEquals(Outcome.NO_CONNECTION, fixture.awaitEvent(Ended.class).outcome());
+      }
+      fixture.awaitQueuedWork();
+      assertEquals(0, countConnecting(serverPort(fixture, 0)));
+      assertFalse(fixture.events.stream().anyMatch(Ended.class::isInstance));
+      closeAll(fillers);
+    }
+  }
+
+  /** The first try is refused at once, and the client is served by the next. */
+  @Test
+  void aDialThatIsRefusedAtOnceHasNotRun() throws Exception {
+    try (ProxyFixture fixture = ProxyFixture.of(event -> {
+      if (event instanceof Arrived e) {
+        return List.of(new Send(e.request().id(), ProxyFixture.SERVER, 0));
+      }
+      return event instanceof Ended e && !e.requestFinished() ? List.of(new Send(e.id(), "s-2", 0)) : List.of();
+    }, options -> options.serverCount = 2)) {
+      fixture.stopServer(0);
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket second = fixture.acceptAtServer(1);
+      assertEquals(Outcome.NO_CONNECTION, fixture.awaitEvent(Ended.class).outcome());
+      second.readLine();
+      second.send("UP r2\r\n");
+      assertEquals("UP r2", client.readLine());
+    }
+  }
+
+  /** The answer was in the kernel when the time ran out: the proxy itself had stood still. */
+  @Test
+  void anAnswerReceivedBeforeTheTimeoutRunsCounts() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = fixture.acceptAtServer();
+      server.readLine();
+      expireTimersBeforeReading(fixture, 2_000_000, () -> server.send("UP r1\r\n").awaitUnread(7));
+      assertEquals("UP r1", client.readLine());
+      fixture.awaitEvent(Established.class);
+    }
+  }
+}
--- a/proxy/src/test/java/lemondeal/proxy/KernelSockets.java
+++ b/proxy/src/test/java/lemondeal/proxy/KernelSockets.java
@@ -12,7 +12,7 @@
 
 /** What the system tells of this machine's TCP sockets: so a test sees that an event is in the kernel already. */
 final class KernelSockets {
-  private static final long PATIENCE_NANOS = 10_000_000_000L;
+  private static final long TIMEOUT_NANOS = 10_000_000_000L;
   private static final int ESTABLISHED = 1;
   private static final int LISTENING = 10;
 
@@ -22,26 +22,26 @@
   private KernelSockets() {}
 
   /** Bytes that lie unread in the socket between these ports; 0 if there is none. */
-  static int unread(int local, int remote) {
+  static int unreadBytes(int local, int remote) {
     return rows().stream().filter(row -> row.local == local && row.remote == remote && row.state != LISTENING)
         .mapToInt(Row::unread).sum();
   }
 
   /** Whether the socket between these ports has heard of no end of the other side's sending, and has none of its own. */
-  static boolean isOpen(int local, int remote) {
+  static boolean isEstablished(int local, int remote) {
     return rows().stream().anyMatch(row -> row.local == local && row.remote == remote && row.state == ESTABLISHED);
   }
 
   /** Connections that wait to be accepted on this port. */
-  static int queued(int port) {
+  static int backlog(int port) {
     return rows().stream().filter(row -> row.local == port && row.state == LISTENING).mapToInt(Row::unread).sum();
   }
 
   /** Returns once it holds. The system has no word for it that could be waited for, so it is asked again. */
-  static void await(BooleanSupplier holds) {
-    long until = System.nanoTime() + PATIENCE_NANOS;
-    while (!holds.getAsBoolean()) {
-      assertTrue(System.nanoTime() < until, "the event never reached the kernel");
+  static void await(BooleanSupplier condition) {
+    long deadline = System.nanoTime() + TIMEOUT_NANOS;
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < deadline, "the event never reached the kernel");
       Thread.onSpinWait();
     }
   }
--- a/proxy/src/test/java/lemondeal/proxy/KnownServersTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/KnownServersTest.java
@@ -20,7 +20,7 @@
   private long now = 1_000;
   private final KnownServers servers = new KnownServers(new Names(List.of(), List.of("a"), List.of("m")), () -> now);
 
-  private void take(ListKind kind, ServerEntry... entries) {
+  private void apply(ListKind kind, ServerEntry... entries) {
     servers.apply(new ServerList(1, kind, List.of(entries)));
   }
 
@@ -30,48 +30,48 @@
 
   /** Whether it drops repeats rests on its zone and cell, also in the moment after its end was told. */
   @Test
-  void aServerThatHasGoneIsKnownForAWhile() {
-    take(ListKind.FULL, server("s1", ServerState.READY), server("s2", ServerState.READY));
-    take(ListKind.CHANGES, server("s1", ServerState.GONE));
+  void aRemovedServerIsKeptForAWhile() {
+    apply(ListKind.FULL, server("s1", ServerState.READY), server("s2", ServerState.READY));
+    apply(ListKind.CHANGES, server("s1", ServerState.GONE));
     assertEquals(7, servers.entry("s1").cell());
     assertEquals(now, servers.drainingSince("s1"));
     now += MINUTE + 1;
-    take(ListKind.CHANGES);
+    apply(ListKind.CHANGES);
     assertNull(servers.entry("s1"));
     assertNotNull(servers.entry("s2"));
   }
 
   /** The minute counts from its end, not from the notice that came long before. */
   @Test
-  void aServerThatDrainedForLongIsKnownForAWhileAfterItsEnd() {
-    take(ListKind.FULL, server("s1", ServerState.READY));
-    take(ListKind.CHANGES, server("s1", ServerState.DRAINING));
-    long told = now;
+  void aLongDrainedServerIsKeptForAWhileAfterItsRemoval() {
+    apply(ListKind.FULL, server("s1", ServerState.READY));
+    apply(ListKind.CHANGES, server("s1", ServerState.DRAINING));
+    long drainAnnouncedAt = now;
     now += 10 * MINUTE;
-    take(ListKind.CHANGES, server("s1", ServerState.GONE));
+    apply(ListKind.CHANGES, server("s1", ServerState.GONE));
     assertNotNull(servers.entry("s1"));
-    assertEquals(told, servers.drainingSince("s1"));
+    assertEquals(drainAnnouncedAt, servers.drainingSince("s1"));
     now += MINUTE + 1;
-    take(ListKind.CHANGES);
+    apply(ListKind.CHANGES);
     assertNull(servers.entry("s1"));
   }
 
   @Test
-  void aWholeListWithoutItIsTheEndOfAServerToo() {
-    take(ListKind.FULL, server("s1", ServerState.READY));
-    take(ListKind.FULL, server("s2", ServerState.READY));
+  void aFullListWithoutAServerRemovesIt() {
+    apply(ListKind.FULL, server("s1", ServerState.READY));
+    apply(ListKind.FULL, server("s2", ServerState.READY));
     assertEquals(7, servers.entry("s1").cell());
     assertEquals(now, servers.drainingSince("s1"));
-    take(ListKind.FULL, server("s1", ServerState.READY));
+    apply(ListKind.FULL, server("s1", ServerState.READY));
     assertEquals(RequestRules.NOT_DRAINING, servers.drainingSince("s1"));
   }
 
   /** Classes may have services of their own, each with lists of its own: they come in any order. */
   @Test
-  void aWholeListOfOneServiceEndsNoServerOfAnother() {
-    for (ListKind whole : List.of(ListKind.SAVED, ListKind.FULL)) {
-      servers.apply(new ServerList(1, whole, List.of(server("f1", ServerState.READY)), 1));
-      servers.apply(new ServerList(1, whole, List.of(server("s1", ServerState.READY)), 0));
+  void aFullListOfOneServiceRemovesNoServerOfAnother() {
+    for (ListKind fullKind : List.of(ListKind.SAVED, ListKind.FULL)) {
+      servers.apply(new ServerList(1, fullKind, List.of(server("f1", ServerState.READY)), 1));
+      servers.apply(new ServerList(1, fullKind, List.of(server("s1", ServerState.READY)), 0));
       assertEquals(RequestRules.NOT_DRAINING, servers.drainingSince("f1"));
       assertEquals(Set.of("f1", "s1"), servers.serverIds());
     }
--- a/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
@@ -9,45 +9,45 @@
 import lemondeal.Balancer.MessageDelay;
 import lemondeal.Balancer.Settings;
 import lemondeal.config.Limits;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** What a LOAD line is taken for where servers tell both loads and delays. */
 @Timeout(20)
 class LoadLinesTest {
-  private static final String BOTH = "\"tellsDelay\":true,\"tellsLoad\":true,";
+  private static final String LOADS_AND_DELAYS = "\"tellsDelay\":true,\"tellsLoad\":true,";
 
   /** The delays of servers that tell loads too once all went for loads: no client was ever kept or moved away. */
   @Test
-  void aFigureFarUnderTheUsualLoadIsADelay() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce, BOTH)) {
-      Peer server = ProxyTest.up(site, site.client(ProxyTest.OPEN + ",h=52000"));
+  void aValueFarBelowTheUsualLoadIsADelay() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, LOADS_AND_DELAYS)) {
+      LineSocket server = ProxyTest.establish(fixture, fixture.newClient(ProxyTest.OPEN_FIELDS + ",h=52000"));
       server.send("LOAD 1006.605\r\n");
-      assertEquals(1006.605, site.await(MessageDelay.class).millis());
+      assertEquals(1006.605, fixture.awaitEvent(MessageDelay.class).millis());
       server.send("LOAD 4564.61\r\n");
-      assertEquals(4564.61, site.await(LoadChanged.class).load(), "an idle connection's load");
+      assertEquals(4564.61, fixture.awaitEvent(LoadChanged.class).load(), "an idle connection's load");
     }
   }
 
   /** A long delay, told on a light connection, looks like a load; that it goes on from the last one tells. */
   @Test
-  void aFigureThatGoesOnFromTheLastDelayIsOne() {
+  void aValueThatContinuesTheDelaySeriesIsADelay() {
     Settings settings = new Settings(0, 1, 0, List.of(), List.of(), null, null, null, null, false, false, false, false,
         false, 0);
-    DelayMeter delays = new DelayMeter(settings, Limits.of(1024, 192, 150_000, 5_000_000, 3_000_000), event -> { });
-    delays.recordServerReported(5_000_000, "s", 1106.7);
-    assertTrue(delays.continuesDelaySeries(6_010_000, "s", 1840.7));
-    assertFalse(delays.continuesDelaySeries(6_010_000, "s", 5178.7), "too far from it");
-    assertFalse(delays.continuesDelaySeries(5_600_000, "s", 1840.7), "not a second later");
-    assertFalse(delays.continuesDelaySeries(6_010_000, "other", 1840.7));
+    DelayMeter delayMeter = new DelayMeter(settings, Limits.of(1024, 192, 150_000, 5_000_000, 3_000_000), event -> { });
+    delayMeter.recordServerReported(5_000_000, "s", 1106.7);
+    assertTrue(delayMeter.continuesDelaySeries(6_010_000, "s", 1840.7));
+    assertFalse(delayMeter.continuesDelaySeries(6_010_000, "s", 5178.7), "too far from it");
+    assertFalse(delayMeter.continuesDelaySeries(5_600_000, "s", 1840.7), "not a second later");
+    assertFalse(delayMeter.continuesDelaySeries(6_010_000, "other", 1840.7));
   }
 
   @Test
-  void withoutAHintAFigureIsALoad() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce, BOTH)) {
-      ProxyTest.up(site, site.client(ProxyTest.OPEN)).send("LOAD 40\r\n");
-      assertEquals(40, site.await(LoadChanged.class).load());
+  void withoutAHintAValueIsALoad() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, LOADS_AND_DELAYS)) {
+      ProxyTest.establish(fixture, fixture.newClient(ProxyTest.OPEN_FIELDS)).send("LOAD 40\r\n");
+      assertEquals(40, fixture.awaitEvent(LoadChanged.class).load());
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
@@ -41,19 +41,19 @@
 import lemondeal.Balancer.Start;
 import lemondeal.Balancer.Subscribe;
 import lemondeal.Balancer.Unanswered;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** The proxy on real sockets, with a module that sends each request once and throttles what then fails. */
 @Timeout(30)
 class ProxyTest {
-  static final String ID = "OPEN 0000000000000001 7f3a9c21e0b4d655 ";
-  static final String OPEN = "c=chat,d=2000,g=5c0f6e1a2b3d4c59";
+  static final String OPEN_PREFIX = "OPEN 0000000000000001 7f3a9c21e0b4d655 ";
+  static final String OPEN_FIELDS = "c=chat,d=2000,g=5c0f6e1a2b3d4c59";
 
   static List<Action> sendOnce(Event event) {
     if (event instanceof Arrived e) {
-      return List.of(new Send(e.request().id(), Site.SERVER, 0));
+      return List.of(new Send(e.request().id(), ProxyFixture.SERVER, 0));
     }
     if (event instanceof Ended e && !e.requestFinished()) {
       return List.of(new Refuse(e.id(), 250_000));
@@ -65,7 +65,7 @@
   }
 
   /** As {@link #sendOnce}, and with one more answer to one kind of event. */
-  private static <T extends Event> Function<Event, List<Action>> and(Class<T> kind, Function<T, Action> answer) {
+  private static <T extends Event> Function<Event, List<Action>> sendOnceAnd(Class<T> kind, Function<T, Action> answer) {
     return event -> {
       List<Action> actions = new ArrayList<>(sendOnce(event));
       if (kind.isInstance(event)) {
@@ -76,110 +76,110 @@
   }
 
   /** A client that the server has answered UP; its first line has been read. */
-  static Peer up(Site site, Peer client) throws IOException {
-    Peer server = site.atServer();
-    assertTrue(server.line().startsWith("OPEN "));
+  static LineSocket establish(ProxyFixture fixture, LineSocket client) throws IOException {
+    LineSocket server = fixture.acceptAtServer();
+    assertTrue(server.readLine().startsWith("OPEN "));
     server.send("UP r1\r\n");
-    assertEquals("UP r1", client.line());
+    assertEquals("UP r1", client.readLine());
     return server;
   }
 
   @Test
   void answersPing() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      assertEquals("PONG", site.client().send("PING\r\n").line());
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      assertEquals("PONG", fixture.newClient().send("PING\r\n").readLine());
     }
   }
 
   @Test
   void rewritesOnlyTheDeadlineAndPassesAllElse() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      Peer server = site.atServer();
-      String line = server.line();
-      long told = Long.parseLong(line.replaceAll(".*,d=(\\d+),.*", "$1"));
-      assertEquals(ID + OPEN.replace("2000", "" + told), line);
-      assertTrue(told > 0 && told < 2000, line);
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = fixture.acceptAtServer();
+      String line = server.readLine();
+      long forwardedDeadline = Long.parseLong(line.replaceAll(".*,d=(\\d+),.*", "$1"));
+      assertEquals(OPEN_PREFIX + OPEN_FIELDS.replace("2000", "" + forwardedDeadline), line);
+      assertTrue(forwardedDeadline > 0 && forwardedDeadline < 2000, line);
       server.send("UP r1\r\nM 1\r\nM");
-      assertEquals("UP r1", client.line());
-      assertEquals("M 1", client.line());
+      assertEquals("UP r1", client.readLine());
+      assertEquals("M 1", client.readLine());
       client.send("hello\r\n");
-      assertEquals("hello", server.line());
+      assertEquals("hello", server.readLine());
       server.send(" 2\r\nBYE\r\n").close();
-      assertEquals("M 2", client.line());
-      assertEquals("BYE", client.line());
-      assertNull(client.line());
-      assertEquals(Outcome.SERVED, site.await(Ended.class).outcome());
+      assertEquals("M 2", client.readLine());
+      assertEquals("BYE", client.readLine());
+      assertNull(client.readLine());
+      assertEquals(Outcome.SERVED, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
   @Test
-  void anEndOfTheClientEndsTheServerSide() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      Peer server = up(site, client);
+  void theEndOfTheClientEndsTheServerSide() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, client);
       client.send("last\r\n").close();
-      assertEquals("last", server.line());
-      assertNull(server.line());
-      assertEquals(Outcome.CANCELLED, site.await(Ended.class).outcome());
+      assertEquals("last", server.readLine());
+      assertNull(server.readLine());
+      assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
   /** A server's delay once went unheard: it was measured from the answers to lines, which come at once. */
   @Test
-  void loadLinesAreDelaysWhereTheSettingsTellDelaysOnly() throws Exception {
+  void loadLinesAreDelaysWhereServersReportDelaysOnly() throws Exception {
     String delays = "\"tellsDelay\":true,\"tellsLoad\":false,";
-    try (Site site = new Site(ProxyTest::sendOnce, delays)) {
-      Peer client = site.client(OPEN);
-      up(site, client).send("LOAD 343.125\r\n");
-      assertEquals("LOAD 343.125", client.line());
-      assertEquals(343.125, site.await(MessageDelay.class).millis());
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, delays)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, client).send("LOAD 343.125\r\n");
+      assertEquals("LOAD 343.125", client.readLine());
+      assertEquals(343.125, fixture.awaitEvent(MessageDelay.class).millis());
     }
-    try (Site site = new Site(ProxyTest::sendOnce, "\"tellsDelay\":true,\"tellsLoad\":true,")) {
-      up(site, site.client(OPEN)).send("LOAD 900\r\n");
-      assertEquals(900, site.await(LoadChanged.class).load());
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, "\"tellsDelay\":true,\"tellsLoad\":true,")) {
+      establish(fixture, fixture.newClient(OPEN_FIELDS)).send("LOAD 900\r\n");
+      assertEquals(900, fixture.awaitEvent(LoadChanged.class).load());
     }
   }
 
   @Test
-  void outcomesTellWhetherTheAttemptRan() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
+  void outcomesShowWhetherTheAttemptRan() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
       for (String answer : List.of("BUSY", "ERR", "")) {
-        Peer client = site.client(OPEN);
-        Peer server = site.atServer();
-        server.line();
+        LineSocket client = fixture.newClient(OPEN_FIELDS);
+        LineSocket server = fixture.acceptAtServer();
+        server.readLine();
         server.send(answer.isEmpty() ? "" : answer + "\r\n").close();
-        assertEquals("BUSY 250", client.line());
+        assertEquals("BUSY 250", client.readLine());
         assertEquals(answer.equals("BUSY") ? Outcome.REFUSED : answer.equals("ERR") ? Outcome.ERROR : Outcome.RESET,
-            site.await(Ended.class).outcome());
+            fixture.awaitEvent(Ended.class).outcome());
       }
-      site.stopServer();
-      assertEquals("BUSY 250", site.client(OPEN).line());
-      assertEquals(Outcome.NO_CONNECTION, site.await(Ended.class).outcome());
+      fixture.stopServer();
+      assertEquals("BUSY 250", fixture.newClient(OPEN_FIELDS).readLine());
+      assertEquals(Outcome.NO_CONNECTION, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
   @Test
   void aSilentServerTimesOutBeforeTheClientLeaves() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client("c=chat,d=200");
-      long from = System.nanoTime();
-      assertEquals("BUSY 250", client.line());
-      assertTrue(System.nanoTime() - from < 200_000_000L, "answered too late");
-      assertEquals(Outcome.TIMED_OUT, site.await(Ended.class).outcome());
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient("c=chat,d=200");
+      long startNanos = System.nanoTime();
+      assertEquals("BUSY 250", client.readLine());
+      assertTrue(System.nanoTime() - startNanos < 200_000_000L, "answered too late");
+      assertEquals(Outcome.TIMED_OUT, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
   @Test
   void aClientThatLeavesBeforeUpEndsItsExecution() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      Peer server = site.atServer();
-      server.line();
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = fixture.acceptAtServer();
+      server.readLine();
       client.close();
-      assertNull(server.line());
-      site.await(ClientGone.class);
-      Ended ended = site.await(Ended.class);
+      assertNull(server.readLine());
+      fixture.awaitEvent(ClientGone.class);
+      Ended ended = fixture.awaitEvent(Ended.class);
       assertTrue(ended.requestFinished());
       assertEquals(Outcome.CANCELLED, ended.outcome());
     }
@@ -187,15 +187,15 @@
 
   @Test
   void movesBetweenTwoWholeLines() throws Exception {
-    try (Site site = new Site(and(LoadChanged.class, e -> new Move(e.id())))) {
-      Peer client = site.client(OPEN);
-      Peer server = up(site, client);
+    try (ProxyFixture fixture = new ProxyFixture(sendOnceAnd(LoadChanged.class, e -> new Move(e.id())))) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, client);
       server.send("LOAD 1\r\nhalf a");
-      assertEquals("LOAD 1", client.line());
-      assertEquals("MOVE", client.line());
-      assertNull(client.line());
-      server.awaitEnd();
-      assertEquals(Outcome.CANCELLED, site.await(Ended.class).outcome());
+      assertEquals("LOAD 1", client.readLine());
+      assertEquals("MOVE", client.readLine());
+      assertNull(client.readLine());
+      server.readToEnd();
+      assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
@@ -203,58 +203,58 @@
   @Test
   void aMoveWaitsForTheRestOfALine() throws Exception {
     List<String> ids = new CopyOnWriteArrayList<>();
-    try (Site site = new Site(and(LoadChanged.class, e -> new Move(ids.get(0))))) {
-      Peer client = site.client(OPEN);
-      Peer server = up(site, client);
-      ids.add(site.await(Established.class).id());
+    try (ProxyFixture fixture = new ProxyFixture(sendOnceAnd(LoadChanged.class, e -> new Move(ids.get(0))))) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, client);
+      ids.add(fixture.awaitEvent(Established.class).id());
       server.send("before\r\nhel");
-      assertEquals("before", client.line());
-      up(site, site.client(OPEN)).send("LOAD 1\r\n");
-      site.await(LoadChanged.class);
+      assertEquals("before", client.readLine());
+      establish(fixture, fixture.newClient(OPEN_FIELDS)).send("LOAD 1\r\n");
+      fixture.awaitEvent(LoadChanged.class);
       // Nothing happens until then: that a pause in a line ends nothing is what is tested.
       client.socket.setSoTimeout(1200);
       assertThrows(SocketTimeoutException.class, () -> client.socket.getInputStream().read());
       server.send("lo\r\n");
-      assertEquals("hello", client.line());
-      assertEquals("MOVE", client.line());
+      assertEquals("hello", client.readLine());
+      assertEquals("MOVE", client.readLine());
     }
   }
 
   @Test
   void adoptsWithoutADecision() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN + ",at=" + Site.SERVER);
-      Peer server = up(site, client);
-      assertEquals(Site.SERVER, site.await(Adopted.class).server());
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS + ",at=" + ProxyFixture.SERVER);
+      LineSocket server = establish(fixture, client);
+      assertEquals(ProxyFixture.SERVER, fixture.awaitEvent(Adopted.class).server());
       server.send("BYE\r\n").close();
-      assertEquals("BYE", client.line());
-      assertEquals(Outcome.SERVED, site.await(Ended.class).outcome());
-      assertFalse(site.events.stream().anyMatch(Established.class::isInstance));
+      assertEquals("BYE", client.readLine());
+      assertEquals(Outcome.SERVED, fixture.awaitEvent(Ended.class).outcome());
+      assertFalse(fixture.events.stream().anyMatch(Established.class::isInstance));
     }
   }
 
   @Test
   void badInputEndsItsOwnConnectionOnly() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer good = site.client(OPEN);
-      Peer server = up(site, good);
-      for (String bad : List.of("GET / HTTP/1.1\r\n", "OPEN a b c=chat,d=1\r\n", ID + "c=none,d=1\r\n", ID + "c=chat,d=x\r\n",
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket good = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, good);
+      for (String bad : List.of("GET / HTTP/1.1\r\n", "OPEN a b c=chat,d=1\r\n", OPEN_PREFIX + "c=none,d=1\r\n", OPEN_PREFIX + "c=chat,d=x\r\n",
           "x".repeat(5000), "\0\n")) {
-        assertEquals("ERR", site.client().send(bad).line());
+        assertEquals("ERR", fixture.newClient().send(bad).readLine());
       }
       server.send("still here\r\n");
-      assertEquals("still here", good.line());
+      assertEquals("still here", good.readLine());
     }
   }
 
   /** A client that read slowly once overran the ring: the room asked for was that of the other direction. */
   @Test
-  void aSlowReaderHoldsItsServerBackAndLosesNothing() throws Exception {
+  void aSlowReaderCausesBackPressureAndLosesNothing() throws Exception {
     int count = 8_000;
     String text = "x".repeat(2_000) + "\r\n";
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      Peer server = up(site, client);
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, client);
       Thread flood = new Thread(() -> {
         try {
           for (int i = 0; i < count; i++) {
@@ -274,93 +274,93 @@
         lines++;
       }
       assertEquals(count + 1, lines);
-      assertEquals(Outcome.SERVED, site.await(Ended.class).outcome());
+      assertEquals(Outcome.SERVED, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
   /** The module once heard nothing of a server that hangs until its clients were moved, 5 s later. */
   @Test
-  void aGrowingSilenceIsToldAsADelay() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      Peer server = up(site, client);
-      Peer another = site.client(OPEN);
-      up(site, another);
+  void aGrowingSilenceIsReportedAsADelay() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, client);
+      LineSocket another = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, another);
       client.send("anyone there?\r\n");
       another.send("and here?\r\n");
-      double first = site.await(MessageDelay.class).millis();
-      assertTrue(first >= 400 && site.await(MessageDelay.class).millis() >= first + 900, "first told after " + first);
+      double first = fixture.awaitEvent(MessageDelay.class).millis();
+      assertTrue(first >= 400 && fixture.awaitEvent(MessageDelay.class).millis() >= first + 900, "first told after " + first);
       server.send("here\r\n");
-      assertEquals("here", client.line());
+      assertEquals("here", client.readLine());
     }
   }
 
   /** In a large fleet a proxy may hold one connection at a server: nobody else would tell of its silence. */
   @Test
-  void theOnlyConnectionOfAServerTellsThatItWaits() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      up(site, client);
+  void theOnlyConnectionOfAServerReportsThatItWaits() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, client);
       client.send("anyone there?\r\n");
-      site.await(Unanswered.class);
-      assertFalse(site.events.stream().anyMatch(MessageDelay.class::isInstance));
+      fixture.awaitEvent(Unanswered.class);
+      assertFalse(fixture.events.stream().anyMatch(MessageDelay.class::isInstance));
     }
   }
 
   /** One connection that fell quiet once had half of the clients sent away from a server that served them all. */
   @Test
   void aQuietConnectionIsNotTakenForASilentServer() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer quiet = site.client(OPEN);
-      up(site, quiet);
-      Peer lively = site.client(OPEN);
-      Peer server = up(site, lively);
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket quiet = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, quiet);
+      LineSocket active = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, active);
       quiet.send("anyone there?\r\n");
-      long from = System.nanoTime();
-      while (System.nanoTime() - from < 3 * site.limits().slowAnswerDelay() * 1000) {
-        lively.send("hello\r\n");
+      long startNanos = System.nanoTime();
+      while (System.nanoTime() - startNanos < 3 * fixture.limits().slowAnswerDelay() * 1000) {
+        active.send("hello\r\n");
         // Part of a line is a sign of life too.
         server.send("hel");
-        server.line();
+        server.readLine();
         server.send("lo\r\n");
-        assertEquals("hello", lively.line());
+        assertEquals("hello", active.readLine());
       }
-      assertFalse(site.events.stream().anyMatch(MessageDelay.class::isInstance));
-      Peer third = site.client(OPEN);
-      up(site, third);
-      lively.send("and me?\r\n");
+      assertFalse(fixture.events.stream().anyMatch(MessageDelay.class::isInstance));
+      LineSocket third = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, third);
+      active.send("and me?\r\n");
       third.send("and me?\r\n");
-      site.await(MessageDelay.class);
+      fixture.awaitEvent(MessageDelay.class);
     }
   }
 
   /** The word on a silence may move the very client that waits: its timer once ran on and failed. */
   @Test
-  void aClientMovedForASilenceIsLeftAlone() throws Exception {
+  void aClientMovedForSilenceHasNoTimerLeft() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
-    try (Site site = new Site(and(MessageDelay.class, e -> new Move(e.id())), new PrintStream(log, true))) {
-      Peer another = site.client(OPEN);
-      up(site, another);
-      Peer client = site.client(OPEN);
-      up(site, client);
+    try (ProxyFixture fixture = new ProxyFixture(sendOnceAnd(MessageDelay.class, e -> new Move(e.id())), new PrintStream(log, true))) {
+      LineSocket another = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, another);
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, client);
       another.send("anyone there?\r\n");
       client.send("anyone there?\r\n");
-      assertEquals("MOVE", client.line());
-      site.await(Ended.class);
-      Peer other = site.client("c=chat,d=1900");
-      assertEquals("BUSY 250", other.line(), "the time that the timer would have taken has passed");
+      assertEquals("MOVE", client.readLine());
+      fixture.awaitEvent(Ended.class);
+      LineSocket other = fixture.newClient("c=chat,d=1900");
+      assertEquals("BUSY 250", other.readLine(), "the time that the timer would have taken has passed");
       assertFalse(log.toString().contains("failed"), log.toString());
     }
   }
 
   @Test
   void aSilentServerHasItsClientMoved() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      up(site, client);
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, client);
       client.send("anyone there?\r\n");
-      assertEquals("MOVE", client.line());
-      assertEquals(Outcome.RESET, site.await(Ended.class).outcome());
+      assertEquals("MOVE", client.readLine());
+      assertEquals(Outcome.RESET, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
@@ -369,20 +369,20 @@
    * servers were taken for dead, and clients were sent on from one to the next.
    */
   @Test
-  void aPauseOfItsOwnIsNotTakenForADeadServer() throws Exception {
-    try (Site site = new Site(event -> {
+  void aPauseOfTheProxyIsNotTakenForADeadServer() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(event -> {
       if (event instanceof Arrived e) {
-        Send send = new Send(e.request().id(), Site.SERVER, 0);
+        Send send = new Send(e.request().id(), ProxyFixture.SERVER, 0);
         // The second can't be sent, and the word on it comes before anything is read.
         return List.of(send, send);
       }
-      return event instanceof Ended e && e.outcome() == Outcome.NOT_SENT ? pause() : sendOnce(event);
+      return event instanceof Ended e && e.outcome() == Outcome.NOT_SENT ? blockEventLoop() : sendOnce(event);
     })) {
-      up(site, site.client(OPEN));
+      establish(fixture, fixture.newClient(OPEN_FIELDS));
     }
   }
 
-  private static List<Action> pause() {
+  private static List<Action> blockEventLoop() {
     // There is no event to wait for: time passing with nothing read is what is tested.
     assertDoesNotThrow(() -> Thread.sleep(700));
     return List.of();
@@ -390,62 +390,62 @@
 
   @Test
   void probesAndReadsTheReport() throws Exception {
-    try (Site site = new Site(and(Arrived.class, e -> new Probe(Site.SERVER)))) {
-      site.client(OPEN);
-      for (Peer peer : List.of(site.atServer(), site.atServer())) {
-        if (peer.line().equals("STATS")) {
-          peer.send("PONG qps=4.5,inflight=7,x0=0.61\r\n");
+    try (ProxyFixture fixture = new ProxyFixture(sendOnceAnd(Arrived.class, e -> new Probe(ProxyFixture.SERVER)))) {
+      fixture.newClient(OPEN_FIELDS);
+      for (LineSocket connection : List.of(fixture.acceptAtServer(), fixture.acceptAtServer())) {
+        if (connection.readLine().equals("STATS")) {
+          connection.send("PONG qps=4.5,inflight=7,x0=0.61\r\n");
         }
       }
-      ProbeResult result = site.await(ProbeResult.class);
+      ProbeResult result = fixture.awaitEvent(ProbeResult.class);
       assertEquals(0.61, result.report().demand());
       assertEquals(7, result.report().openConnections());
     }
   }
 
   @Test
-  void aWatchTellsChangesAndItsEnd() throws Exception {
-    try (Site site = new Site(e -> e instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
-      Peer discovery = site.atDiscovery();
-      assertEquals("GET /api/targets?stream=1&index=0 HTTP/1.1", discovery.line());
-      String change = "{\"generation\":2,\"reset\":false,\"instances\":[" + site.instance("terminating") + "]}\n";
+  void aWatchReportsChangesAndItsEnd() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(e -> e instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
+      LineSocket discovery = fixture.acceptAtDiscovery();
+      assertEquals("GET /api/targets?stream=1&index=0 HTTP/1.1", discovery.readLine());
+      String change = "{\"generation\":2,\"reset\":false,\"instances\":[" + fixture.instanceJson("terminating") + "]}\n";
       discovery.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
           + Integer.toHexString(change.length()) + "\r\n" + change + "\r\n");
-      assertEquals(ListKind.SAVED, site.await(ServerList.class).kind());
-      assertEquals(ListKind.CHANGES, site.await(ServerList.class).kind());
+      assertEquals(ListKind.SAVED, fixture.awaitEvent(ServerList.class).kind());
+      assertEquals(ListKind.CHANGES, fixture.awaitEvent(ServerList.class).kind());
       discovery.close();
-      assertEquals(ListKind.FAILED, site.await(ServerList.class).kind());
+      assertEquals(ListKind.FAILED, fixture.awaitEvent(ServerList.class).kind());
     }
   }
 
   /** The old address's end is no failure of discovery, and what was asked there is asked anew. */
   @Test
-  void aReloadMovesDiscoveryAndTellsNoFailure() throws Exception {
-    try (Site site = new Site(e -> e instanceof Start ? List.of(new Subscribe(true), new FetchList()) : List.of());
-        Site other = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN + ",at=" + Site.SERVER);
-      Peer server = up(site, client);
-      Peer first = site.atDiscovery();
-      Peer second = site.atDiscovery();
-      site.moveDiscovery(other);
+  void aReloadSwitchesDiscoveryAndReportsNoFailure() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(e -> e instanceof Start ? List.of(new Subscribe(true), new FetchList()) : List.of());
+        ProxyFixture otherFixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS + ",at=" + ProxyFixture.SERVER);
+      LineSocket server = establish(fixture, client);
+      LineSocket first = fixture.acceptAtDiscovery();
+      LineSocket second = fixture.acceptAtDiscovery();
+      fixture.switchDiscoveryTo(otherFixture);
       assertEquals(Set.of("GET /api/targets HTTP/1.1", "GET /api/targets?stream=1&index=1 HTTP/1.1"),
-          Set.of(other.atDiscovery().line(), other.atDiscovery().line()));
-      first.awaitEnd();
-      second.awaitEnd();
+          Set.of(otherFixture.acceptAtDiscovery().readLine(), otherFixture.acceptAtDiscovery().readLine()));
+      first.readToEnd();
+      second.readToEnd();
       server.send("still here\r\n");
-      assertEquals("still here", client.line());
-      assertEquals(ListKind.SAVED, site.await(ServerList.class).kind());
-      assertFalse(site.events.stream().anyMatch(ServerList.class::isInstance));
+      assertEquals("still here", client.readLine());
+      assertEquals(ListKind.SAVED, fixture.awaitEvent(ServerList.class).kind());
+      assertFalse(fixture.events.stream().anyMatch(ServerList.class::isInstance));
     }
   }
 
   /** Guards against a discovery that was cut off: the watch stays open and brings nothing. */
   @Test
   void aSilentWatchHasFailed() throws Exception {
-    try (Site site = new Site(e -> e instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
-      site.atDiscovery();
-      site.await(ServerList.class);
-      assertEquals(ListKind.FAILED, site.await(ServerList.class).kind());
+    try (ProxyFixture fixture = new ProxyFixture(e -> e instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
+      fixture.acceptAtDiscovery();
+      fixture.awaitEvent(ServerList.class);
+      assertEquals(ListKind.FAILED, fixture.awaitEvent(ServerList.class).kind());
     }
   }
 
@@ -453,43 +453,43 @@
   @Test
   void aStopMovesClientsOneAfterTheOther() throws Exception {
     int count = 20;
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      List<Peer> clients = new ArrayList<>();
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      List<LineSocket> clients = new ArrayList<>();
       for (int i = 0; i < count; i++) {
-        clients.add(site.client(OPEN));
-        up(site, clients.get(i));
+        clients.add(fixture.newClient(OPEN_FIELDS));
+        establish(fixture, clients.get(i));
       }
-      Thread stop = new Thread(() -> assertDoesNotThrow(site.proxy::stop));
-      long from = System.nanoTime();
+      Thread stop = new Thread(() -> assertDoesNotThrow(fixture.proxy::stop));
+      long startNanos = System.nanoTime();
       stop.start();
-      assertEquals("MOVE", clients.get(0).line());
-      long first = System.nanoTime() - from;
-      for (Peer client : clients.subList(1, count)) {
-        assertEquals("MOVE", client.line());
+      assertEquals("MOVE", clients.get(0).readLine());
+      long first = System.nanoTime() - startNanos;
+      for (LineSocket client : clients.subList(1, count)) {
+        assertEquals("MOVE", client.readLine());
       }
-      long spread = System.nanoTime() - from - first;
-      assertTrue(spread > site.limits().drainMoveTime() * 1000 / 2, "all within " + spread / 1_000_000 + " ms");
+      long spread = System.nanoTime() - startNanos - first;
+      assertTrue(spread > fixture.limits().drainMoveTime() * 1000 / 2, "all within " + spread / 1_000_000 + " ms");
       stop.join();
-      assertTrue(System.nanoTime() - from < (site.limits().drainTimeout() + 200_000) * 1000, "the stop took too long");
+      assertTrue(System.nanoTime() - startNanos < (fixture.limits().drainTimeout() + 200_000) * 1000, "the stop took too long");
     }
   }
 
   @Test
-  void stopsPolitely() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client(OPEN);
-      Peer server = up(site, client);
+  void aStopMovesClientsAndEnds() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient(OPEN_FIELDS);
+      LineSocket server = establish(fixture, client);
       Thread stop = new Thread(() -> {
         try {
-          site.proxy.stop();
+          fixture.proxy.stop();
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
         }
       });
       stop.start();
-      assertEquals("MOVE", client.line());
+      assertEquals("MOVE", client.readLine());
       client.close();
-      server.awaitEnd();
+      server.readToEnd();
       stop.join();
     }
   }
--- a/proxy/src/test/java/lemondeal/proxy/Crossing.java
+++ b/proxy/src/test/java/lemondeal/proxy/RaceSteps.java
@@ -10,35 +10,35 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemondeal.proxy.Site.Held;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.EventLoopPause;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 
 /** Moves by which two events meet at a site in a given order. */
-final class Crossing {
+final class RaceSteps {
   /** As the system's table of sockets has it. */
   private static final String SYN_SENT = "02";
 
   /** How a side leaves. */
-  enum Leaving {
+  enum CloseKind {
     FIN {
       @Override
-      void leave(Peer peer) throws IOException {
+      void close(LineSocket peer) throws IOException {
         peer.endSending();
       }
     },
     RST {
       @Override
-      void leave(Peer peer) throws IOException {
+      void close(LineSocket peer) throws IOException {
         peer.reset();
       }
     };
 
-    abstract void leave(Peer peer) throws IOException;
+    abstract void close(LineSocket connection) throws IOException;
 
     /** Returns when the end has reached the proxy's socket. */
-    void leaveNow(Peer peer) throws IOException {
-      leave(peer);
-      peer.awaitEndQueued();
+    void closeAndAwaitReceived(LineSocket connection) throws IOException {
+      close(connection);
+      connection.awaitCloseReceived();
     }
   }
 
@@ -48,7 +48,7 @@
     private final CountDownLatch open = new CountDownLatch(1);
 
     /** For the I/O thread; stands still the first time alone. */
-    void pass() {
+    void block() {
       reached.countDown();
       await(open);
     }
@@ -74,70 +74,70 @@
     void run() throws Exception;
   }
 
-  private Crossing() {}
+  private RaceSteps() {}
 
   /** Has deadlines run out before anything is read of what the step puts into the kernel. */
-  static void atDeadline(Site site, long micros, Step step) throws Exception {
-    Thread jump = new Thread(() -> {
+  static void expireTimersBeforeReading(ProxyFixture fixture, long micros, Step step) throws Exception {
+    Thread clockThread = new Thread(() -> {
       try {
-        site.jump(micros);
+        fixture.advanceClock(micros);
       } catch (InterruptedException e) {
         throw new IllegalStateException(e);
       }
     });
-    try (Held held = site.hold()) {
-      jump.start();
+    try (EventLoopPause pause = fixture.pauseEventLoop()) {
+      clockThread.start();
       // It waits for the I/O thread by then, which has the jump before it as the next thing to do.
-      KernelSockets.await(() -> jump.getState() == Thread.State.TIMED_WAITING);
+      KernelSockets.await(() -> clockThread.getState() == Thread.State.TIMED_WAITING);
       step.run();
-      held.release();
+      pause.resume();
     }
-    jump.join();
-    site.settle();
+    clockThread.join();
+    fixture.awaitQueuedWork();
   }
 
   /** The port of the site's server, counted from 0. */
-  static int port(Site site, int server) {
-    return Integer.parseInt(site.instance(server, "in_service").replaceAll(".*127\\.0\\.0\\.1:(\\d+).*", "$1"));
+  static int serverPort(ProxyFixture fixture, int server) {
+    return Integer.parseInt(fixture.instanceJson(server, "in_service").replaceAll(".*127\\.0\\.0\\.1:(\\d+).*", "$1"));
   }
 
   /** Connections that came to the server and were not looked at. */
-  static int atDoor(Site site, int server) {
-    return KernelSockets.queued(port(site, server));
+  static int serverBacklog(ProxyFixture fixture, int server) {
+    return KernelSockets.backlog(serverPort(fixture, server));
   }
 
   /**
    * Whether a reset has ended this peer's socket: the system knows it no more then, while one that saw an end in order
    * stands until it is closed here. Reading does not tell: an end that came before hides the reset.
    */
-  static boolean isReset(Peer peer) {
-    return sockets(peer.socket.getLocalPort(), peer.socket.getPort()).isEmpty();
+  static boolean isReset(LineSocket connection) {
+    return socketStates(connection.socket.getLocalPort(), connection.socket.getPort()).isEmpty();
   }
 
   /** Returns when the proxy has closed its side of a connection that this peer had closed before. */
-  static void awaitClosed(Peer peer) {
-    KernelSockets.await(() -> sockets(peer.socket.getPort(), peer.socket.getLocalPort()).isEmpty());
+  static void awaitClosedByProxy(LineSocket connection) {
+    KernelSockets.await(() -> socketStates(connection.socket.getPort(), connection.socket.getLocalPort()).isEmpty());
   }
 
   /** A client whose connection the proxy has accepted, and that says nothing. */
-  static Peer resting(Site site) throws IOException {
-    Peer client = site.client();
-    KernelSockets.await(() -> KernelSockets.queued(site.proxy.localAddress().getPort()) == 0);
+  static LineSocket idleClient(ProxyFixture fixture) throws IOException {
+    LineSocket client = fixture.newClient();
+    KernelSockets.await(() -> KernelSockets.backlog(fixture.proxy.localAddress().getPort()) == 0);
     return client;
   }
 
   /** Returns when the proxy has read all that this peer sent. */
-  static void awaitRead(Peer peer) {
-    KernelSockets.await(() -> KernelSockets.unread(peer.socket.getPort(), peer.socket.getLocalPort()) == 0);
+  static void awaitReadByProxy(LineSocket connection) {
+    KernelSockets.await(() -> KernelSockets.unreadBytes(connection.socket.getPort(), connection.socket.getLocalPort()) == 0);
   }
 
   /** Sockets whose connection to this port has not come up. */
-  static long dialling(int port) {
-    return sockets(-1, port).stream().filter(SYN_SENT::equals).count();
+  static long countConnecting(int port) {
+    return socketStates(-1, port).stream().filter(SYN_SENT::equals).count();
   }
 
   /** States of the sockets between these ports, from any local one where that is -1. */
-  private static List<String> sockets(int local, int remote) {
+  private static List<String> socketStates(int local, int remote) {
     List<String> states = new ArrayList<>();
     try {
       for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
--- a/proxy/src/test/java/lemondeal/proxy/RecordedSessionTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/RecordedSessionTest.java
@@ -5,7 +5,7 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -13,19 +13,19 @@
 @Timeout(30)
 class RecordedSessionTest {
 
-  private static void expect(Peer peer, String expected) throws Exception {
-    StringBuilder came = new StringBuilder();
+  private static void expect(LineSocket connection, String expected) throws Exception {
+    StringBuilder received = new StringBuilder();
     for (int i = 0; i < expected.length(); i++) {
-      came.append((char) peer.socket.getInputStream().read());
+      received.append((char) connection.socket.getInputStream().read());
     }
-    assertEquals(expected, came.toString());
+    assertEquals(expected, received.toString());
   }
 
   @Test
-  void isByteForByteAsItWasRecorded() throws Exception {
-    try (Site site = new Site(ProxyTest::sendOnce)) {
-      Peer client = site.client();
-      Peer server = null;
+  void matchesTheRecordingByteForByte() throws Exception {
+    try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
+      LineSocket client = fixture.newClient();
+      LineSocket server = null;
       int steps = 0;
       for (String line : Files.readAllLines(Path.of("src/test/resources/recorded-session.txt"))) {
         if (line.startsWith("#")) {
@@ -40,10 +40,10 @@
         } else if (line.startsWith("s> ")) {
           server.send(text);
         } else if (server == null) {
-          server = site.atServer();
-          String open = server.line() + "\r\n";
-          assertTrue(open.matches("(?s).*,d=1?[0-9]{1,3},.*"), open);
-          assertEquals(text, open.replaceFirst("d=[0-9]+", "d=D"));
+          server = fixture.acceptAtServer();
+          String openLine = server.readLine() + "\r\n";
+          assertTrue(openLine.matches("(?s).*,d=1?[0-9]{1,3},.*"), openLine);
+          assertEquals(text, openLine.replaceFirst("d=[0-9]+", "d=D"));
         } else {
           expect(server, text);
         }
--- a/proxy/src/test/java/lemondeal/proxy/SlotTableTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/SlotTableTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void holdsNoMoreThanItMay() {
+  void holdsAtMostItsCapacity() {
     table.add("first");
     table.add("second");
     assertTrue(table.isFull());
--- a/proxy/src/test/java/lemondeal/proxy/StartTimesTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/StartTimesTest.java
@@ -18,109 +18,109 @@
   private static final long HOUR = 3_600 * SECOND;
 
   private long now = 1_000 * HOUR;
-  private long step;
-  private final StartTimes starts = new StartTimes(() -> now, () -> now + step);
+  private long clockOffset;
+  private final StartTimes startTimes = new StartTimes(() -> now, () -> now + clockOffset);
 
   /** The start that is told in the wall clock as it stands at this moment. */
-  private long stamp() {
-    return now + step;
+  private long wallTimeNow() {
+    return now + clockOffset;
   }
 
-  private void passes(long micros, boolean sampled) {
+  private void advance(long micros, boolean sampled) {
     now += micros;
     if (sampled) {
-      starts.sample();
+      startTimes.sample();
     }
   }
 
-  private void steps(long micros) {
-    step += micros;
-    starts.sample();
+  private void stepWallClock(long micros) {
+    clockOffset += micros;
+    startTimes.sample();
   }
 
-  private long here(String server, long told) {
-    ServerEntry entry = new ServerEntry(server, 0, 0, 0, told, ServerState.READY, 1);
-    return starts.toLocalClock(new ServerList(1, ListKind.CHANGES, List.of(entry))).entries().get(0).startedAt();
+  private long toLocalClock(String server, long wallTime) {
+    ServerEntry entry = new ServerEntry(server, 0, 0, 0, wallTime, ServerState.READY, 1);
+    return startTimes.toLocalClock(new ServerList(1, ListKind.CHANGES, List.of(entry))).entries().get(0).startedAt();
   }
 
   @Test
-  void withoutAStepAStartStaysAsItIsTold() {
-    assertEquals(0, here("s0", 0), "long ago");
-    assertEquals(now - HOUR, here("s1", now - HOUR));
-    passes(SECOND, true);
-    assertEquals(now, here("s2", now));
+  void withoutAStepAStartKeepsItsTime() {
+    assertEquals(0, toLocalClock("s0", 0), "long ago");
+    assertEquals(now - HOUR, toLocalClock("s1", now - HOUR));
+    advance(SECOND, true);
+    assertEquals(now, toLocalClock("s2", now));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {2 * SECOND, -2 * SECOND, HOUR, -HOUR})
-  void aStartAfterAStepIsAsYoungAsItIs(long by) {
-    steps(by);
-    passes(3 * SECOND, true);
-    long stamped = stamp();
-    long real = now;
-    passes(SECOND, true);
-    assertEquals(real, here("s", stamped));
+  void aStartAfterAStepHasItsTrueAge(long stepMicros) {
+    stepWallClock(stepMicros);
+    advance(3 * SECOND, true);
+    long wallStart = wallTimeNow();
+    long expected = now;
+    advance(SECOND, true);
+    assertEquals(expected, toLocalClock("s", wallStart));
   }
 
   /** It is told after the step, by the clock of before. */
   @ParameterizedTest
   @ValueSource(longs = {2 * SECOND, -2 * SECOND, HOUR, -HOUR})
-  void aStartJustBeforeAStepIsAsYoungAsItIs(long by) {
-    passes(10 * SECOND, true);
-    long stamped = stamp();
-    long real = now;
-    passes(SECOND / 10, true);
-    steps(by);
-    passes(SECOND / 10, true);
-    assertEquals(real, here("s", stamped));
+  void aStartJustBeforeAStepHasItsTrueAge(long stepMicros) {
+    advance(10 * SECOND, true);
+    long wallStart = wallTimeNow();
+    long expected = now;
+    advance(SECOND / 10, true);
+    stepWallClock(stepMicros);
+    advance(SECOND / 10, true);
+    assertEquals(expected, toLocalClock("s", wallStart));
   }
 
   @Test
-  void whatWasToldOnceStaysWhereItIsWhateverIsStepped() {
-    long stamped = stamp();
-    long real = here("s", stamped);
-    for (long by : new long[] {HOUR, -2 * HOUR, 2 * SECOND}) {
-      steps(by);
-      passes(SECOND, true);
-      assertEquals(real, here("s", stamped));
+  void aConvertedStartIsNotChangedByLaterSteps() {
+    long wallStart = wallTimeNow();
+    long expected = toLocalClock("s", wallStart);
+    for (long stepMicros : new long[] {HOUR, -2 * HOUR, 2 * SECOND}) {
+      stepWallClock(stepMicros);
+      advance(SECOND, true);
+      assertEquals(expected, toLocalClock("s", wallStart));
     }
   }
 
   /** Between two looks a step may have come at any moment: the server is taken for as young as it may be. */
   @Test
-  void whereTwoMomentsFitTheYoungerOneIsTaken() {
-    passes(10 * SECOND, false);
-    long stamped = stamp();
-    steps(-5 * SECOND);
-    passes(6 * SECOND, true);
-    assertEquals(stamped + 5 * SECOND, here("s", stamped), "stamped after the step");
+  void ofTwoPossibleStartsTheLaterOneIsTaken() {
+    advance(10 * SECOND, false);
+    long wallStart = wallTimeNow();
+    stepWallClock(-5 * SECOND);
+    advance(6 * SECOND, true);
+    assertEquals(wallStart + 5 * SECOND, toLocalClock("s", wallStart), "stamped after the step");
   }
 
   @Test
   void aStartInTheFutureIsNow() {
-    assertEquals(now, here("s", now + HOUR));
+    assertEquals(now, toLocalClock("s", now + HOUR));
   }
 
   /** Clocks that are set right little by little are not stepped. */
   @Test
   void driftIsFollowed() {
     for (int i = 0; i < 1_000; i++) {
-      step += 10_000;
-      passes(SECOND, true);
+      clockOffset += 10_000;
+      advance(SECOND, true);
     }
-    assertEquals(now, here("s", stamp()));
+    assertEquals(now, toLocalClock("s", wallTimeNow()));
   }
 
   /** Where each replaced server has a name of its own, starts that nobody asks for would add up for months. */
   @Test
-  void startsOfServersThatHaveGoneAreForgotten() {
+  void startsOfRemovedServersAreDropped() {
     for (int i = 0; i < 100; i++) {
-      here("s" + i, now);
+      toLocalClock("s" + i, now);
     }
-    starts.keepOnly(Set.of("s7"));
-    assertEquals(1, starts.size());
-    passes(SECOND, true);
-    steps(HOUR);
-    assertEquals(now - SECOND, here("s7", now - SECOND), "kept as it was");
+    startTimes.keepOnly(Set.of("s7"));
+    assertEquals(1, startTimes.size());
+    advance(SECOND, true);
+    stepWallClock(HOUR);
+    assertEquals(now - SECOND, toLocalClock("s7", now - SECOND), "kept as it was");
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
@@ -24,13 +24,13 @@
   private static final long TICK = 5;
 
   private long now = 1_000_003;
-  private int woken;
-  private final ByteArrayOutputStream told = new ByteArrayOutputStream();
-  private final PrintStream log = new PrintStream(told, true);
-  private final TimerWheel wheel = new TimerWheel(() -> now, TICK, 16, new TaskGuard(new PlainLog(log)), () -> woken++);
+  private int wakeUps;
+  private final ByteArrayOutputStream logBytes = new ByteArrayOutputStream();
+  private final PrintStream log = new PrintStream(logBytes, true);
+  private final TimerWheel wheel = new TimerWheel(() -> now, TICK, 16, new TaskGuard(new PlainLog(log)), () -> wakeUps++);
   private final List<String> ran = new ArrayList<>();
 
-  private void passTo(long time) {
+  private void advanceTo(long time) {
     while (now < time) {
       now += Math.max(1, Math.min(time - now, wheel.untilNext()));
       wheel.advance();
@@ -56,13 +56,13 @@
         count[0]++;
       });
     }
-    passTo(now + 1100);
+    advanceTo(now + 1100);
     assertEquals(50, count[0]);
     assertEquals(Long.MAX_VALUE, wheel.untilNext());
   }
 
   @Test
-  void oneThatIsCalledOffDoesNotRunAndTasksMayCallOffOthers() {
+  void aCancelledTimerDoesNotRunAndTasksMayCancelOthers() {
     Timer[] later = new Timer[1];
     wheel.after(10, () -> {
       ran.add("first");
@@ -71,19 +71,19 @@
     });
     later[0] = wheel.after(10, () -> ran.add("second"));
     wheel.after(200, () -> ran.add("far")).cancel();
-    passTo(now + 300);
+    advanceTo(now + 300);
     assertEquals(List.of("first", "third"), ran);
     assertEquals(Long.MAX_VALUE, wheel.untilNext(), "an empty wheel must not ask to be moved");
   }
 
   @Test
-  void anEarlierDeadlineAsksToBeMovedInTime() {
+  void anEarlierDeadlineReschedulesTheWheel() {
     wheel.after(500, () -> ran.add("late"));
     wheel.after(600, () -> ran.add("later"));
-    assertEquals(1, woken);
+    assertEquals(1, wakeUps);
     wheel.after(20, () -> ran.add("soon"));
-    assertEquals(2, woken);
-    passTo(now + 1000);
+    assertEquals(2, wakeUps);
+    advanceTo(now + 1000);
     assertEquals(List.of("soon", "late", "later"), ran);
   }
 
@@ -99,7 +99,7 @@
     now += 5 * TICK;
     wheel.advance();
     assertEquals(List.of("same tick", "later tick"), ran);
-    assertTrue(told.toString(StandardCharsets.UTF_8).contains("broken task"), "what failed must be told");
+    assertTrue(logBytes.toString(StandardCharsets.UTF_8).contains("broken task"), "what failed must be told");
   }
 
   /** A moment without memory, or a stack that was too short, once stopped the wheel, and with it the whole process. */
@@ -107,21 +107,21 @@
   @ValueSource(classes = {OutOfMemoryError.class, StackOverflowError.class, IllegalStateException.class})
   void aDeadlineThatFailsStopsNoOther(Class<? extends Throwable> failure) throws Exception {
     Throwable thrown = failure.getConstructor().newInstance();
-    wheel.after(10, () -> TimerWheelTest.<RuntimeException>sneak(thrown));
+    wheel.after(10, () -> TimerWheelTest.<RuntimeException>throwUnchecked(thrown));
     wheel.after(10, () -> ran.add("same tick"));
     wheel.after(50, () -> ran.add("later"));
     try {
-      passTo(now + 100);
+      advanceTo(now + 100);
     } catch (VirtualMachineError e) {
       // The test's own runner would end on it.
       ran.add(e.toString());
     }
     assertEquals(List.of("same tick", "later"), ran);
-    assertTrue(told.toString().contains("failed inside: " + failure.getName()), told.toString());
+    assertTrue(logBytes.toString().contains("failed inside: " + failure.getName()), logBytes.toString());
   }
 
   @SuppressWarnings("unchecked")
-  private static <T extends Throwable> void sneak(Throwable thrown) throws T {
+  private static <T extends Throwable> void throwUnchecked(Throwable thrown) throws T {
     throw (T) thrown;
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
@@ -1,8 +1,8 @@
 package lemondeal.proxy;
 
-import static lemondeal.proxy.ProxyTest.ID;
-import static lemondeal.proxy.ProxyTest.OPEN;
-import static lemondeal.proxy.ProxyTest.up;
+import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
+import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
+import static lemondeal.proxy.ProxyTest.establish;
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,7 +15,7 @@
 import java.util.List;
 import lemondeal.Balancer.ServerSummary;
 import lemondeal.net.Listener;
-import lemondeal.proxy.Site.Peer;
+import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -23,12 +23,12 @@
 @Timeout(60)
 class UpgradeTest {
 
-  private static ServerSocketChannel socket() throws Exception {
+  private static ServerSocketChannel newListener() throws Exception {
     return Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
-  private static Thread stopping(Site site) {
-    Thread stop = new Thread(() -> assertDoesNotThrow(site.proxy::stop));
+  private static Thread startStop(ProxyFixture fixture) {
+    Thread stop = new Thread(() -> assertDoesNotThrow(fixture.proxy::stop));
     stop.start();
     return stop;
   }
@@ -36,56 +36,56 @@
   /** Clients accepted before there is a list would wait here, while the other process could serve them. */
   @Test
   void acceptsNothingBeforeItHasAList() throws Exception {
-    try (ServerSocketChannel socket = socket(); Site site = new Site(ProxyTest::sendOnce, socket)) {
-      site.module.standing = new ServerSummary(false, 0, 0);
-      Peer client = site.client().send("PING\r\n");
-      assertEquals("400 no", site.caller().send("ready\r\n").line());
-      site.module.standing = new ServerSummary(false, 1, 0);
-      assertEquals("PONG", client.line(), "the list from before must do after a while");
-      assertEquals("200 yes", site.caller().send("ready\r\n").line());
+    try (ServerSocketChannel listener = newListener(); ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener)) {
+      fixture.module.standing = new ServerSummary(false, 0, 0);
+      LineSocket client = fixture.newClient().send("PING\r\n");
+      assertEquals("400 no", fixture.newAdminClient().send("ready\r\n").readLine());
+      fixture.module.standing = new ServerSummary(false, 1, 0);
+      assertEquals("PONG", client.readLine(), "the list from before must do after a while");
+      assertEquals("200 yes", fixture.newAdminClient().send("ready\r\n").readLine());
     }
   }
 
   /** Those whose line was still on its way were once told BUSY, or met a process that had left. */
   @Test
-  void whoeverWasAcceptedIsServedAndThenMoved() throws Exception {
-    try (ServerSocketChannel socket = socket(); Site site = new Site(ProxyTest::sendOnce, socket)) {
-      Peer standing = site.client(OPEN);
-      up(site, standing);
+  void acceptedClientsAreServedAndThenMoved() throws Exception {
+    try (ServerSocketChannel listener = newListener(); ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener)) {
+      LineSocket established = fixture.newClient(OPEN_FIELDS);
+      establish(fixture, established);
       // A PONG tells that the connection has been accepted.
-      Peer late = site.client().send("PING\r\n");
-      assertEquals("PONG", late.line());
-      Thread stop = stopping(site);
-      assertEquals("MOVE", standing.line());
-      late.send(ID + OPEN + "\r\n");
-      up(site, late);
-      assertEquals("MOVE", late.line());
-      assertNull(late.line());
+      LineSocket late = fixture.newClient().send("PING\r\n");
+      assertEquals("PONG", late.readLine());
+      Thread stop = startStop(fixture);
+      assertEquals("MOVE", established.readLine());
+      late.send(OPEN_PREFIX + OPEN_FIELDS + "\r\n");
+      establish(fixture, late);
+      assertEquals("MOVE", late.readLine());
+      assertNull(late.readLine());
       stop.join();
     }
   }
 
   /** From the order to stop on, whatever waits in the queue is the other process's. */
   @Test
-  void theOtherProcessAcceptsAllThatStillComes() throws Exception {
-    try (ServerSocketChannel socket = socket(); Site before = new Site(ProxyTest::sendOnce, socket)) {
-      up(before, before.client(OPEN));
-      Thread stop = stopping(before);
-      while (!before.caller().send("ready\r\n").line().equals("400 no")) {
+  void theSuccessorAcceptsAllLaterClients() throws Exception {
+    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = new ProxyFixture(ProxyTest::sendOnce, listener)) {
+      establish(predecessor, predecessor.newClient(OPEN_FIELDS));
+      Thread stop = startStop(predecessor);
+      while (!predecessor.newAdminClient().send("ready\r\n").readLine().equals("400 no")) {
         continue;
       }
-      List<Peer> clients = new ArrayList<>();
+      List<LineSocket> clients = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        clients.add(before.client("c=chat,d=9000"));
+        clients.add(predecessor.newClient("c=chat,d=9000"));
       }
-      try (Site after = new Site(ProxyTest::sendOnce, socket)) {
-        for (Peer client : clients) {
-          assertTrue(after.atServer().send("UP r1\r\n").line().startsWith("OPEN "));
+      try (ProxyFixture successor = new ProxyFixture(ProxyTest::sendOnce, listener)) {
+        for (LineSocket client : clients) {
+          assertTrue(successor.acceptAtServer().send("UP r1\r\n").readLine().startsWith("OPEN "));
         }
-        for (Peer client : clients) {
-          assertEquals("UP r1", client.line());
+        for (LineSocket client : clients) {
+          assertEquals("UP r1", client.readLine());
         }
-        assertEquals(clients.size(), after.figure("in_flight"));
+        assertEquals(clients.size(), successor.metric("in_flight"));
       }
       stop.join();
     }
--- a/proxy/src/test/java/lemondeal/resume/SessionModelTest.java
+++ b/proxy/src/test/java/lemondeal/resume/SessionModelTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import lemondeal.claims.CasClaims;
+import lemondeal.claims.CasClaimService;
 import lemondeal.claims.CasStore;
 import lemondeal.claims.ClaimState;
 import lemondeal.claims.MemoryStore;
@@ -25,74 +25,74 @@
  * proxies' side is the program's own; client, servers and store are a model that keeps to docs/RESUME-WIRE.md.
  */
 class SessionModelTest {
-  private static final long LIFE = 30_000;
+  private static final long TOKEN_LIFETIME_MILLIS = 30_000;
   private static final ResumeSettings SETTINGS =
-      new ResumeSettings(Set.of("chat"), LIFE, 500, 1000, 50, 10, 2000, 100, 200);
+      new ResumeSettings(Set.of("chat"), TOKEN_LIFETIME_MILLIS, 500, 1000, 50, 10, 2000, 100, 200);
 
   private long now = 1_700_000_000_000L;
   private Random random;
-  private final List<Runnable> due = new ArrayList<>();
+  private final List<Runnable> pendingTasks = new ArrayList<>();
 
   // ---- The servers' shared store, and what it is held to ---------------------------------------
 
-  private long highest;
-  private final List<Integer> applied = new ArrayList<>();
-  private int promised;
+  private long highestEpoch;
+  private final List<Integer> appliedLines = new ArrayList<>();
+  private int acknowledgedLines;
 
   // ---- The client ------------------------------------------------------------------------------
 
   private String token = "";
-  private int sent;
-  private int dropped;
-  private int got;
-  private int opens;
-  private Connection standing;
-  private final List<String> refusals = new ArrayList<>();
+  private int sentLines;
+  private int discardedLines;
+  private int receivedLines;
+  private int openCount;
+  private Connection established;
+  private final List<String> rejections = new ArrayList<>();
 
   /** Calls to the store come late, and some are lost. */
-  private final class LateStore implements CasStore {
-    final MemoryStore inner = new MemoryStore(50, () -> now);
+  private final class UnreliableStore implements CasStore {
+    final MemoryStore delegate = new MemoryStore(50, () -> now);
 
     @Override
-    public void read(String session, Consumer<Written> told) {
-      later(() -> inner.read(session, answer -> later(() -> told.accept(answer))));
+    public void read(String session, Consumer<Result> callback) {
+      deferOrLose(() -> delegate.read(session, answer -> deferOrLose(() -> callback.accept(answer))));
     }
 
     @Override
-    public void compareAndSet(String session, long version, ClaimState state, Consumer<Written> told) {
-      later(() -> inner.compareAndSet(session, version, state, answer -> later(() -> told.accept(answer))));
+    public void compareAndSet(String session, long expectedVersion, ClaimState state, Consumer<Result> callback) {
+      deferOrLose(() -> delegate.compareAndSet(session, expectedVersion, state, answer -> deferOrLose(() -> callback.accept(answer))));
     }
 
     @Override
     public void close() {
-      inner.close();
+      delegate.close();
     }
   }
 
-  private void later(Runnable task) {
+  private void deferOrLose(Runnable task) {
     if (random.nextInt(10) > 0) {
-      due.add(task);
+      pendingTasks.add(task);
     }
   }
 
   /** A client's connection at a proxy, and the attempt that it has out. */
-  private final class Connection implements Continuity.Side {
-    final Continuity continuity;
-    final boolean doubled;
-    boolean dead;
-    boolean over;
+  private final class Connection implements SessionContinuity.ClientConnection {
+    final SessionContinuity continuity;
+    final boolean duplicate;
+    boolean proxyKilled;
+    boolean ended;
     boolean admitted;
     int attempts;
     /** What its server was told, once an attempt is out; what it holds, once that is up. */
-    String open;
+    String serverOpenLine;
     long epoch;
     boolean up;
-    int next;
+    int linesAtClient;
 
-    Connection(Resumption proxy, boolean doubled) throws ProtocolException {
-      this.doubled = doubled;
-      String line = String.format("OPEN %016x 1 c=chat,d=2000,resume=1", ++opens);
-      continuity = proxy.of(OpenLine.parse(token.isEmpty() ? line : line + ",token=" + token + ",got=" + got));
+    Connection(ResumptionContext proxy, boolean duplicate) throws ProtocolException {
+      this.duplicate = duplicate;
+      String clientOpenLine = String.format("OPEN %016x 1 c=chat,d=2000,resume=1", ++openCount);
+      continuity = proxy.continuityOf(OpenLine.parse(token.isEmpty() ? clientOpenLine : clientOpenLine + ",token=" + token + ",got=" + receivedLines));
     }
 
     @Override
@@ -101,35 +101,35 @@
     }
 
     @Override
-    public void throttle(long micros) {
+    public void throttle(long retryAfterMicros) {
       end();
     }
 
     @Override
     public void fail(String line) {
-      refusals.add((doubled ? "double: " : "") + line);
-      if (!doubled) {
+      rejections.add((duplicate ? "double: " : "") + line);
+      if (!duplicate) {
         // Whoever is refused drops its token, as the page says.
-        begin();
+        resetSession();
       }
       end();
     }
 
     @Override
-    public boolean say(String line) {
-      heard(line);
+    public boolean sendLine(String line) {
+      onProxyLine(line);
       return true;
     }
 
     @Override
-    public void after(long micros, Runnable task) {
-      long at = now + micros / 1000;
-      due.add(new Runnable() {
+    public void schedule(long delayMicros, Runnable task) {
+      long dueTime = now + delayMicros / 1000;
+      pendingTasks.add(new Runnable() {
         @Override
         public void run() {
-          if (now < at) {
-            due.add(this);
-          } else if (!dead) {
+          if (now < dueTime) {
+            pendingTasks.add(this);
+          } else if (!proxyKilled) {
             task.run();
           }
         }
@@ -137,9 +137,9 @@
     }
 
     @Override
-    public void later(Runnable task) {
-      due.add(() -> {
-        if (!dead) {
+    public void runOnEventLoop(Runnable task) {
+      pendingTasks.add(() -> {
+        if (!proxyKilled) {
           task.run();
         }
       });
@@ -147,181 +147,181 @@
 
     /** The connection ends, as its proxy sees it. */
     void end() {
-      if (!over) {
-        over = true;
-        if (!dead) {
-          continuity.over();
+      if (!ended) {
+        ended = true;
+        if (!proxyKilled) {
+          continuity.onEnd();
         }
-        if (standing == this) {
-          standing = null;
+        if (established == this) {
+          established = null;
         }
       }
     }
 
     /** The next attempt goes out: what is out was closed before. */
-    void attempt() {
-      open = continuity.firstLine(1000, attempts++);
-      epoch = Long.parseLong(open.replaceAll(".*epoch=([0-9]+).*\r\n", "$1"));
-      next = Integer.parseInt(open.replaceAll(".*have=([0-9]+).*\r\n", "$1"));
+    void startAttempt() {
+      serverOpenLine = continuity.firstLine(1000, attempts++);
+      epoch = Long.parseLong(serverOpenLine.replaceAll(".*epoch=([0-9]+).*\r\n", "$1"));
+      linesAtClient = Integer.parseInt(serverOpenLine.replaceAll(".*have=([0-9]+).*\r\n", "$1"));
     }
 
     /** The attempt's line comes to a server, late perhaps: the proxy may have given it up, or died. */
-    void arrive() {
-      if (epoch <= highest || next > applied.size()) {
+    void deliverToServer() {
+      if (epoch <= highestEpoch || linesAtClient > appliedLines.size()) {
         return;
       }
-      highest = epoch;
-      String answer = "UP r resumed=" + applied.size();
-      if (!over && !dead && continuity.takes(answer)) {
+      highestEpoch = epoch;
+      String upLine = "UP r resumed=" + appliedLines.size();
+      if (!ended && !proxyKilled && continuity.acceptsUp(upLine)) {
         up = true;
-        String told = continuity.up(attempts - 1, "s", answer);
-        if (!doubled) {
-          standing = this;
-          began(told.trim(), applied.size());
+        String resumeLine = continuity.onUp(attempts - 1, "s", upLine);
+        if (!duplicate) {
+          established = this;
+          onResumeLine(resumeLine.trim(), appliedLines.size());
         }
       }
     }
 
     /** A line of the client comes to the server that holds the session, unless it is fenced out. */
-    void apply(int number) {
-      if (epoch >= highest) {
-        applied.add(number);
-        assertEquals(applied.size(), number, "lines out of order or twice");
+    void applyClientLine(int number) {
+      if (epoch >= highestEpoch) {
+        appliedLines.add(number);
+        assertEquals(appliedLines.size(), number, "lines out of order or twice");
       }
     }
 
-    private void heard(String line) {
-      if (line.startsWith("TOKEN ") && standing == this) {
+    private void onProxyLine(String line) {
+      if (line.startsWith("TOKEN ") && established == this) {
         token = line.substring("TOKEN ".length());
       }
     }
   }
 
-  private void begin() {
+  private void resetSession() {
     token = "";
-    sent = 0;
-    dropped = 0;
-    got = 0;
-    applied.clear();
-    highest = 0;
-    promised = 0;
+    sentLines = 0;
+    discardedLines = 0;
+    receivedLines = 0;
+    appliedLines.clear();
+    highestEpoch = 0;
+    acknowledgedLines = 0;
   }
 
   /** The line behind UP, as the client takes it. */
-  private void began(String line, int has) {
+  private void onResumeLine(String line, int linesAtServer) {
     String[] words = line.split(" ");
     if (words[1].equals("at")) {
-      assertEquals(has, Integer.parseInt(words[2]));
-      assertTrue(has >= promised, "an acknowledged line is lost");
-      assertTrue(has <= sent, "the server has lines that were never sent");
-      dropped = Math.max(dropped, has);
+      assertEquals(linesAtServer, Integer.parseInt(words[2]));
+      assertTrue(linesAtServer >= acknowledgedLines, "an acknowledged line is lost");
+      assertTrue(linesAtServer <= sentLines, "the server has lines that were never sent");
+      discardedLines = Math.max(discardedLines, linesAtServer);
     } else {
-      begin();
+      resetSession();
       // The store of a new session is its own: this model follows one session at a time.
-      highest = standing.epoch;
+      highestEpoch = established.epoch;
     }
     token = words[words.length - 1];
   }
 
   @Property(seed = "51", tries = 600)
-  void nothingIsLostRepeatedOrOutOfOrder(@ForAll long seed) throws ProtocolException {
+  void noLineIsLostRepeatedOrReordered(@ForAll long seed) throws ProtocolException {
     random = new Random(seed);
-    KeyRing ring = new KeyRing("k1", List.of(TokenCodecTest.key("k1", 1)));
-    LateStore store = new LateStore();
-    List<Resumption> proxies = new ArrayList<>();
+    KeyRing keyRing = new KeyRing("k1", List.of(TokenCodecTest.key("k1", 1)));
+    UnreliableStore store = new UnreliableStore();
+    List<ResumptionContext> proxies = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      proxies.add(new Resumption(SETTINGS, ring, new CasClaims(store, () -> now), "n" + i, () -> now));
+      proxies.add(new ResumptionContext(SETTINGS, keyRing, new CasClaimService(store, () -> now), "n" + i, () -> now));
     }
     Deque<Connection> connections = new ArrayDeque<>();
-    List<Connection> stray = new ArrayList<>();
+    List<Connection> supersededAttempts = new ArrayList<>();
     for (int step = 0; step < 300; step++) {
       switch (random.nextInt(10)) {
         case 0 -> {
-          boolean doubled = random.nextInt(4) == 0 && !token.isEmpty();
-          if (standing == null || doubled) {
-            Connection connection = new Connection(proxies.get(random.nextInt(3)), doubled);
+          boolean duplicate = random.nextInt(4) == 0 && !token.isEmpty();
+          if (established == null || duplicate) {
+            Connection connection = new Connection(proxies.get(random.nextInt(3)), duplicate);
             connections.add(connection);
             connection.continuity.begin(connection);
           }
         }
         case 1, 2 -> {
           for (Connection connection : List.copyOf(connections)) {
-            if (connection.admitted && !connection.over && !connection.up && connection.attempts < 3) {
-              if (connection.open != null && random.nextBoolean()) {
+            if (connection.admitted && !connection.ended && !connection.up && connection.attempts < 3) {
+              if (connection.serverOpenLine != null && random.nextBoolean()) {
                 // The line of the attempt given up is still on its way.
-                stray.add(connection);
+                supersededAttempts.add(connection);
               }
-              connection.attempt();
+              connection.startAttempt();
               if (random.nextInt(3) > 0) {
-                connection.arrive();
+                connection.deliverToServer();
               }
             }
           }
         }
         case 3 -> {
-          if (!stray.isEmpty()) {
-            stray.remove(random.nextInt(stray.size())).arrive();
+          if (!supersededAttempts.isEmpty()) {
+            supersededAttempts.remove(random.nextInt(supersededAttempts.size())).deliverToServer();
           }
         }
         case 4, 5 -> {
-          if (standing != null && sent - dropped < 40) {
-            sent++;
-            standing.continuity.fromClient();
+          if (established != null && sentLines - discardedLines < 40) {
+            sentLines++;
+            established.continuity.onClientLine();
           }
         }
         case 6 -> {
           // What the server that holds the session has read so far, as far as it came through.
           for (Connection connection : connections) {
-            if (connection.up && !connection.over && connection == standing && applied.size() < sent) {
-              connection.apply(applied.size() + 1);
+            if (connection.up && !connection.ended && connection == established && appliedLines.size() < sentLines) {
+              connection.applyClientLine(appliedLines.size() + 1);
               if (random.nextBoolean()) {
-                promised = applied.size();
-                dropped = promised;
-                connection.continuity.fromServer("ACK " + promised);
+                acknowledgedLines = appliedLines.size();
+                discardedLines = acknowledgedLines;
+                connection.continuity.rewriteServerLine("ACK " + acknowledgedLines);
               }
-              if (connection.next < applied.size()) {
-                connection.next++;
-                got++;
-                assertEquals(connection.next, got, "a line to the client is lost or twice");
-                connection.continuity.fromServer("price " + got);
+              if (connection.linesAtClient < appliedLines.size()) {
+                connection.linesAtClient++;
+                receivedLines++;
+                assertEquals(connection.linesAtClient, receivedLines, "a line to the client is lost or twice");
+                connection.continuity.rewriteServerLine("price " + receivedLines);
               }
             }
           }
         }
         case 7 -> {
-          if (standing != null && random.nextBoolean()) {
+          if (established != null && random.nextBoolean()) {
             if (random.nextBoolean()) {
-              String move = standing.continuity.move();
-              token = move.startsWith("MOVE ") ? move.trim().substring("MOVE ".length()) : token;
+              String moveLine = established.continuity.moveLine();
+              token = moveLine.startsWith("MOVE ") ? moveLine.trim().substring("MOVE ".length()) : token;
             }
-            standing.end();
+            established.end();
           }
         }
         case 8 -> {
           if (random.nextInt(6) == 0) {
             // A proxy is killed, with all that it had under way, and comes back knowing nothing.
-            int which = random.nextInt(3);
+            int proxyIndex = random.nextInt(3);
             for (Connection connection : List.copyOf(connections)) {
               if (random.nextInt(3) == 0) {
-                connection.dead = true;
+                connection.proxyKilled = true;
                 connection.end();
               }
             }
-            proxies.set(which, new Resumption(SETTINGS, ring, new CasClaims(store, () -> now), "n" + which, () -> now));
+            proxies.set(proxyIndex, new ResumptionContext(SETTINGS, keyRing, new CasClaimService(store, () -> now), "n" + proxyIndex, () -> now));
           }
         }
         default -> now += random.nextInt(900);
       }
-      for (Runnable task : List.copyOf(due)) {
+      for (Runnable task : List.copyOf(pendingTasks)) {
         if (random.nextBoolean()) {
-          due.remove(task);
+          pendingTasks.remove(task);
           task.run();
         }
       }
-      connections.removeIf(connection -> connection.over);
+      connections.removeIf(connection -> connection.ended);
     }
-    for (String refusal : refusals) {
-      assertTrue(refusal.equals("ERR used") || refusal.startsWith("double: "), refusal);
+    for (String rejection : rejections) {
+      assertTrue(rejection.equals("ERR used") || rejection.startsWith("double: "), rejection);
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/resume/TokenCodecTest.java
+++ b/proxy/src/test/java/lemondeal/resume/TokenCodecTest.java
@@ -18,12 +18,12 @@
 /** Tokens to text and back, and texts that are none. */
 class TokenCodecTest {
   private final TokenCodec codec = new TokenCodec();
-  private final Key first = key("k1", 1);
-  private final Key second = key("k2", 2);
-  private final KeyRing ring = new KeyRing("k2", List.of(first, second));
+  private final Key firstKey = key("k1", 1);
+  private final Key secondKey = key("k2", 2);
+  private final KeyRing keyRing = new KeyRing("k2", List.of(firstKey, secondKey));
 
   static Key key(String id, int fill) {
-    byte[] secret = new byte[Key.BYTES];
+    byte[] secret = new byte[Key.SECRET_BYTES];
     Arrays.fill(secret, (byte) fill);
     return new Key(id, Instant.EPOCH, secret);
   }
@@ -36,77 +36,77 @@
         "s-" + random.nextInt(1000), random.nextLong() >>> 1, random.nextLong() >>> 1);
   }
 
-  private TokenFault fault(String text) {
-    return assertThrows(TokenException.class, () -> codec.read(text, ring), text).fault();
+  private TokenFault faultOf(String text) {
+    return assertThrows(TokenException.class, () -> codec.decode(text, keyRing), text).fault();
   }
 
   @Property(seed = "11", tries = 200)
-  void comesBackAsItWasAndFitsALine(@ForAll long seed) throws TokenException {
+  void roundTripsAndFitsALine(@ForAll long seed) throws TokenException {
     Token token = token(new Random(seed));
-    for (Key key : ring.keys()) {
-      String text = codec.write(token, key);
-      assertEquals(token, codec.read(text, ring));
+    for (Key key : keyRing.keys()) {
+      String text = codec.encode(token, key);
+      assertEquals(token, codec.decode(text, keyRing));
       assertTrue(text.matches("[A-Za-z0-9_.-]{1,1024}"), text);
     }
   }
 
   /** Every other character anywhere, and every cut, is found: nothing of a payload is believed before its MAC. */
   @Property(seed = "12", tries = 25)
-  void nothingButTheWholeTextIsTaken(@ForAll long seed) {
+  void everyAlterationIsRejected(@ForAll long seed) {
     Random random = new Random(seed);
-    String text = codec.write(token(random), first);
-    for (int at = 0; at < text.length(); at++) {
-      char other = "ABCxyz019-_.".charAt(random.nextInt(12));
-      if (other != text.charAt(at)) {
-        fault(text.substring(0, at) + other + text.substring(at + 1));
+    String text = codec.encode(token(random), firstKey);
+    for (int position = 0; position < text.length(); position++) {
+      char replacement = "ABCxyz019-_.".charAt(random.nextInt(12));
+      if (replacement != text.charAt(position)) {
+        faultOf(text.substring(0, position) + replacement + text.substring(position + 1));
       }
-      fault(text.substring(0, at));
-      fault(text.substring(at + 1));
+      faultOf(text.substring(0, position));
+      faultOf(text.substring(position + 1));
     }
-    fault(text + "A");
+    faultOf(text + "A");
   }
 
   @Property(seed = "13", tries = 500)
-  void garbageIsRefused(@ForAll String garbage) {
-    fault(garbage);
+  void garbageIsRejected(@ForAll String garbage) {
+    faultOf(garbage);
   }
 
   @Example
-  void eachFaultIsToldApart() {
-    String text = codec.write(token(new Random(5)), first);
-    assertEquals(TokenFault.SHAPE, fault(""));
-    assertEquals(TokenFault.SHAPE, fault("1." + "A".repeat(2000)));
-    assertEquals(TokenFault.VERSION, fault("2" + text.substring(1)));
-    assertEquals(TokenFault.VERSION, fault("7.some.later-form"));
-    assertEquals(TokenFault.FORGED, fault(text.replaceFirst("k1", "k2")));
-    KeyRing later = new KeyRing("k2", List.of(second));
-    assertEquals(TokenFault.KEY, assertThrows(TokenException.class, () -> codec.read(text, later)).fault());
+  void faultsAreDistinguished() {
+    String text = codec.encode(token(new Random(5)), firstKey);
+    assertEquals(TokenFault.SHAPE, faultOf(""));
+    assertEquals(TokenFault.SHAPE, faultOf("1." + "A".repeat(2000)));
+    assertEquals(TokenFault.VERSION, faultOf("2" + text.substring(1)));
+    assertEquals(TokenFault.VERSION, faultOf("7.some.later-form"));
+    assertEquals(TokenFault.FORGED, faultOf(text.replaceFirst("k1", "k2")));
+    KeyRing newerRing = new KeyRing("k2", List.of(secondKey));
+    assertEquals(TokenFault.KEY, assertThrows(TokenException.class, () -> codec.decode(text, newerRing)).fault());
   }
 
   @Example
-  void messagesHoldNoSecretAndNoToken() {
-    String text = codec.write(token(new Random(6)), first);
-    TokenException fault = assertThrows(TokenException.class, () -> codec.read(text + "A", ring));
-    assertEquals("token: shape", fault.getMessage());
-    assertEquals("key k1", first.toString());
+  void messagesContainNeitherSecretNorToken() {
+    String text = codec.encode(token(new Random(6)), firstKey);
+    TokenException exception = assertThrows(TokenException.class, () -> codec.decode(text + "A", keyRing));
+    assertEquals("token: shape", exception.getMessage());
+    assertEquals("key k1", firstKey.toString());
   }
 
   @Example
   void groupsAreDigests() {
-    assertEquals("", codec.group(null));
-    assertEquals(16, codec.group("some group").length());
-    assertFalse(codec.group("a").equals(codec.group("b")));
+    assertEquals("", codec.groupDigest(null));
+    assertEquals(16, codec.groupDigest("some group").length());
+    assertFalse(codec.groupDigest("a").equals(codec.groupDigest("b")));
   }
 
   @Example
-  void aRingRotates() {
-    KeyRing rotated = ring.with(key("k3", 3)).using("k3").without("k1");
-    assertEquals("k3", rotated.presentKey().id());
+  void keyRingRotates() {
+    KeyRing rotatedRing = keyRing.withKey(key("k3", 3)).withPresentKey("k3").withoutKey("k1");
+    assertEquals("k3", rotatedRing.presentKey().id());
     List<String> ids = new ArrayList<>();
-    rotated.keys().forEach(key -> ids.add(key.id()));
+    rotatedRing.keys().forEach(key -> ids.add(key.id()));
     assertEquals(List.of("k2", "k3"), ids);
-    assertThrows(IllegalArgumentException.class, () -> rotated.without("k3"));
-    assertThrows(IllegalArgumentException.class, () -> rotated.using("k1"));
-    assertThrows(IllegalArgumentException.class, () -> rotated.with(key("k2", 9)));
+    assertThrows(IllegalArgumentException.class, () -> rotatedRing.withoutKey("k3"));
+    assertThrows(IllegalArgumentException.class, () -> rotatedRing.withPresentKey("k1"));
+    assertThrows(IllegalArgumentException.class, () -> rotatedRing.withKey(key("k2", 9)));
   }
 }
