--- a/lab/src/main/java/lemondeal/lab/FakeDiscovery.java
+++ b/lab/src/main/java/lemondeal/lab/FakeDiscovery.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A stand-in for the platform's discovery, on loopback: the whole list, and watches that hear each change at once. */
+/** A fake of the platform's discovery on loopback: serves the full list, and streams each change to watches at once. */
 public final class FakeDiscovery implements AutoCloseable {
-  /** Discovery writes an empty line this often while nothing changes. */
+  /** Interval of the empty lines that discovery writes while nothing changes. */
   private static final long HEARTBEAT_MILLIS = 1000;
 
   private final HttpServer server;
@@ -40,12 +40,12 @@
     return server.getAddress();
   }
 
-  /** Lists the server with this lifecycle: {@code in_service}, {@code terminating} or {@code terminated}. */
+  /** Lists the server in zone a with a lifecycle of {@code in_service}, {@code terminating} or {@code terminated}. */
   public void putInstance(String id, InetSocketAddress address, String lifecycle) {
     putInstance(id, address, "a", lifecycle);
   }
 
-  /** The same for a server of this zone. */
+  /** Lists a server of the given zone. */
   public synchronized void putInstance(String id, InetSocketAddress address, String zone, String lifecycle) {
     instances.put(id, "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + address.getPort()
         + "\",\"zone\":\"" + zone + "\",\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"" + lifecycle
--- a/lab/src/main/java/lemondeal/lab/Lab.java
+++ b/lab/src/main/java/lemondeal/lab/Lab.java
@@ -16,8 +16,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The lab's command line: stand-ins to start by hand, and measurements. Never on the platform. */
-@Command(name = "lab", mixinStandardHelpOptions = true, description = "Stand-ins and measurements.",
+/** Command line of the test tools: fake servers to start by hand, and measurements. Never runs on the platform. */
+@Command(name = "lab", mixinStandardHelpOptions = true, description = "Fake servers and measurements.",
     subcommands = {Lab.DrainDayCommand.class, Lab.MeasureResume.class, Lab.MeasureConsul.class, Lab.MeasureEmulator.class,
         Lab.ClaimStore.class, Lab.Consul.class, ExperimentCommands.Run.class, ExperimentCommands.Compare.class,
         ExperimentCommands.Results.class, ExperimentCommands.Placement.class, FleetCountCommand.class, SoakCommand.class})
@@ -37,19 +37,19 @@
 
   /** {@code drain-day}. */
   @Command(name = "drain-day", mixinStandardHelpOptions = true, exitCodeListHeading = "%nExit codes:%n",
-      exitCodeList = {"0:every promise was kept", "1:one was broken, told in a line each", "2:bad use"},
-      description = "Drain the servers of a small site in turn under resuming clients, and check the promises.")
+      exitCodeList = {"0:all guarantees held", "1:a guarantee was broken; each breach is printed on a line", "2:invalid usage"},
+      description = "Drain the servers of a small cluster one after another under resuming clients, and check the guarantees.")
   static final class DrainDayCommand implements Callable<Integer> {
     @Option(names = "--proxies", defaultValue = "3", description = "Real proxies (${DEFAULT-VALUE}).")
     private int proxies;
 
-    @Option(names = "--servers", defaultValue = "6", description = "Stand-in servers at once (${DEFAULT-VALUE}).")
+    @Option(names = "--servers", defaultValue = "6", description = "Fake servers at the same time (${DEFAULT-VALUE}).")
     private int servers;
 
-    @Option(names = "--clients", defaultValue = "100", description = "Clients at once (${DEFAULT-VALUE}).")
+    @Option(names = "--clients", defaultValue = "100", description = "Clients at the same time (${DEFAULT-VALUE}).")
     private int clients;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "How long clients send (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "20", description = "Seconds for which clients send (${DEFAULT-VALUE}).")
     private int seconds;
 
     @Option(names = "--pace", defaultValue = "100", description = "Milliseconds between two lines (${DEFAULT-VALUE}).")
@@ -67,19 +67,19 @@
       }
       List<String> breaches = new RollingDrain(proxies, servers, clients, System.err).run(seconds, pace);
       breaches.forEach(System.out::println);
-      System.out.println(breaches.size() + " promises broken");
+      System.out.println(breaches.size() + " guarantees broken");
       return breaches.isEmpty() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
     }
   }
 
   /** {@code measure-resume}. */
   @Command(name = "measure-resume", mixinStandardHelpOptions = true,
-      description = "Measure resumable moves beside plain ones on real proxies; about two minutes.")
+      description = "Compare resumable with plain moves on real proxies; takes about two minutes.")
   static final class MeasureResume implements Callable<Integer> {
-    @Option(names = "--clients", defaultValue = "100", description = "Clients at once (${DEFAULT-VALUE}).")
+    @Option(names = "--clients", defaultValue = "100", description = "Clients at the same time (${DEFAULT-VALUE}).")
     private int clients;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Where the tables go; standard output if not given.")
+    @Option(names = "--out", paramLabel = "FILE", description = "File for the tables; standard output by default.")
     private Path out;
 
     @Override
@@ -96,22 +96,22 @@
 
   /** {@code measure-consul}. */
   @Command(name = "measure-consul", mixinStandardHelpOptions = true,
-      description = "Measure servers from Consul on real proxies against the stand-in; some minutes.")
+      description = "Measure discovery through Consul with real proxies and a fake Consul; takes some minutes.")
   static final class MeasureConsul implements Callable<Integer> {
-    @Option(names = "--plays", defaultValue = "20", description = "Plays of each kind of drain (${DEFAULT-VALUE}).")
+    @Option(names = "--plays", defaultValue = "20", description = "Rounds of each kind of drain (${DEFAULT-VALUE}).")
     private int plays;
 
     @Option(names = "--sizes", split = ",", defaultValue = "100,1000,10000",
-        description = "Instances in a list (${DEFAULT-VALUE}).")
+        description = "Instances per list (${DEFAULT-VALUE}).")
     private int[] sizes;
 
     @Option(names = "--fleets", split = ",", defaultValue = "3,48", description = "Proxies on one Consul (${DEFAULT-VALUE}).")
     private int[] fleets;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "How long each size and fleet runs (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "20", description = "Seconds per size and fleet (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Where the tables go; standard output if not given.")
+    @Option(names = "--out", paramLabel = "FILE", description = "File for the tables; standard output by default.")
     private Path out;
 
     @CommandLine.Spec
@@ -146,9 +146,9 @@
 
   /** {@code measure-emulator}. */
   @Command(name = "measure-emulator", mixinStandardHelpOptions = true,
-      description = "Measure the emulator's speed, the largest run, and the module's time for a request; some minutes.")
+      description = "Measure the emulator's speed, the largest run, and the module's time per request; takes some minutes.")
   static final class MeasureEmulator implements Callable<Integer> {
-    @Option(names = "--largest", description = "Also 1,000 servers, 100 proxies and a million connections.")
+    @Option(names = "--largest", description = "Add a run with 1,000 servers, 100 proxies and a million connections.")
     private boolean largest;
 
     @Override
@@ -160,7 +160,7 @@
 
   /** {@code claim-store}. */
   @Command(name = "claim-store", mixinStandardHelpOptions = true,
-      description = "Run the stand-in claim store until standard input ends. It forgets all with its process.")
+      description = "Run the fake claim store until standard input ends. Claims are kept in memory only.")
   static final class ClaimStore implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
@@ -176,10 +176,10 @@
 
   /** {@code consul}. */
   @Command(name = "consul", mixinStandardHelpOptions = true,
-      description = "Run the stand-in Consul with link servers registered, changed by lines on standard input, until it "
+      description = "Run the fake Consul with echo servers registered. Lines on standard input change it until the input "
           + "ends.")
   static final class Consul implements Callable<Integer> {
-    @Option(names = "--servers", defaultValue = "4", description = "Link servers registered at first (${DEFAULT-VALUE}).")
+    @Option(names = "--servers", defaultValue = "4", description = "Echo servers registered at the start (${DEFAULT-VALUE}).")
     private int servers;
 
     @CommandLine.Spec
--- a/lab/src/main/java/lemondeal/lab/LineConnection.java
+++ b/lab/src/main/java/lemondeal/lab/LineConnection.java
@@ -7,13 +7,13 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A blocking socket that speaks lines. Reading is one thread's, writing may be any one's. */
+/** A blocking TCP connection for lines of text. Only one thread may read; any thread may write. */
 public final class LineConnection implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MILLIS = 5000;
 
   private final Socket socket;
   private final InputStream input;
-  /** What has come of a line that is not whole; kept when the patience ends inside it. */
+  /** Received part of an incomplete line; kept when a read times out within the line. */
   private final StringBuilder partialLine = new StringBuilder();
 
   public LineConnection(Socket socket) throws IOException {
@@ -33,12 +33,12 @@
     }
   }
 
-  /** How long {@link #read} waits before it throws; 0 for ever. */
+  /** How long {@link #readLine} waits before it throws; 0 waits forever. */
   public void setReadTimeout(int timeoutMillis) throws IOException {
     socket.setSoTimeout(timeoutMillis);
   }
 
-  /** The next whole line without its end, or null at the end of the connection. A line cut off by that is none. */
+  /** Returns the next line without its terminator, or null at the end of the stream. Drops an unterminated last line. */
   public String readLine() throws IOException {
     for (int b = input.read(); b >= 0; b = input.read()) {
       if (b == '\n') {
@@ -56,22 +56,22 @@
     writeRaw(String.join("\r\n", lines) + "\r\n");
   }
 
-  /** Writes the text as it is. */
+  /** Writes the text without adding line ends. */
   public synchronized void writeRaw(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Ends the sending; what was sent still arrives. */
+  /** Half-closes the connection: data that is already sent still arrives. */
   public void shutdownOutput() throws IOException {
     socket.shutdownOutput();
   }
 
-  /** Ends with a reset, as when a process dies. */
+  /** Closes with a TCP reset, as when the process dies. */
   public void reset() {
     try {
       socket.setSoLinger(true, 0);
     } catch (IOException e) {
-      // It has ended already.
+      // Already closed.
     }
     close();
   }
@@ -81,7 +81,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // It has ended already.
+      // Already closed.
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/ProxyProcess.java
+++ b/lab/src/main/java/lemondeal/lab/ProxyProcess.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.TimeUnit;
 import lemondeal.Main;
 
-/** A real proxy in a process of its own, as an operator starts it. Ended with its owner. */
+/** A real proxy in a child process, started as an operator starts it. {@link #close} ends it. */
 public final class ProxyProcess implements AutoCloseable {
   private static final long TIMEOUT_SECONDS = 30;
-  /** A signal that the lab's own starter ignores, as {@code nohup} does, would be ignored in the proxy too. */
+  /** Signals ignored in the parent, as under {@code nohup}, would be ignored in the proxy as well. */
   private static final List<String> RESET_SIGNALS = List.of("env", "--default-signal=HUP,INT,TERM");
   private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
 
@@ -35,7 +35,7 @@
     reader.start();
   }
 
-  /** The command that runs the program with these words. */
+  /** Returns the command line that runs the program with the arguments. */
   public static List<String> command(String... arguments) {
     List<String> command = new ArrayList<>(RESET_SIGNALS);
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -58,12 +58,12 @@
     }
   }
 
-  /** Starts it and waits until it listens. {@code operatorFile} may be null. */
+  /** Starts a proxy and waits until it listens. {@code operatorFile} may be null. */
   public static ProxyProcess start(Path config, Path operatorFile) throws IOException, InterruptedException {
     return start(config, operatorFile, Map.of());
   }
 
-  /** The same with these variables beside its own. */
+  /** Starts a proxy with additional environment variables. */
   public static ProxyProcess start(Path config, Path operatorFile, Map<String, String> extraEnvironment)
       throws IOException, InterruptedException {
     ProcessBuilder builder = new ProcessBuilder(command("serve")).redirectErrorStream(true);
@@ -90,17 +90,17 @@
         unreadLines.add(line);
       }
     } catch (IOException e) {
-      unreadLines.add("the log broke: " + e);
+      unreadLines.add("cannot read the proxy's output: " + e);
     }
   }
 
-  /** Waits for a line of the log with this in it; passes over others. */
+  /** Waits for a log line that contains the text; consumes the lines before it. */
   public String awaitLog(String text) throws IOException, InterruptedException {
     while (true) {
       String line = unreadLines.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (line == null) {
         close();
-        throw new IOException("the proxy did not say '" + text + "': " + log());
+        throw new IOException("the proxy did not log '" + text + "': " + log());
       }
       if (line.contains(text)) {
         return line;
@@ -108,7 +108,7 @@
     }
   }
 
-  /** All lines of its log so far. */
+  /** Returns all log lines so far. */
   public List<String> log() {
     synchronized (allLines) {
       return List.copyOf(allLines);
@@ -127,26 +127,25 @@
     return process.isAlive();
   }
 
-  /** SIGTERM. */
+  /** Sends SIGTERM. */
   public void stop() {
     process.destroy();
   }
 
-  /** SIGKILL. */
+  /** Sends SIGKILL and waits for the end. */
   public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  /** SIGHUP. */
   public void sendSighup() throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Waits for its end; the exit code. */
+  /** Waits for the process to end and returns its exit code. */
   public int awaitExit() throws IOException, InterruptedException {
     if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       close();
-      throw new IOException("the proxy did not end: " + log());
+      throw new IOException("the proxy did not exit: " + log());
     }
     return process.exitValue();
   }
--- a/lab/src/main/java/lemondeal/lab/TestCertificateAuthority.java
+++ b/lab/src/main/java/lemondeal/lab/TestCertificateAuthority.java
@@ -33,8 +33,8 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * An authority of the lab's own that signs certificates for stand-ins and proxies on loopback, written as PEM files as an
- * operator's authority would hand them out. Never meant for anything but tests: its keys lie in the lab's folders.
+ * A certificate authority that signs certificates for fake servers and proxies on loopback, and writes them as PEM files
+ * like an operator's authority. For tests only: private keys are stored unprotected in the test folders.
  */
 public final class TestCertificateAuthority {
   private static final Duration VALIDITY = Duration.ofDays(2);
@@ -51,7 +51,7 @@
     this.certificate = certificate;
   }
 
-  /** A new authority under this common name. */
+  /** Creates an authority with a self-signed certificate. */
   public static TestCertificateAuthority create(String name) {
     KeyPair newKeyPair = generateKeyPair();
     X500Name subject = new X500Name("CN=" + name);
@@ -65,24 +65,24 @@
     }
   }
 
-  /** Files of a certificate with its key, in a folder. */
+  /** Files of a certificate and its private key. */
   public record IssuedCertificate(Path certificate, Path key) {}
 
-  /** Writes this authority's certificate, as the file that the other side checks against. */
+  /** Writes the authority's certificate, as the trust anchor for peers. */
   public Path writeCertificate(Path file) throws IOException {
     Files.writeString(file, pem(certificate));
     return file;
   }
 
   /**
-   * Signs a certificate for a server or client that bears these names: {@code 127.0.0.1} as an address, all others as
-   * names.
+   * Issues a server and client certificate. Numeric names such as {@code 127.0.0.1} become IP subject alternative names,
+   * all others DNS names.
    */
   public IssuedCertificate issue(Path folder, String file, String... names) throws IOException {
     return issue(folder, file, VALIDITY, names);
   }
 
-  /** One whose time was over an hour ago. */
+  /** Issues a certificate that expired an hour ago. */
   public IssuedCertificate issueExpired(Path folder, String file, String... names) throws IOException {
     return issue(folder, file, Duration.ofHours(-1), names);
   }
--- a/lab/src/main/java/lemondeal/lab/claims/FakeClaimStore.java
+++ b/lab/src/main/java/lemondeal/lab/claims/FakeClaimStore.java
@@ -21,44 +21,44 @@
 import lemondeal.claims.wire.Entry;
 import lemondeal.claims.wire.ReadRequest;
 
-/** A stand-in for the store of claims that operators run: compare-and-set in memory behind the project's protocol. */
+/** A fake of the claim store that operators run: compare-and-set in memory behind the project's gRPC protocol. */
 public final class FakeClaimStore implements AutoCloseable {
 
-  /** What it does with a call. */
+  /** How calls are answered. */
   public enum ResponseMode {
     ANSWERS,
-    /** Says nothing. */
+    /** Leaves calls unanswered. */
     SILENT,
-    /** Fails each call. */
+    /** Fails calls with UNAVAILABLE. */
     FAILS,
-    /** Writes, and its answer gets lost. */
+    /** Performs writes and drops their answers. */
     LOSES_ANSWERS,
-    /** Says that all is free and grants all: for showing that the checker finds out. */
+    /** Reports every key as free and accepts every write, to show that the checker detects it. */
     GRANTS_ALL
   }
 
   /**
-   * How it speaks TLS.
+   * TLS settings.
    *
-   * @param certificate its certificate chain, PEM
-   * @param key its private key, PKCS#8 PEM
-   * @param clients the authority that clients' certificates are checked against; null where none is asked for
+   * @param certificate the server's certificate chain, PEM
+   * @param key the server's private key, PKCS#8 PEM
+   * @param clientAuthority authority that client certificates are verified against; null requires no client certificate
    */
   public record Tls(Path certificate, Path key, Path clientAuthority) {}
 
-  /** Shared by all replicas of one store, and the lock of each call. */
+  /** Shared by all replicas of a store; also the lock that serializes calls. */
   private final Map<ByteString, Entry> entries;
   private final Tls tls;
   private final Server server;
   private volatile ResponseMode responseMode = ResponseMode.ANSWERS;
   private long callCount;
 
-  /** A store in plain text. */
+  /** Starts a store without TLS. */
   public FakeClaimStore() throws IOException {
     this(new HashMap<>(), null);
   }
 
-  /** A store that speaks TLS alone. */
+  /** Starts a store that accepts only TLS. */
   public FakeClaimStore(Tls tls) throws IOException {
     this(new HashMap<>(), tls);
   }
@@ -78,7 +78,7 @@
     server = builder.build().start();
   }
 
-  /** Another address of the same store: what one replica wrote, all read. Ends on its own. */
+  /** Starts a replica with the same data at another address. Closed separately. */
   public FakeClaimStore replica() throws IOException {
     return new FakeClaimStore(entries, tls);
   }
@@ -131,7 +131,7 @@
     }
   }
 
-  /** The calls of the protocol. */
+  /** The gRPC service. */
   private final class ClaimStoreService extends ClaimStoreGrpc.ClaimStoreImplBase {
     @Override
     public void read(ReadRequest request, StreamObserver<Entry> observer) {
--- a/lab/src/main/java/lemondeal/lab/consul/Catalogue.java
+++ b/lab/src/main/java/lemondeal/lab/consul/Catalogue.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /**
- * What the stand-in Consul knows: instances with their checks, and the indexes that blocking queries wait on. Each change
- * is one step of the raft index, and of its service's. Safe for use by several threads.
+ * The catalogue of the fake Consul: instances with their checks, and the indexes that blocking queries wait on. Each
+ * change increments the raft index and sets the index of its service. Thread-safe.
  */
 public final class Catalogue {
   static final String DATACENTER = "dc1";
@@ -22,12 +22,12 @@
   private long raftIndex = 10;
   private int restoreCount;
 
-  /** A look at the catalogue, and the index that it was taken at. */
+  /** Entries with the index at which they were read. */
   record Snapshot(ArrayNode json, long index) {}
 
   // ---- Changes ----------------------------------------------------------------------------------
 
-  /** Registers an instance, or registers it anew: as after a restart, with a new create index. Returns its key. */
+  /** Registers an instance; replacing one sets a new create index, as after a restart. Returns the instance's key. */
   public synchronized String register(String node, String nodeAddress, String service, String id, int port) {
     Instance instance = new Instance(node, nodeAddress, service, id, port);
     instance.createIndex = raftIndex + 1;
@@ -40,7 +40,7 @@
     return node + "/" + id;
   }
 
-  /** Changes an instance in one step of the index; one that is not there is left so, and false is returned. */
+  /** Changes an instance in one step of the index. Returns false if there is no such instance. */
   public synchronized boolean update(String key, Consumer<Instance> change) {
     Instance instance = instances.get(key);
     if (instance != null) {
@@ -50,17 +50,17 @@
     return instance != null;
   }
 
-  /** Sets the status of the instance's own check: passing, warning or critical. */
+  /** Sets the status of the instance's service check: passing, warning or critical. */
   public void setStatus(String key, String status) {
     setCheck(key, "service:" + key.substring(key.indexOf('/') + 1), status);
   }
 
-  /** Sets the status of one of its checks, made where it is missing. */
+  /** Sets the status of a check, and adds the check where it is missing. */
   public boolean setCheck(String key, String check, String status) {
     return update(key, instance -> instance.checks.put(check, status));
   }
 
-  /** Maintenance of the instance: a critical check of that name, as Consul adds one. */
+  /** Turns maintenance mode on or off by adding or removing a critical check, as Consul does. */
   public boolean setMaintenance(String key, boolean on) {
     return update(key, instance -> {
       String check = "_service_maintenance:" + instance.id;
@@ -72,7 +72,7 @@
     });
   }
 
-  /** Takes the instance out of the catalogue. */
+  /** Removes an instance. */
   public synchronized boolean deregister(String key) {
     Instance removed = instances.remove(key);
     if (removed != null) {
@@ -81,7 +81,7 @@
     return removed != null;
   }
 
-  /** As after a restore from an older snapshot: the indexes begin low again, and whoever waits is answered. */
+  /** Resets the indexes to a lower value, as after a restore from an older snapshot, and ends all blocking queries. */
   public synchronized void restoreIndex(long index) {
     restoreCount++;
     raftIndex = index;
@@ -95,17 +95,18 @@
     notifyAll();
   }
 
-  /** Wakes whoever waits, to look again at what it waits for. */
+  /** Wakes all waiting threads so that they check their conditions again. */
   synchronized void wakeWaiters() {
     notifyAll();
   }
 
-  // ---- Looks ------------------------------------------------------------------------------------
+  // ---- Queries ------------------------------------------------------------------------------------
 
   /**
-   * Waits until the service's index is beyond {@code index}, the time is up, or {@code enough} says so.
+   * Waits until the service's index exceeds {@code index}, the indexes are restored, the wait times out, or
+   * {@code cancelled} returns true.
    *
-   * @param service whose index counts; empty for that of all
+   * @param service the service whose index counts; empty for the raft index
    */
   synchronized void awaitChange(String service, long index, long waitMillis, BooleanSupplier cancelled)
       throws InterruptedException {
@@ -115,7 +116,7 @@
     }
   }
 
-  /** Waits until it holds, as may be after each change and each {@link #wake}, or the time is up. */
+  /** Waits until the condition holds or the wait times out; checks after each change and {@link #wakeWaiters}. */
   synchronized void awaitCondition(long waitMillis, BooleanSupplier condition) throws InterruptedException {
     long deadline = System.currentTimeMillis() + waitMillis;
     for (long remaining = waitMillis; remaining > 0 && !condition.getAsBoolean(); remaining = deadline - System.currentTimeMillis()) {
@@ -127,7 +128,7 @@
     return service.isEmpty() ? raftIndex : serviceIndex.getOrDefault(service, raftIndex);
   }
 
-  /** The entries of {@code /v1/health/service/NAME} that pass. */
+  /** Returns the entries of {@code /v1/health/service/NAME} for the instances that pass the filter. */
   synchronized Snapshot healthEntries(String service, Predicate<Instance> included) {
     ArrayNode entries = JSON.arrayNode();
     instances.values().stream().filter(instance -> instance.service.equals(service)).filter(included)
@@ -135,7 +136,7 @@
     return new Snapshot(entries, indexOf(service));
   }
 
-  /** The entries of {@code /v1/catalog/service/NAME}. */
+  /** Returns the entries of {@code /v1/catalog/service/NAME}. */
   synchronized Snapshot catalogueEntries(String service) {
     ArrayNode entries = JSON.arrayNode();
     instances.values().stream().filter(instance -> instance.service.equals(service))
@@ -143,7 +144,7 @@
     return new Snapshot(entries, indexOf(service));
   }
 
-  /** The nodes, each once. */
+  /** Returns each node once. */
   synchronized Snapshot nodeEntries() {
     Map<String, Instance> byNode = new LinkedHashMap<>();
     instances.values().forEach(instance -> byNode.putIfAbsent(instance.node, instance));
@@ -152,7 +153,7 @@
     return new Snapshot(entries, raftIndex);
   }
 
-  /** The checks in this state, or in any. */
+  /** Returns the checks in a state; {@code any} selects all. */
   synchronized Snapshot checkEntries(String state) {
     ArrayNode entries = JSON.arrayNode();
     for (Instance instance : instances.values()) {
@@ -165,7 +166,6 @@
     return new Snapshot(entries, raftIndex);
   }
 
-  /** Whether this instance is registered. */
   synchronized boolean has(String key) {
     return instances.containsKey(key);
   }
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulConsole.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ConsulConsole.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The stand-in Consul with link servers registered in it, changed by lines on standard input: for trying a proxy by
- * hand. Each line is one change; a line that can't be done is answered with what is allowed, and nothing changes.
+ * A fake Consul with echo servers registered in it, controlled by lines on standard input, for trying a proxy by hand.
+ * Each line is one change; an invalid line changes nothing and prints the allowed commands.
  */
 public final class ConsulConsole implements AutoCloseable {
   static final String HELP = "allowed: add NAME | critical NAME | warning NAME | passing NAME | leave NAME | "
@@ -20,7 +20,7 @@
   private final Map<String, String> consulKeys = new LinkedHashMap<>();
   private final PrintStream out;
 
-  /** Starts Consul and so many link servers, named s-1 and on. */
+  /** Starts Consul and {@code count} echo servers, named s-1, s-2 and so on. */
   public ConsulConsole(int count, PrintStream out) throws IOException {
     this.out = out;
     for (int i = 1; i <= count; i++) {
@@ -42,7 +42,7 @@
     return names;
   }
 
-  /** Carries out lines until the input ends. */
+  /** Executes lines until the input ends. */
   public void run(BufferedReader in) throws IOException {
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       if (!line.isBlank()) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** One change; what was done, or why nothing was. */
+  /** Executes one command. Returns what was done, or why nothing was. */
   String execute(String[] arguments) throws IOException {
     String command = arguments[0].toLowerCase(Locale.ROOT);
     if (command.equals("list")) {
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ConsulTestCluster.java
@@ -16,15 +16,15 @@
 import lemondeal.lab.ProxyProcess;
 
 /**
- * Real proxies that list their servers from a stand-in Consul, stand-in link servers registered there, all on
- * loopback. Ended with its owner.
+ * Real proxies that discover their servers from a fake Consul, and echo servers registered there, all on loopback.
+ * {@link #close} ends everything.
  */
 public final class ConsulTestCluster implements AutoCloseable {
-  /** The service that the link servers are registered under. */
+  /** Service that the echo servers are registered under. */
   public static final String SERVICE = "link";
-  /** The class of ordinary clients. */
+  /** Request class of ordinary clients. */
   public static final String CHAT_CLASS = "chat";
-  /** Another class. */
+  /** A second request class. */
   public static final String FEED_CLASS = "feed";
 
   private final Path folder;
@@ -37,15 +37,15 @@
   private final Map<String, String> environment;
 
   /**
-   * Starts so many servers, registered in Consul on nodes of their own, and so many proxies.
+   * Starts the servers, each registered in Consul on its own node, and the proxies.
    *
-   * @param more lines of the operator's section {@code discovery.consul} beside agents and service
+   * @param extraSettings lines of the operator's section {@code discovery.consul} in addition to agents and service
    */
   public ConsulTestCluster(int proxyCount, int serverCount, String extraSettings) throws IOException, InterruptedException {
     this(proxyCount, serverCount, extraSettings, Map.of());
   }
 
-  /** The same, with these variables in the environment of each proxy. */
+  /** Starts the cluster with additional environment variables for each proxy. */
   public ConsulTestCluster(int proxyCount, int serverCount, String extraSettings, Map<String, String> environment)
       throws IOException, InterruptedException {
     this.environment = environment;
@@ -63,7 +63,7 @@
     }
   }
 
-  /** The operator's file from the next start or SIGHUP on: Consul at these agents, and these other keys beside them. */
+  /** Writes the operator's file with Consul's agents and further settings; proxies read it at start or on SIGHUP. */
   public void writeOperatorFile(List<InetSocketAddress> agents, String settings) throws IOException {
     List<String> quoted = agents.stream().map(agent -> "'127.0.0.1:" + agent.getPort() + "'").toList();
     Files.writeString(folder.resolve("operator.yaml"), """
@@ -75,7 +75,7 @@
         """.formatted(String.join(", ", quoted), settings.indent(4)));
   }
 
-  /** SIGHUP to every proxy, and waits until each has read its file anew. */
+  /** Sends SIGHUP to every proxy and waits until each has reloaded its file. */
   public void reloadProxies() throws IOException, InterruptedException {
     for (ProxyProcess proxy : proxies) {
       proxy.sendSighup();
@@ -83,17 +83,17 @@
     }
   }
 
-  /** The ordinary service and these keys. */
+  /** Returns the setting of the ordinary service and the extra settings. */
   public static String consulSettings(String extraSettings) {
     return "service: " + SERVICE + "\n" + extraSettings;
   }
 
-  /** Starts a link server and registers it on a node of its own, named as the server. */
+  /** Starts an echo server and registers it on its own node, named after the server. */
   public EchoServer addServer(String name) throws IOException {
     return addServer(name, SERVICE, consul);
   }
 
-  /** The same under another service, or in another Consul. */
+  /** Starts an echo server and registers it under a service of the given Consul. */
   public EchoServer addServer(String name, String service, FakeConsul registry) throws IOException {
     EchoServer server = new EchoServer();
     servers.put(name, server);
@@ -102,7 +102,7 @@
     return server;
   }
 
-  /** Starts proxy number {@code i} of so many, or starts it again. */
+  /** Starts or restarts proxy {@code i} of {@code count}. */
   public void startProxy(int i, int count) throws IOException, InterruptedException {
     Path config = folder.resolve("proxy-" + i + ".json");
     Files.writeString(config, """
@@ -128,7 +128,7 @@
     started.awaitLog("ready");
   }
 
-  /** The next proxy that is alive, in turn, as a front shares clients out. */
+  /** Returns the next live proxy in round-robin order, as a front-end load balancer does. */
   public InetSocketAddress nextProxyAddress() {
     for (int i = 0; i < proxies.size(); i++) {
       ProxyProcess proxy = proxies.get(Math.floorMod(nextProxyIndex.getAndIncrement(), proxies.size()));
@@ -147,7 +147,7 @@
     return servers.get(name);
   }
 
-  /** The server's key in Consul. */
+  /** Returns the server's key in the fake Consul's catalogue. */
   public String consulKey(String name) {
     return consulKeys.get(name);
   }
--- a/lab/src/main/java/lemondeal/lab/consul/EchoServer.java
+++ b/lab/src/main/java/lemondeal/lab/consul/EchoServer.java
@@ -12,9 +12,9 @@
 import lemondeal.lab.LineConnection;
 
 /**
- * A stand-in link node of the platform's protocol on loopback: answers {@code OPEN} with {@code UP}, probes with
- * {@code PONG}, keeps the connection until its client ends it, and notes when each first line came, so that a test can
- * tell the last new work that reached it.
+ * A fake server of the platform's protocol on loopback: answers {@code OPEN} with {@code UP} and probes with
+ * {@code PONG}, echoes lines until the client closes, and records the time of the last {@code OPEN} so that a test can
+ * see when new work last arrived.
  */
 public final class EchoServer implements AutoCloseable {
   private final ServerSocket socket;
@@ -40,29 +40,29 @@
     return (InetSocketAddress) socket.getLocalSocketAddress();
   }
 
-  /** From now on a set-up takes so long. */
+  /** Delays {@code UP} for later connections. */
   public void setSetupDelay(int millis) {
     setupDelayMillis = millis;
   }
 
-  /** First lines that came. */
+  /** Returns the number of {@code OPEN} lines received. */
   public int openCount() {
     return openCount.get();
   }
 
-  /** {@link System#nanoTime()} when the last first line came; 0 before any. */
+  /** Returns {@link System#nanoTime()} at the last {@code OPEN}; 0 before the first. */
   public long lastOpenNanos() {
     return lastOpenNanos.get();
   }
 
-  /** Sends each client away with {@code MOVE}, between lines, and ends its connection. */
+  /** Sends {@code MOVE} to each client between lines and closes its connection. */
   public void moveAll() {
     for (LineConnection lines : connections) {
       try {
         lines.writeLines("MOVE");
         lines.close();
       } catch (IOException e) {
-        // Gone already.
+        // Already closed by the client.
       }
     }
   }
@@ -74,7 +74,7 @@
         startDaemon(() -> serve(accepted), "link");
       }
     } catch (IOException e) {
-      // Closed.
+      // The server is closed.
     }
   }
 
@@ -99,7 +99,7 @@
         lines.writeLines("ECHO " + line);
       }
     } catch (IOException e) {
-      // The client left.
+      // Closed by the client.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
@@ -113,7 +113,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Closed already.
+      // Already closed.
     }
     connections.forEach(LineConnection::close);
   }
--- a/lab/src/main/java/lemondeal/lab/consul/FakeConsul.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FakeConsul.java
@@ -29,51 +29,51 @@
 import lemondeal.consul.filter.Filters;
 
 /**
- * A stand-in for Consul's HTTP API on loopback, written from its public documentation: the health and catalogue endpoints
- * with blocking queries, filters and their headers, and what an agent offers to register services and set checks. What
- * there is to know stands in its {@link Catalogue}; faults are ordered as moods, which all endpoints have.
+ * A fake of Consul's HTTP API on loopback, written from its public documentation: the health and catalogue endpoints
+ * with blocking queries, filters and their headers, and the agent endpoints that register services and set checks. Its
+ * data is in {@link Catalogue}; {@link ResponseMode} selects a fault.
  */
 public final class FakeConsul implements AutoCloseable {
   private static final long DEFAULT_WAIT_MILLIS = 300_000;
   private static final long MAX_WAIT_MILLIS = 600_000;
   private static final int FLOOD_BYTES = 70 << 20;
   private static final ObjectMapper JSON = new ObjectMapper();
-  /** The node whose agent the agent endpoints speak for. */
+  /** Node of the agent that the agent endpoints represent. */
   private static final String AGENT_NODE = "agent-node";
 
-  /** What it does with a call. */
+  /** How calls are answered. */
   public enum ResponseMode {
     ANSWERS(true),
-    /** Holds each call without a word, until its caller gives up. */
+    /** Leaves each call unanswered until its caller gives up. */
     SILENT(false),
-    /** 500 to every call. */
+    /** Answers every call with status 500. */
     FAILS(false),
-    /** 429: asked too often. */
+    /** Answers every call with status 429. */
     TOO_OFTEN(false),
-    /** Answers, and says that it knows no leader. */
+    /** Answers with the header for no known leader. */
     NO_LEADER(true),
-    /** Answers, from a server that last heard its leader a minute ago. */
+    /** Answers as a server whose last contact with the leader was a minute ago. */
     STALE(true),
-    /** Answers with no instance at all. */
+    /** Answers with an empty list. */
     EMPTY(true),
-    /** Answers without every second instance. */
+    /** Omits every second instance. */
     HALF(true),
-    /** Blocking queries return at once with nothing changed, as Consul may. */
+    /** Returns from blocking queries at once without a change, as Consul may. */
     HURRIES(false),
-    /** Sends half of the answer, then closes. */
+    /** Sends half of the answer and closes the connection. */
     CUTS(true),
-    /** Sends half of the answer, then nothing more. */
+    /** Sends half of the answer and keeps the connection open. */
     STALLS(true),
     /** Closes the connection without an answer. */
     RESETS(false),
-    /** Not JSON. */
+    /** Answers with text that is not JSON. */
     GARBLES(true),
-    /** JSON that nests without end. */
+    /** Answers with 100,000 nested JSON arrays. */
     NESTS(true),
-    /** 70 MB. */
+    /** Answers with 70 MB. */
     FLOODS(true);
 
-    /** Whether a blocking query waits; in the others it is answered, or not, at once. */
+    /** Whether a blocking query waits for a change before this mode applies. */
     private final boolean blocksQueries;
 
     ResponseMode(boolean blocksQueries) {
@@ -93,12 +93,12 @@
   private volatile Predicate<String> tokenFilter = token -> true;
   private volatile boolean closed;
 
-  /** On a free port of loopback, in plain HTTP. */
+  /** Starts on a free loopback port with plain HTTP. */
   public FakeConsul() throws IOException {
     this(null);
   }
 
-  /** On a free port of loopback, in HTTPS with this context; null for plain HTTP. */
+  /** Starts on a free loopback port with HTTPS; a null context means plain HTTP. */
   public FakeConsul(SSLContext tls) throws IOException {
     InetSocketAddress loopback = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     if (tls == null) {
@@ -120,7 +120,7 @@
     server.start();
   }
 
-  /** Takes a client's certificate where it has one: who must have one is the test's trust to say. */
+  /** Requests a client certificate without requiring one; the test's trust manager decides whether it must be there. */
   private static final class OptionalClientCertificates extends HttpsConfigurator {
     OptionalClientCertificates(SSLContext context) {
       super(context);
@@ -138,30 +138,30 @@
     return server.getAddress();
   }
 
-  /** What it knows, to be changed by the test that owns it. */
+  /** Returns the data, which the test may change. */
   public Catalogue catalogue() {
     return catalogue;
   }
 
-  /** From now on; calls that wait are woken, to be answered in the new mood's way. */
+  /** Switches the mode; wakes waiting calls, which are answered in the new mode. */
   public void setResponseMode(ResponseMode newMode) {
     responseMode = newMode;
     catalogue.wakeWaiters();
   }
 
-  /** Answers only calls whose {@code X-Consul-Token} passes; others get 403, as with an ACL that denies. */
+  /** Answers only calls whose {@code X-Consul-Token} passes the filter; others get 403, as from a denying ACL. */
   public void setTokenFilter(Predicate<String> newFilter) {
     tokenFilter = newFilter;
   }
 
-  /** Calls of endpoints with blocking queries so far. */
+  /** Returns the number of calls so far to endpoints with blocking queries. */
   public long queryCount() {
     return queryCount.get();
   }
 
   // ---- Queries ----------------------------------------------------------------------------------
 
-  /** Looks the answer up when it is time to. */
+  /** Reads the answer from the catalogue once a blocking query ends. */
   private interface Lookup {
     Catalogue.Snapshot perform(String name, Map<String, String> query, ResponseMode mode) throws FilterException;
   }
@@ -220,7 +220,7 @@
     respond(exchange, mode, snapshot);
   }
 
-  /** In the header, or in the query as older clients give it; null where there is none. */
+  /** Returns the token from the header, or from the query as older clients send it; null if there is none. */
   private static String token(HttpExchange exchange, Map<String, String> query) {
     String header = exchange.getRequestHeaders().getFirst("X-Consul-Token");
     return header != null ? header : query.get("token");
@@ -242,7 +242,7 @@
       case FAILS -> send(exchange, 500, "rpc error making call: No cluster leader", 0, mode);
       case TOO_OFTEN -> send(exchange, 429, "rate limit exceeded", 0, mode);
       case RESETS -> {
-        // Closed before any header: the caller sees its connection end under its call.
+        // Closing the exchange before any header ends the caller's connection.
       }
       case CUTS, STALLS -> {
         exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(snapshot.index()));
@@ -261,7 +261,7 @@
     }
   }
 
-  /** Until the caller gives up or the stand-in ends. */
+  /** Holds the call until the mode changes, the fake is closed, or the longest wait is over. */
   private void holdCall() throws InterruptedException {
     ResponseMode initialMode = responseMode;
     catalogue.awaitCondition(MAX_WAIT_MILLIS, () -> closed || responseMode != initialMode);
@@ -310,7 +310,7 @@
     return query;
   }
 
-  /** Consul's form of a duration: a number and ms, s, m or h. */
+  /** Parses Consul's durations: a number followed by ms, s, m or h. */
   private static long durationMillis(String text) {
     String digits = text.replaceAll("[^0-9]", "");
     long number = digits.isEmpty() ? 0 : Long.parseLong(digits);
@@ -320,7 +320,7 @@
 
   // ---- The agent --------------------------------------------------------------------------------
 
-  /** What a call did; null where there is no such thing. */
+  /** An agent call; returns its response body, or null if what it names does not exist. */
   private interface AgentCall {
     String execute() throws IOException;
   }
@@ -356,7 +356,7 @@
 
   private boolean register(JsonNode body) {
     String name = body.path("Name").asText();
-    // Consul takes its keys in any case, and its client libraries make use of that.
+    // Consul's JSON keys are case-insensitive, and client libraries rely on that.
     String id = body.has("ID") ? body.get("ID").asText() : body.path("Id").asText(name);
     String key = catalogue.register(AGENT_NODE, "127.0.0.1", name, id, body.path("Port").asInt());
     return catalogue.update(key, instance -> {
--- a/lab/src/main/java/lemondeal/lab/consul/FilterEvaluator.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FilterEvaluator.java
@@ -8,8 +8,8 @@
 import lemondeal.consul.filter.Filter;
 
 /**
- * Whether an entry passes a filter expression, as Consul decides it: a selector that leads through a list holds if any
- * element does; a key that a map lacks makes a comparison false, and its negation true.
+ * Evaluates a filter expression on an entry with Consul's semantics: a selector through a list matches if any element
+ * matches; a missing map key makes a comparison false and its negation true.
  */
 final class FilterEvaluator {
   private FilterEvaluator() {}
--- a/lab/src/main/java/lemondeal/lab/consul/Instance.java
+++ b/lab/src/main/java/lemondeal/lab/consul/Instance.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One instance of a service in the stand-in's catalogue, with its checks. Changed under the catalogue's lock alone. */
+/** A service instance in the fake Consul's catalogue, with its checks. Guarded by the catalogue's lock. */
 public final class Instance {
   static final String SERF_HEALTH = "serfHealth";
   static final String NODE_MAINTENANCE = "_node_maintenance";
@@ -21,7 +21,7 @@
   final List<String> tags = new ArrayList<>();
   final Map<String, String> nodeMeta = new LinkedHashMap<>();
   final Map<String, String> serviceMeta = new LinkedHashMap<>();
-  /** Statuses by the check's id. */
+  /** Statuses by check id. */
   final Map<String, String> checks = new LinkedHashMap<>();
   String address = "";
   int passingWeight = 1;
@@ -49,7 +49,6 @@
     passingWeight = weight;
   }
 
-  /** Adds a tag. */
   public void addTag(String tag) {
     tags.add(tag);
   }
@@ -64,7 +63,7 @@
     serviceMeta.put(key, value);
   }
 
-  /** Sets the service's own address; empty for its node's. */
+  /** Sets the service address; empty means the node's address. */
   public void setAddress(String text) {
     address = text;
   }
@@ -73,14 +72,14 @@
     return check.equals(SERF_HEALTH) || check.equals(NODE_MAINTENANCE);
   }
 
-  /** The worst of its checks. */
+  /** Returns the worst status of all checks. */
   String worstStatus() {
     return checks.containsValue("critical") ? "critical" : checks.containsValue("warning") ? "warning" : "passing";
   }
 
-  // ---- As Consul's endpoints show it ------------------------------------------------------------
+  // ---- JSON of Consul's endpoints ------------------------------------------------------------
 
-  /** An entry of {@code /v1/health/service/NAME}. */
+  /** Returns the entry of {@code /v1/health/service/NAME}. */
   ObjectNode healthEntry() {
     ObjectNode entry = JSON.objectNode();
     entry.set("Node", nodeEntry());
@@ -110,7 +109,7 @@
     return entry;
   }
 
-  /** An entry of {@code /v1/catalog/service/NAME}. */
+  /** Returns the entry of {@code /v1/catalog/service/NAME}. */
   ObjectNode catalogueEntry() {
     ObjectNode entry = nodeEntry();
     entry.set("NodeMeta", entry.remove("Meta"));
--- a/lab/src/main/java/lemondeal/lab/consul/ShortConnectionClients.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ShortConnectionClients.java
@@ -13,12 +13,12 @@
 import lemondeal.lab.LineConnection;
 
 /**
- * Clients of short connections, each on a thread of its own: open, hold a moment, end, and again, through the front.
- * Each request is checked for the rule of the protocol: one final answer before its time is up, and only one.
+ * Clients that repeatedly open a connection, hold it briefly and close it, each on its own thread. Checks the protocol's
+ * rule for each request: exactly one final answer within the deadline.
  */
 public final class ShortConnectionClients implements AutoCloseable {
   private static final int DEADLINE_MILLIS = 2000;
-  /** The protocol's slack on a final answer. */
+  /** Time that the protocol allows for the final answer after the deadline. */
   private static final int ANSWER_SLACK_MILLIS = 500;
   private static final AtomicLong IDS = new AtomicLong();
 
@@ -29,7 +29,7 @@
   private final List<String> breaches = java.util.Collections.synchronizedList(new ArrayList<>());
   private volatile boolean running = true;
 
-  /** Starts so many clients of this class at once. */
+  /** Starts {@code count} clients of a request class. */
   public ShortConnectionClients(Supplier<InetSocketAddress> nextProxy, int count, String className) {
     this.nextProxy = nextProxy;
     this.className = className;
@@ -82,7 +82,7 @@
             breaches.add(id + ": after UP came '" + echo + "'");
           }
         } catch (SocketTimeoutException e) {
-          // Held a moment.
+          // No line arrived while the connection was held open.
         }
       } else if (firstWord.equals("BUSY")) {
         String[] fields = answer.split(" ");
@@ -103,21 +103,21 @@
     }
   }
 
-  /** How many answers of each first word, and broken connections. */
+  /** Returns the number of answers by their first word, and of broken connections. */
   public Map<String, Long> counts() {
     Map<String, Long> copy = new java.util.TreeMap<>();
     counts.forEach((word, count) -> copy.put(word, count.get()));
     return copy;
   }
 
-  /** Requests that broke the rule of one final answer in time. */
+  /** Returns the breaches of the rule of one final answer in time. */
   public List<String> breaches() {
     synchronized (breaches) {
       return List.copyOf(breaches);
     }
   }
 
-  /** Ends them all, each after the request that it is at. */
+  /** Stops all clients, each after its current request. */
   public void stop() throws InterruptedException {
     running = false;
     for (Thread thread : threads) {
--- a/lab/src/main/java/lemondeal/lab/evacuation/EpochsGrow.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/EpochsGrow.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a member tells of a zone's epoch never falls, over a start too if what it had kept was whole. */
+/** The epoch that a member reports for a zone never decreases, not even across a restart with intact saved state. */
 public final class EpochsGrow extends InvariantChecker {
   private final Map<String, Long> highest = new HashMap<>();
 
@@ -18,7 +18,7 @@
   public void onReport(long trueTime, int member, int zone, long epoch, boolean votes) {
     Long before = highest.put(member + "/" + zone, epoch);
     if (before != null && before > epoch) {
-      reportBreach(trueTime + " ms: member " + member + " falls from epoch " + before + " to " + epoch + " of zone " + zone);
+      reportBreach(trueTime + " ms: member " + member + " goes back from epoch " + before + " to " + epoch + " of zone " + zone);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/Fault.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/Fault.java
@@ -1,49 +1,48 @@
 package lemondeal.lab.evacuation;
 
 /**
- * One thing that goes wrong for a while. Times are true milliseconds.
+ * A fault with a limited duration. Times are the simulation's true time.
  *
- * @param a what it hits, by kind: a zone, a vantage zone, a member, a server, or members as bits
- * @param b what else the kind needs
+ * @param target what the fault affects, by kind: a zone, a zone of members, a member, a server, or a bit set of members
+ * @param parameter second argument of kinds that need one
  */
 public record Fault(Kind kind, long startMillis, long endMillis, int target, int parameter) {
 
-  /** What can go wrong. */
   public enum Kind {
-    /** Zone a answers nobody. */
+    /** Zone {@code target} answers no member. */
     ZONE_DIES,
-    /** From vantage zone a nothing reaches zone b. */
+    /** Nothing from the members in zone {@code target} reaches zone {@code parameter}. */
     WAY_CUT,
-    /** Member a reaches no server of zone b. */
+    /** Member {@code target} reaches no server of zone {@code parameter}. */
     MEMBER_CUT,
-    /** Three in ten of member a's attempts in zone b go unanswered. */
+    /** 30% of the attempts of member {@code target} in zone {@code parameter} are unanswered. */
     LOSSY,
-    /** Server a answers for half of each second. */
+    /** Server {@code target} answers only during half of each second. */
     FLAPS,
-    /** Server a and all others are late. */
+    /** All servers answer late; {@code target} is unused. */
     ALL_LATE,
-    /** No rows between the members in a and the others. */
+    /** No reports pass between the members in {@code target} and the others. */
     SPLIT,
-    /** No rows from the members in a to those in b. */
+    /** No reports pass from the members in {@code target} to those in {@code parameter}. */
     ONE_WAY,
-    /** Rows take up to a milliseconds. */
+    /** Reports take up to {@code target} milliseconds. */
     ROWS_LATE,
-    /** Three in ten rows are lost. */
+    /** 30% of the reports are lost. */
     ROWS_DROP,
-    /** Old rows arrive again. */
+    /** Old reports arrive again. */
     REPLAY,
-    /** Member a is dead; b is 1 where what it had kept is damaged. */
+    /** Member {@code target} is dead; {@code parameter} is 1 if its saved state is damaged. */
     DEAD,
-    /** All are dead. */
+    /** All members are dead. */
     ALL_DEAD,
-    /** Member a stands still and wakes. */
+    /** Member {@code target} is suspended and then continues. */
     STALLED
   }
 
-  /** Members that are told apart as bits; in larger fleets some share one. */
+  /** Bits of a member set; in larger fleets several members share a bit. */
   static final int MAX_MEMBER_BITS = 30;
 
-  /** Whether a member is among those. */
+  /** Whether the bit set contains the member. */
   static boolean containsMember(int bits, int member) {
     return (bits >> member % MAX_MEMBER_BITS & 1) == 1;
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/FaultSchedule.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FaultSchedule.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Random;
 
-/** What goes wrong in a run, made of a seed: at odd ones a zone fails alone, at even ones anything meets anything. */
+/** The faults of a run, generated from its seed: odd seeds fail a zone in isolation, even seeds combine random faults. */
 public record FaultSchedule(List<Fault> faults) {
-  /** Before this nothing is wrong. */
+  /** Start of the period with faults. */
   public static final long FIRST_FAULT_MILLIS = 5_000;
   private static final long START_RANGE_MILLIS = 40_000;
   private static final long MAX_DURATION_MILLIS = 15_000;
 
-  /** The faults of a seed, for so many members, zones and servers in each. */
+  /** Generates the faults of a seed for a fleet of the given size. */
   public static FaultSchedule generate(long seed, int members, int zones, int serversPerZone) {
     Random random = new Random(seed * 31 + 7);
     return new FaultSchedule(seed % 2 == 0 ? randomFaults(random, members, zones, serversPerZone)
@@ -33,7 +33,7 @@
 
   private static List<Fault> randomFaults(Random random, int members, int zones, int serversPerZone) {
     List<Fault> faults = new ArrayList<>();
-    // At least one zone dies, so that there is something to decide.
+    // At least one zone fails, so that there is something to decide.
     faults.add(randomFault(Fault.Kind.ZONE_DIES, random, members, zones, serversPerZone));
     for (int remaining = 3 + random.nextInt(7); remaining > 0; remaining--) {
       Fault.Kind kind = Fault.Kind.values()[random.nextInt(Fault.Kind.values().length)];
@@ -63,7 +63,7 @@
     };
   }
 
-  /** When the last fault ends. */
+  /** Returns the end of the last fault. */
   long lastFaultEnd() {
     return faults.stream().mapToLong(Fault::endMillis).max().orElse(FIRST_FAULT_MILLIS);
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
@@ -16,25 +16,27 @@
 import lemondeal.evacuation.SlowStartRamp;
 import lemondeal.evacuation.ZoneAccess;
 
-/** A fleet, its zones and what goes wrong between them, in steps of ten milliseconds. The same seed, the same run. */
+/** Simulates a fleet, its zones and their faults in steps of ten milliseconds. The same seed gives the same run. */
 public final class FleetSimulation {
   static final int KEYS = 40;
   private static final int STEP_MILLIS = 10;
   private static final int TICK_MILLIS = 50;
   private static final int MAX_TRACE_LINES = 400;
-  /** All must be open for so long before a run ends. */
+  /** All zones must be open for this long before a run ends. */
   private static final long STABLE_MILLIS = 6_000;
   private static final int REPLAYED_REPORTS_PER_MEMBER = 64;
 
-  /** Makes a member's evacuation: the real one, or one with a mistake that a checker has to find. */
+  /** Creates a member's evacuation logic: the real one, or a faulty one that a checker must detect. */
   public interface EvacuationFactory {
     Evacuation create(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp slowStart, long incarnation,
         Optional<EvacuationState> savedState, long now);
   }
 
   /**
-   * @param vantages the zone of each member
-   * @param longest milliseconds after the last fault within which all must be open again
+   * Size and settings of the fleet.
+   *
+   * @param memberZones the zone of each member
+   * @param recoveryLimitMillis time after the last fault within which all zones must be open again
    */
   public record Topology(int[] memberZones, int zones, int serversPerZone, EvacuationSettings settings, SlowStartRamp slowStart,
       long recoveryLimitMillis) {
@@ -43,7 +45,7 @@
     }
   }
 
-  /** A row on its way. */
+  /** A report in flight between two members. */
   private record InFlightReport(long arrivesAt, long sequence, int from, int to, byte[] report) {}
 
   private final Topology topology;
@@ -88,7 +90,7 @@
     return "p" + (char) ('a' + member / 26) + (char) ('a' + member % 26);
   }
 
-  /** Plays until all has been well for a while, or for too long not; returns what rules were broken. */
+  /** Runs until all zones have stayed open for a while, a checker reports a breach, or time is up. Returns the breaches. */
   public List<String> run() {
     long lastFaultEnd = faultSchedule.lastFaultEnd();
     long stableSince = -1;
@@ -118,7 +120,7 @@
       if (!isStalled(report.to(), trueTime)) {
         members.get(report.to()).receive(memberName(report.from()), report.report());
       } else {
-        // The socket of a process that stands still keeps what comes.
+        // The socket of a suspended process buffers what arrives.
         inFlightReports.add(new InFlightReport(trueTime + STEP_MILLIS, report.sequence(), report.from(), report.to(), report.report()));
       }
     }
@@ -153,7 +155,7 @@
     }
   }
 
-  /** Whether this zone's failure is long enough and everything else that is wrong then should move nobody. */
+  /** Whether the failure lasts long enough and every other fault around it should cause no evacuation. */
   private boolean isIsolated(Fault failure) {
     return failure.endMillis() - failure.startMillis() > 3_500 && faultSchedule.faults().stream().filter(other -> other != failure)
         .filter(other -> other.startMillis() < failure.startMillis() + 3_500 && other.endMillis() > failure.startMillis() - 30_000)
@@ -188,7 +190,7 @@
     }
   }
 
-  // ---- What members ask and tell -------------------------------------------------------------
+  // ---- Called by the members -------------------------------------------------------------
 
   EvacuationSettings settings() {
     return topology.settings();
@@ -227,7 +229,7 @@
     return faultSchedule.anyActive(Fault.Kind.ALL_LATE, trueTime);
   }
 
-  /** Sends a member's row to all others, as far as the ways let it. */
+  /** Sends a member's report to all others, subject to the network faults. */
   void send(long trueTime, int from, byte[] report) {
     pastReports.addLast(new InFlightReport(trueTime, 0, from, from, report));
     if (pastReports.size() > REPLAYED_REPORTS_PER_MEMBER * topology.members()) {
@@ -256,7 +258,7 @@
   }
 
   void onDecision(long trueTime, int member, Evacuation.Decision decision) {
-    trace(trueTime, member, (decision.countedHere() ? "decides epoch " : "hears of epoch ") + decision.epoch() + " of zone "
+    trace(trueTime, member, (decision.countedHere() ? "decides epoch " : "learns of epoch ") + decision.epoch() + " of zone "
         + decision.zone());
     checkers.forEach(checker -> checker.onDecision(trueTime, member, decision));
   }
@@ -272,12 +274,12 @@
     }
   }
 
-  /** What was to go wrong and what happened last, for a seed that fails. */
+  /** Returns the faults and the latest events, for the message of a failing seed. */
   public String trace() {
     return faultSchedule.faults() + "\n" + String.join("\n", trace);
   }
 
-  /** Bytes of a row, in the mean. */
+  /** Returns the mean size of a report. */
   public double bytesPerReport() {
     return reportCount == 0 ? 0 : (double) reportBytes / reportCount;
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/InvariantChecker.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/InvariantChecker.java
@@ -2,11 +2,14 @@
 
 import lemondeal.evacuation.Evacuation;
 
-/** One rule. Hears what happens and tells each breach. Times are true milliseconds, which no member knows. */
+/**
+ * Checks one invariant: receives events and reports each breach. Times are the simulation's true time in milliseconds,
+ * which no member knows.
+ */
 public abstract class InvariantChecker {
   private BreachListener breachListener;
 
-  /** Takes what a rule has to say against a run. */
+  /** Receives the breaches of a run. */
   public interface BreachListener {
     void onBreach(String rule, String description);
   }
@@ -19,23 +22,24 @@
     breachListener.onBreach(getClass().getSimpleName(), description);
   }
 
-  /** A member's process starts; {@code kept} if what it had on disk is whole. */
+  /** A member's process starts; {@code stateIntact} if its saved state is undamaged. */
   public void onStart(long trueTime, int member, boolean stateIntact) { }
 
-  /** What a member tells of a zone in a row. */
+  /** A member sends a report with its epoch and vote for a zone. */
   public void onReport(long trueTime, int member, int zone, long epoch, boolean votes) { }
 
-  /** A decision became known to a member. */
+  /** A member learns of a decision, or makes one. */
   public void onDecision(long trueTime, int member, Evacuation.Decision decision) { }
 
+  /** A member sends a client with this key to a server. */
   public void onSend(long trueTime, int member, int zone, int key, int server) { }
 
-  /** What each member may send into the zone a second at this moment; 0 for one that does not run. */
+  /** Clients per second that each member may send to the zone at this moment; 0 for a member that is not running. */
   public void onRateLimits(long trueTime, int zone, double[] rates) { }
 
-  /** The zone stops answering everybody, and nothing else is or was wrong lately. */
+  /** The zone stops answering all members, and no other relevant fault is active or recent. */
   public void onIsolatedZoneFailure(long trueTime, int zone) { }
 
-  /** Nothing has been wrong for long. */
+  /** The run ends after a period without faults. */
   public void onEnd(long trueTime, boolean allZonesOpen) { }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All zones open again in the end, and then each key goes where it went before anything was wrong. */
+/** In the end all zones are open again, and each key goes to the server that it had before the first fault. */
 public final class KeysReturn extends InvariantChecker {
   private final Map<Integer, Integer> serverBeforeFaults = new HashMap<>();
   private final Map<Integer, Integer> lastServer = new HashMap<>();
@@ -12,8 +12,8 @@
   private final long stableMillis;
 
   /**
-   * @param faultsFrom when the first fault begins
-   * @param calm milliseconds before the end in which all was well
+   * @param firstFaultAt start of the first fault
+   * @param stableMillis duration before the end of the run without faults
    */
   public KeysReturn(long firstFaultAt, long stableMillis) {
     this.firstFaultAt = firstFaultAt;
--- a/lab/src/main/java/lemondeal/lab/evacuation/LeavesInTime.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/LeavesInTime.java
@@ -6,12 +6,14 @@
 import java.util.Set;
 import lemondeal.evacuation.Evacuation;
 
-/** Where a zone fails alone, a majority knows within 2 s that it is left, and within 3 s nobody sends there. */
+/**
+ * When a zone fails in isolation, a majority knows of its evacuation within 2 s, and no member sends there after 3 s.
+ */
 public final class LeavesInTime extends InvariantChecker {
   private static final long DECISION_LIMIT_MILLIS = 2_000;
   private static final long STOP_LIMIT_MILLIS = 3_000;
 
-  /** A zone's failure, and who has left it for that. */
+  /** A zone's failure, and the members that have evacuated the zone since. */
   private static final class ZoneFailure {
     final long failedAt;
     final Set<Integer> evacuatedMembers = new HashSet<>();
@@ -65,12 +67,12 @@
   public void onEnd(long trueTime, boolean allZonesOpen) {
     failures.forEach((zone, failure) -> {
       if (failure.majorityAt < 0) {
-        reportBreach("zone " + zone + " failed at " + failure.failedAt + " ms and was never left");
+        reportBreach("zone " + zone + " failed at " + failure.failedAt + " ms and was never evacuated");
       }
     });
   }
 
-  /** Milliseconds that it took at most until a majority knew; -1 where no zone failed alone. */
+  /** Returns the longest time until a majority knew of an evacuation; -1 if no zone failed in isolation. */
   public long slowestMajorityMillis() {
     return slowestMajorityMillis;
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
@@ -3,12 +3,12 @@
 import lemondeal.evacuation.Evacuation;
 
 /**
- * A zone is left only after it, or the ways to it, failed for longer than a blip: not for shorter outages, servers that
- * flap, links that drop three in ten, overload, or members that stand still.
+ * A zone is evacuated only if the zone, or the network to it, failed for at least {@link #BLIP_MILLIS}: not for shorter
+ * outages, flapping servers, links that drop 30%, overload, or suspended members.
  */
 public final class LittleMovesNobody extends InvariantChecker {
   private static final long BLIP_MILLIS = 1_000;
-  /** Evidence may be so old when the last vote is counted. */
+  /** Greatest age of the evidence when the last vote is counted. */
   private static final long MAX_EVIDENCE_AGE_MILLIS = 6_000;
 
   private final FaultSchedule faultSchedule;
@@ -22,7 +22,7 @@
     boolean justified = faultSchedule.faults().stream().anyMatch(fault -> affects(fault, decision.zone())
         && fault.endMillis() - fault.startMillis() >= BLIP_MILLIS && fault.startMillis() + BLIP_MILLIS <= trueTime && fault.endMillis() + MAX_EVIDENCE_AGE_MILLIS >= trueTime);
     if (decision.evacuates() && decision.countedHere() && !justified) {
-      reportBreach(trueTime + " ms: member " + member + " leaves zone " + decision.zone() + " for nothing that lasts");
+      reportBreach(trueTime + " ms: member " + member + " evacuates zone " + decision.zone() + " without a lasting failure");
     }
   }
 
--- a/lab/src/main/java/lemondeal/lab/evacuation/MajorityBehindDecisions.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/MajorityBehindDecisions.java
@@ -6,16 +6,16 @@
 import java.util.Set;
 import lemondeal.evacuation.Evacuation;
 
-/** Each decision has votes of a majority of the named members, written within a vote's life before it. */
+/** Each decision has votes of a majority of the configured members, sent within the vote TTL before it. */
 public final class MajorityBehindDecisions extends InvariantChecker {
-  /** A vote for the epoch after this one. */
+  /** A vote for the epoch that follows {@code epoch}. */
   private record Vote(long votedAt, int member, int zone, long epoch) {}
 
   private final List<Vote> votes = new ArrayList<>();
   private final int members;
   private final long voteTtl;
 
-  /** @param life milliseconds that a vote lasts, clocks' drift included */
+  /** @param voteTtl lifetime of a vote in milliseconds, clock drift included */
   public MajorityBehindDecisions(int members, long voteTtl) {
     this.members = members;
     this.voteTtl = voteTtl;
@@ -33,7 +33,7 @@
     if (!decision.countedHere()) {
       return;
     }
-    // The one that counts may vote in the same moment, before it has told anybody.
+    // The member that counts the votes may add its own before it has sent a report.
     Set<Integer> voters = new HashSet<>(Set.of(member));
     for (Vote vote : votes) {
       if (vote.zone() == decision.zone() && vote.epoch() == decision.epoch() - 1 && trueTime - vote.votedAt() <= voteTtl) {
--- a/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import lemondeal.evacuation.Evacuation;
 
-/** A member that knows that a zone is left sends nothing new there a second later. */
+/** A member that knows of a zone's evacuation sends nothing new there after a second. */
 public final class NoSendToLeftZone extends InvariantChecker {
   private static final long GRACE_MILLIS = 1_000;
 
@@ -31,7 +31,7 @@
   public void onSend(long trueTime, int member, int zone, int key, int server) {
     Long since = leftSince.get(member + "/" + zone);
     if (since != null && trueTime - since > GRACE_MILLIS) {
-      reportBreach(trueTime + " ms: member " + member + " sends to zone " + zone + ", left since " + since);
+      reportBreach(trueTime + " ms: member " + member + " sends to zone " + zone + ", evacuated at " + since);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
@@ -9,14 +9,14 @@
 import lemondeal.evacuation.SlowStartRamp;
 
 /**
- * The sum of what all members may send into a zone never exceeds the fleet's budget, which grows from the moment of the
- * return's decision. Once a majority knows that the zone is left and shares have had time to run out, it is the
- * budget of the beginning; no decision is older than the first member that knew it.
+ * The sum of the members' rate limits for a zone never exceeds the fleet's budget. The budget grows from the decision
+ * to return, which is dated by the first member that knew of it. Once a majority knows of an evacuation and the leases
+ * have expired, the budget is the initial rate again.
  */
 public final class SharesWithinBudget extends InvariantChecker {
   private static final double ROUNDING = 1e-9;
 
-  /** What has been decided of one zone. */
+  /** The decisions on one zone. */
   private static final class ZoneHistory {
     long epoch;
     long returnedAt;
@@ -31,7 +31,7 @@
   private final long leaseTtl;
   private double peakBudgetUse;
 
-  /** @param life milliseconds that a share lasts, clocks' drift included */
+  /** @param leaseTtl lifetime of a lease on a share of the budget in milliseconds, clock drift included */
   public SharesWithinBudget(SlowStartRamp slowStart, int members, long leaseTtl) {
     this.slowStart = slowStart;
     this.members = members;
@@ -75,12 +75,12 @@
     double budget = budget(history, trueTime);
     peakBudgetUse = Double.isInfinite(budget) ? peakBudgetUse : Math.max(peakBudgetUse, sum / budget);
     if (sum > budget + ROUNDING) {
-      reportBreach(trueTime + " ms: shares of zone " + zone + " are " + Arrays.toString(rates) + ", more than " + budget
+      reportBreach(trueTime + " ms: rate limits of zone " + zone + " are " + Arrays.toString(rates) + ", more than " + budget
           + " in epoch " + history.epoch);
     }
   }
 
-  /** The largest part of a budget that was in use at once. */
+  /** Returns the largest fraction of a budget that was allocated at one moment. */
   public double peakBudgetUse() {
     return peakBudgetUse;
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/SimulatedProxy.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/SimulatedProxy.java
@@ -12,7 +12,7 @@
 import lemondeal.evacuation.ZoneRateLimiter;
 import lemondeal.evacuation.ZoneAccess;
 
-/** One simulated proxy: clients that come in, attempts that end, a clock of its own, and what it keeps on disk. */
+/** A simulated proxy with arriving clients, attempts in flight, its own clock and saved state. */
 final class SimulatedProxy {
   private static final long RESPONSE_MILLIS = 5;
   private static final long TIMEOUT_MILLIS = 300;
@@ -20,7 +20,7 @@
   private static final long PROBE_INTERVAL_MILLIS = 400;
   private static final long SUSPECT_PROBE_INTERVAL_MILLIS = 100;
 
-  /** An attempt or a probe that ends later. */
+  /** An attempt in flight; a probe has key -1. */
   private record Attempt(long endsAt, long startedAt, int server, boolean answered, boolean late, int key) {}
 
   private final FleetSimulation simulation;
@@ -46,7 +46,7 @@
     this.random = random;
     index = membership.selfIndex();
     clockOffset = random.nextInt(1_000_000_000);
-    // Clocks run apart by less than half of what the settings allow, each way.
+    // Clocks drift by at most half of the allowed amount in either direction.
     clockRate = 1 + (random.nextDouble() - 0.5) * simulation.settings().maxClockDrift();
     backoffUntil = new long[simulation.servers()];
     arrivals = new int[simulation.zones()];
@@ -65,7 +65,7 @@
     inFlight.clear();
   }
 
-  /** @param damaged whether what was kept on disk can't be read */
+  /** @param stateDamaged whether the saved state is unreadable */
   void start(long trueTime, boolean stateDamaged) {
     Optional<EvacuationState> restoredState = stateDamaged ? Optional.empty() : EvacuationState.decode(savedState);
     incarnation = Math.max(incarnation + 1, trueTime);
@@ -89,7 +89,7 @@
     return evacuation.access(zone, localClock(trueTime));
   }
 
-  /** One turn: what ended is told, then the module judges, a client comes in, a row goes out. */
+  /** Runs one cycle: reports ended attempts, makes decisions, routes arriving clients, sends probes and a report. */
   void tick(long trueTime) {
     long localTime = localClock(trueTime);
     while (!inFlight.isEmpty() && inFlight.peek().endsAt() <= trueTime) {
@@ -138,7 +138,7 @@
     }
   }
 
-  /** A client comes in. Members see very different numbers of them. */
+  /** Counts and routes an arriving client. Arrival rates differ widely between members. */
   private void onClientArrival(int key, long trueTime, long localTime) {
     arrivals[simulation.zoneOf(simulation.ranking(key)[0])]++;
     if (localTime - arrivalsCountedFrom >= 1_000) {
@@ -151,7 +151,7 @@
     routeClient(key, trueTime, localTime);
   }
 
-  /** The key's highest server that is not passed over and whose zone may be sent to takes the client. */
+  /** Sends the client to the highest-ranked server of its key that is not backed off and whose zone's rate limit permits. */
   private void routeClient(int key, long trueTime, long localTime) {
     for (int server : simulation.ranking(key)) {
       if (backoffUntil[server] <= localTime && rateLimiter.tryAcquire(evacuation.access(simulation.zoneOf(server), localTime), localTime)) {
--- a/lab/src/main/java/lemondeal/lab/evacuation/package-info.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The evacuation of zones by a simulated fleet, and the rules that it must keep whatever happens. Deterministic: a
- * seed makes the faults, the delays and the clocks. Checkers hear what happens and know nothing of how the fleet
- * decides.
+ * A deterministic simulation of a fleet that evacuates zones, and the invariants that must hold under all faults. A seed
+ * determines the faults, the delays and the clocks. The checkers observe events and are independent of the decision
+ * logic.
  */
 package lemondeal.lab.evacuation;
--- a/lab/src/main/java/lemondeal/lab/fleet/FleetCountCommand.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/FleetCountCommand.java
@@ -14,16 +14,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fleet-count}. */
+/** The command {@code fleet-count}. */
 @Command(name = "fleet-count", mixinStandardHelpOptions = true, exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {"0:counted", "2:bad use, or no traced line there"},
-    description = "Count what all proxies did together, from logs written with GW_TRACE set, a file a proxy.")
+    exitCodeList = {"0:counted", "2:invalid usage, or no trace lines"},
+    description = "Count the events of all proxies from logs written with GW_TRACE set, one file per proxy.")
 public final class FleetCountCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FOLDER", description = "Where the files ending in .log are.")
+  @Parameters(paramLabel = "FOLDER", description = "Folder with the .log files.")
   private Path folder;
 
   @Option(names = "--config", paramLabel = "FILE",
-      description = "A proxy's configuration: what was counted is told at its prices too.")
+      description = "A proxy's configuration, whose prices are used to report costs.")
   private Path config;
 
   @CommandLine.Spec
@@ -44,7 +44,7 @@
     if (prices != null) {
       out.print(count.costLine("probe", prices.probe()) + count.costLine("move", prices.move()));
     }
-    // The command line's writer keeps what is not ended by println.
+    // The command line's writer flushes only on println.
     out.flush();
     return CommandLine.ExitCode.OK;
   }
--- a/lab/src/main/java/lemondeal/lab/fleet/FleetTraceCounts.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/FleetTraceCounts.java
@@ -13,28 +13,28 @@
 import java.util.stream.Stream;
 
 /**
- * What all proxies of a fleet did together, from their traced logs: for each second and for each server, and the time
- * that requests waited for their first attempt and for their answer. What is fine in one proxy shows only here.
+ * Totals over all proxies of a fleet from their trace logs: events by second and by server, and how long requests
+ * waited for their first attempt and for their answer. Shows effects that no single proxy's log reveals.
  */
 final class FleetTraceCounts {
-  /** Answers to a request; whichever comes first ends its waiting. */
+  /** Events that answer a request; the first one ends its wait. */
   private static final List<String> ANSWER_EVENTS = List.of("up", "refuse", "fail", "gone");
 
   private final List<TraceLine> lines = new ArrayList<>();
   private final TreeSet<String> proxies = new TreeSet<>();
   private final TreeMap<String, TreeMap<String, Integer>> bySecond = new TreeMap<>();
   private final TreeMap<String, TreeMap<String, Integer>> byServer = new TreeMap<>();
-  /** Clients by their keys, the same at every try and every proxy: a price is one a first try. */
+  /** Keys of the clients, the same for every try and at every proxy. Prices are relative to first tries. */
   private final TreeSet<String> clients = new TreeSet<>();
   private final List<Long> firstAttemptWaits = new ArrayList<>();
   private final List<Long> answerWaits = new ArrayList<>();
 
-  /** Reads every file of the folder whose name ends in {@code .log}; other lines than traced ones are passed over. */
+  /** Reads the trace lines of every {@code .log} file in the folder and skips other lines. */
   static FleetTraceCounts read(Path folder) throws IOException {
     FleetTraceCounts count = new FleetTraceCounts();
     try (Stream<Path> files = Files.list(folder)) {
       for (Path file : files.filter(f -> f.toString().endsWith(".log")).sorted().toList()) {
-        // A proxy that was killed may have ended in the middle of a line, or of a character.
+        // The log of a killed proxy may end in the middle of a line or of a character.
         for (String line : new String(Files.readAllBytes(file), StandardCharsets.UTF_8).split("\n")) {
           count.add(TraceLine.parse(line));
         }
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Counts what was added, in the order of the wall clock. */
+  /** Counts the added lines in the order of the wall clock. */
   void aggregate() {
     lines.sort((a, b) -> Long.compare(a.millis(), b.millis()));
     Map<String, long[]> pending = new TreeMap<>();
@@ -72,7 +72,10 @@
     table.computeIfAbsent(row, r -> new TreeMap<>()).merge(kind, 1, Integer::sum);
   }
 
-  /** A proxy's ids are its own, and a process started anew begins them anew: what a killed one left waits no more. */
+  /**
+   * Records how long a request waited. Ids are unique only within one proxy process: a restart begins them again, so it
+   * discards what is pending.
+   */
   private void recordWait(Map<String, long[]> pending, TraceLine line) {
     if (line.eventName().equals("start")) {
       pending.keySet().removeIf(id -> id.startsWith(line.proxy() + " "));
@@ -90,19 +93,19 @@
     }
   }
 
-  /** How often this was counted in all. */
+  /** Returns the total of a counter. */
   int total(String kind) {
     return bySecond.values().stream().mapToInt(row -> row.getOrDefault(kind, 0)).sum();
   }
 
-  /** What this cost of the result, at a price that is due in full at one for each first try. */
+  /** Returns the cost of a counter as a fraction of the result: count times price, divided by the first tries. */
   String costLine(String kind, double price) {
     int firstTries = Math.max(1, clients.size());
     return String.format(Locale.ROOT, "%s: %d at %s for %d first tries, %.4f of the result%n", kind, total(kind), price,
         firstTries, total(kind) * price / firstTries);
   }
 
-  /** How often at this server. */
+  /** Returns a counter's total at one server. */
   int totalAtServer(String server, String kind) {
     return byServer.getOrDefault(server, new TreeMap<>()).getOrDefault(kind, 0);
   }
@@ -115,7 +118,7 @@
     return lines.isEmpty();
   }
 
-  /** Two tables and the waits, as Markdown. */
+  /** Returns the two tables and the wait times as Markdown. */
   String report() {
     return proxies.size() + " proxies, " + lines.size() + " lines\n\n"
         + table("second", bySecond) + "\n" + table("server", byServer) + "\n"
--- a/lab/src/main/java/lemondeal/lab/fleet/TraceLine.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/TraceLine.java
@@ -6,16 +6,16 @@
 import java.util.regex.Pattern;
 
 /**
- * One line that {@code lemondeal.trace.Traced} wrote, wherever it stands in a line of a log.
+ * A trace line written by {@code lemondeal.trace.TracingBalancer}, extracted from a log line.
  *
  * @param millis the wall clock, in milliseconds since 1970
- * @param word what happened: {@code arrived}, {@code send}, {@code ended} and so on
- * @param values the names and values behind it, in their order
+ * @param eventName the event or action: {@code arrived}, {@code send}, {@code ended} and so on
+ * @param fields the values by name, in their order
  */
 record TraceLine(String proxy, long millis, String eventName, Map<String, String> fields) {
   private static final Pattern PATTERN = Pattern.compile("\\btrace (\\S+) (\\d{1,18}) ([a-z]+)([^\"]*)");
 
-  /** The line, or null where it is another one. */
+  /** Parses a log line; returns null if it contains no trace line. */
   static TraceLine parse(String line) {
     Matcher matcher = PATTERN.matcher(line);
     if (!matcher.find()) {
@@ -31,14 +31,14 @@
     return new TraceLine(matcher.group(1), Long.parseLong(matcher.group(2)), matcher.group(3), fields);
   }
 
-  /** What this line is counted as: the word, and how it ended where that matters. */
+  /** Returns the counter for this line: the event name, with the outcome except for served probes. */
   String counterName() {
     String outcome = fields.get("outcome");
     boolean hasOutcome = outcome != null && !(eventName.equals("probed") && outcome.equals("SERVED"));
     return hasOutcome ? eventName + " " + outcome.toLowerCase(java.util.Locale.ROOT) : eventName;
   }
 
-  /** The server it is about, or null. */
+  /** Returns the server, or null if the line names none. */
   String server() {
     return fields.get("server");
   }
--- a/lab/src/main/java/lemondeal/lab/measure/ClaimThroughput.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ClaimThroughput.java
@@ -19,14 +19,14 @@
 import lemondeal.lab.claims.FakeClaimStore;
 import lemondeal.log.PlainLog;
 
-/** Claims a second of each maker: new sessions, claimed and settled, a bounded number under way. */
+/** Measures the claims per second of each store: new sessions are claimed and settled, with a bounded number in flight. */
 final class ClaimThroughput {
   private static final int MAX_IN_FLIGHT = 64;
   private static final long LEASE_MILLIS = 10_000;
 
   private ClaimThroughput() {}
 
-  /** Claims a second over about so many milliseconds. */
+  /** Returns the claims per second over about {@code millis}. */
   static double memory(long millis) throws InterruptedException {
     return rate(new MemoryStore(Integer.MAX_VALUE, System::currentTimeMillis), 1, millis);
   }
--- a/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
@@ -16,8 +16,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What servers from Consul cost and how soon a drain takes hold, measured on real proxies against the stand-in, all in
- * one run on one machine: Markdown tables.
+ * Measures the cost of discovery through Consul and the delay until a drain takes effect, with real proxies and a fake
+ * Consul in one run on one machine. Returns Markdown tables.
  */
 final class ConsulReport {
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -48,7 +48,7 @@
 
   private String drains() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder("""
-        3 proxies, 8 link servers, 24 clients of short connections. The time from the change in the stand-in to the last
+        3 proxies, 8 echo servers, 24 clients of short connections. The time from the change in the fake Consul to the last
         first line that reached that server; 0 where none came after the change.
 
         | change | plays | median ms | 99th ms | worst ms | after 1 s |
@@ -87,13 +87,13 @@
     return table.toString();
   }
 
-  /** Milliseconds from the change to the last new work at that server. */
+  /** Returns the milliseconds from the change to the last new work at the server. */
   private static long drain(ConsulTestCluster site, String name, Consumer<String> change) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + 10_000 * MILLI;
     long startNanos = System.nanoTime();
     while (site.server(name).lastOpenNanos() < startNanos) {
       if (System.nanoTime() > deadlineNanos) {
-        throw new IllegalStateException(name + " gets no work before its change");
+        throw new IllegalStateException(name + " received no work before its change");
       }
       Thread.sleep(10);
     }
@@ -109,7 +109,7 @@
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
         One proxy, no clients, a list of so many instances of which 1%% turn critical or passing each second, for %d s.
         CPU is the proxy's, in all its threads; a PING on a new connection is accepted and answered by its I/O thread, so
-        its round trip tells how long that thread stood still.
+        its round trip shows how long that thread was blocked.
 
         | instances | CPU of a core | memory MB | PING median ms | PING 99th ms | PING worst ms |
         | --- | --- | --- | --- | --- | --- |
@@ -119,7 +119,7 @@
         FakeConsul consul = site.consul();
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-          // Nothing listens there: with no clients nothing is dialled.
+          // Nothing listens there: without clients no connection is opened.
           keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulTestCluster.SERVICE, "x-" + i, 1 + i % 60_000));
         }
         site.startProxy(0, 1);
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Microseconds from a connection's start to its {@code PONG}: accepting and answering both wait for the I/O thread. A
-   * connection of its own each time, since one that sends no first line is ended after a while.
+   * Returns the microseconds from opening a connection to its {@code PONG}: accepting and answering both wait for the
+   * I/O thread. Uses a new connection each time, because one that sends no first line is closed after a while.
    */
   private static long ping(ProxyProcess proxy) throws IOException {
     long startNanos = System.nanoTime();
@@ -174,7 +174,7 @@
 
   private String calls() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
-        So many proxies on one stand-in Consul with 8 instances, for %d s each way: calm, with one change a second; and
+        So many proxies on one fake Consul with 8 instances, for %d s each way: calm, with one change a second; and
         failing, with 500 to every call. Blocking queries wait 30 s; failures are paced from 500 ms to 30 s.
 
         | proxies | calm: calls a second | calm: per proxy | failing: calls a second | failing: per proxy |
--- a/lab/src/main/java/lemondeal/lab/measure/EmulatorReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/EmulatorReport.java
@@ -12,10 +12,10 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.VerboseMode;
 
-/** How fast the emulator is and how large a run fits, and what the module takes for a request: Markdown tables. */
+/** Measures the emulator's speed, the largest run that fits, and the module's time per request. Returns Markdown tables. */
 final class EmulatorReport {
   private static final long SECOND = Scenario.SECOND;
-  /** Servers, proxies, new clients a second, seconds. */
+  /** Each: servers, proxies, new clients per second, seconds. */
   private static final int[][] SIZES = {{10, 4, 20, 60}, {100, 10, 200, 60}, {1000, 50, 2000, 20}};
   private static final int[] LARGEST = {1000, 100, 25_000, 40};
 
--- a/lab/src/main/java/lemondeal/lab/measure/ProcessUsage.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ProcessUsage.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the kernel says of a process (Linux alone). */
+/** CPU time and resident memory of a process, read from {@code /proc} (Linux only). */
 record ProcessUsage(double cpuSeconds, long residentKilobytes) {
-  /** The kernel's clock ticks a second, the same on all machines of today. */
+  /** Clock ticks per second; 100 on all current Linux systems. */
   private static final double TICKS_PER_SECOND = 100;
   private static final int UTIME_FIELD = 11;
 
--- a/lab/src/main/java/lemondeal/lab/measure/RankingBenchmark.java
+++ b/lab/src/main/java/lemondeal/lab/measure/RankingBenchmark.java
@@ -29,7 +29,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the module takes for a request's whole way (arrival, ranking, up, end), by the number of servers. */
+/** Measures the module's time for one request (arrival, ranking, up, end) by the number of servers. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -45,7 +45,7 @@
   private Balancer module;
   private long now;
 
-  /** A module that knows the list. */
+  /** Creates a module with the server list. */
   @Setup
   public void start() {
     module = new DecisionModule();
@@ -62,7 +62,7 @@
     module.on(0, new ServerList(1, ListKind.FULL, entries));
   }
 
-  /** One request's way. */
+  /** Processes one request from arrival to end. */
   @Benchmark
   public List<Action> request() {
     now += 10_000;
--- a/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Measures resumable moves beside plain ones, in one run, and writes tables in Markdown. */
+/** Compares resumable with plain moves in one run and returns Markdown tables. */
 final class ResumeReport {
   private static final int SERVERS = 4;
   private static final int MICROS = 1000;
@@ -31,16 +31,16 @@
     this.progress = progress;
   }
 
-  /** The day of drains: what clients saw. */
+  /** What the clients observed while all servers were drained. */
   private record DrainResult(Histogram gaps, long moves, long resentLines, long sentLines, int breaches) {}
 
-  /** Standing connections at one proxy: what they cost. */
+  /** Cost of an open connection at one proxy. */
   private record ConnectionCost(double kilobytes, double microsPerLine) {}
 
   String run() throws IOException, InterruptedException, RunnerException {
     progress.println("drains, with tokens ...");
     DrainResult withTokens = measureDrains(true);
-    progress.println("drains, without ...");
+    progress.println("drains, without tokens ...");
     DrainResult withoutTokens = measureDrains(false);
     table("after a move|with tokens|without", new String[][] {
         {"moves seen", "" + withTokens.moves(), "" + withoutTokens.moves()},
@@ -49,9 +49,9 @@
         {"lines sent by clients", "" + withTokens.sentLines(), "" + withoutTokens.sentLines()},
         {"of them stated once more after a move", "" + withTokens.resentLines(), "" + withoutTokens.resentLines()},
         {"breaches of the promises", "" + withTokens.breaches(), "not promised"}});
-    progress.println("standing connections, resumable ...");
+    progress.println("open connections, resumable ...");
     ConnectionCost resumableCost = measureCost(true);
-    progress.println("standing connections, plain ...");
+    progress.println("open connections, plain ...");
     ConnectionCost plainCost = measureCost(false);
     table("a connection at the proxy|resumable|plain", new String[][] {
         {"memory, KB (resident, whole process)", formatDecimal(resumableCost.kilobytes()), formatDecimal(plainCost.kilobytes())},
@@ -104,7 +104,7 @@
     return allClients;
   }
 
-  /** Memory by what the process holds with and without the connections, CPU by what a steady stretch takes. */
+  /** Memory from the process size with and without the connections, CPU from a period of steady traffic. */
   private ConnectionCost measureCost(boolean resumes) throws IOException, InterruptedException {
     try (ResumeTestCluster site = new ResumeTestCluster(1, SERVERS, "checkpoint: 5s")) {
       long pid = site.proxies().get(0).pid();
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Read from another thread: good to a line or two. */
+  /** Read from another thread without synchronization: accurate to a line or two. */
   private static long sentLines(List<ResumingClient> allClients) {
     return allClients.stream().mapToLong(ResumingClient::sent).sum();
   }
--- a/lab/src/main/java/lemondeal/lab/measure/TokenBenchmark.java
+++ b/lab/src/main/java/lemondeal/lab/measure/TokenBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Tokens made and checked on one thread, with the flags that the platform gives the proxy. */
+/** Measures creating and verifying tokens on one thread, with the JVM flags of the platform. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.SECONDS)
@@ -33,13 +33,13 @@
       7890, "s-5be2a07c", 1_700_000_000_000L, 1_700_000_060_000L);
   private final String text = codec.encode(token, key);
 
-  /** Makes a token. */
+  /** Creates a token. */
   @Benchmark
   public String made() {
     return codec.encode(token, key);
   }
 
-  /** Checks a token that is good. */
+  /** Verifies a valid token. */
   @Benchmark
   public Token checked() throws TokenException {
     return codec.decode(text, ring);
--- a/lab/src/main/java/lemondeal/lab/site/ClusterFault.java
+++ b/lab/src/main/java/lemondeal/lab/site/ClusterFault.java
@@ -7,18 +7,18 @@
 import java.util.regex.Pattern;
 
 /**
- * One thing that goes wrong at a site, in the form of an experiment's faults: {@code at 5s stall n0,n1 from n2 for 3s}.
+ * A scheduled fault of a cluster, in the syntax of an experiment's faults: {@code at 5s stall n0,n1 from n2 for 3s}.
  *
- * @param from the places of proxies; empty for all
- * @param to the places of those on the other side; empty for all others
- * @param bothWays whether what {@code to} sends to {@code from} is concerned, too
- * @param passage how bytes pass meanwhile; null where it is no fault of the network
- * @param lengthMillis 0 where it has no end
+ * @param fromProxies indexes of the sending proxies; empty for all
+ * @param toProxies indexes of the receiving proxies; empty for all others
+ * @param bothDirections whether traffic from {@code toProxies} to {@code fromProxies} is affected as well
+ * @param conditions network conditions during the fault; null for kinds that are not network faults
+ * @param durationMillis 0 for a fault without an end
  */
 public record ClusterFault(long startMillis, Kind kind, List<Integer> fromProxies, List<Integer> toProxies, boolean bothDirections,
     NetworkConditions conditions, long durationMillis) {
 
-  /** What can happen: between proxies, or (STOP, KILL) to them. */
+  /** Kinds of faults: STOP and KILL affect processes, the others the network between them. */
   public enum Kind { CUT, STALL, DELAY, LOSE, THROTTLE, STOP, KILL }
 
   private static final String TIME = "\\d+(?:\\.\\d+)?(?:ms|s|m)";
@@ -28,12 +28,12 @@
       + "(?: by (?<by>" + TIME + "|[0-9.]+))?(?: spread (?<spread>" + TIME + "))?(?: for (?<for>" + TIME + "))?");
 
   /**
-   * Reads {@code at TIME KIND WHO [to|from WHO] [by AMOUNT [spread TIME]] [for TIME]}. {@code to} concerns what is sent
-   * that way alone, {@code from} both ways, and without either it is both ways with all others. {@code delay} is by a
-   * time and may be spread by draws of this mean, {@code lose} by the share of pieces that reset their connection,
-   * {@code throttle} by bytes a second.
+   * Parses {@code at TIME KIND WHO [to|from WHO] [by AMOUNT [spread TIME]] [for TIME]}. {@code to} affects only that
+   * direction, {@code from} both directions, and neither of them both directions with all others. The amount is a time
+   * for {@code delay}, with {@code spread} as the mean of the jitter; the fraction of chunks that reset their connection
+   * for {@code lose}; and bytes per second for {@code throttle}.
    *
-   * @throws IllegalArgumentException where it has another form
+   * @throws IllegalArgumentException if the text has another form
    */
   public static ClusterFault parse(String text) {
     Matcher matcher = SYNTAX.matcher(text);
@@ -71,7 +71,7 @@
         * (unit.equals("ms") ? 1 : unit.equals("s") ? 1_000 : 60_000));
   }
 
-  /** Whether what one proxy sends to another is concerned. */
+  /** Whether the fault affects traffic from one proxy to another. */
   boolean affects(int sender, int receiver) {
     return isSource(sender) && isDestination(receiver) || bothDirections && isSource(receiver) && isDestination(sender);
   }
--- a/lab/src/main/java/lemondeal/lab/site/ClusterFaultSchedule.java
+++ b/lab/src/main/java/lemondeal/lab/site/ClusterFaultSchedule.java
@@ -6,24 +6,24 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Faults between and of the proxies of a {@link FleetSite}, each at its time and over at its end. */
+/** Scheduled faults of the proxies of a {@link FleetTestCluster} and of the network between them. */
 public record ClusterFaultSchedule(List<ClusterFault> faults) {
   private static final long MAX_DURATION_MILLIS = 3_000;
 
-  /** Something to be done to the site. */
+  /** An action on the cluster at its time. */
   private record ScheduledAction(long atMillis, Action action) {}
 
   private interface Action {
     void run() throws IOException, InterruptedException;
   }
 
-  /** One fault a line, as {@link SiteFault#read} has it; lines without any are passed over. */
+  /** Parses one fault per line with {@link ClusterFault#parse}; skips blank lines. */
   public static ClusterFaultSchedule parse(String lines) {
     return new ClusterFaultSchedule(lines.lines().map(String::strip).filter(line -> !line.isEmpty())
         .map(ClusterFault::parse).toList());
   }
 
-  /** So many faults on single directions within the time, all over at its end. The same seed draws the same script. */
+  /** Generates faults on single directions that all end within the period. The same seed gives the same schedule. */
   public static ClusterFaultSchedule random(long seed, int proxies, int count, long periodMillis) {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> kinds = List.of("cut %s", "stall %s", "delay %s by 100ms spread 300ms", "lose %s by 0.3",
@@ -40,7 +40,7 @@
     return new ClusterFaultSchedule(faults);
   }
 
-  /** Plays it on the site; returns when all of it is over. What has no end stays as it is. */
+  /** Applies the faults and returns after the last one has ended. Faults without an end stay in effect. */
   public void run(FleetTestCluster cluster) throws IOException, InterruptedException {
     List<ScheduledAction> actions = new ArrayList<>();
     for (ClusterFault fault : faults) {
--- a/lab/src/main/java/lemondeal/lab/site/ConstantRateClients.java
+++ b/lab/src/main/java/lemondeal/lab/site/ConstantRateClients.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondeal.lab.LineConnection;
 
-/** Clients that come one after another to each proxy, at an even pace, stay a moment and go. Ended with their owner. */
+/** Connects clients one after another to each proxy at a constant rate; each closes after its answer. */
 public final class ConstantRateClients implements AutoCloseable {
   private static final int READ_TIMEOUT_MILLIS = 5_000;
 
@@ -17,7 +17,7 @@
   private final AtomicInteger unanswered = new AtomicInteger();
   private volatile boolean stopped;
 
-  /** @param pauseMillis between two clients of one proxy */
+  /** @param pauseMillis pause between two clients of one proxy */
   public ConstantRateClients(List<InetSocketAddress> proxies, long pauseMillis) {
     for (int i = 0; i < proxies.size(); i++) {
       InetSocketAddress proxy = proxies.get(i);
@@ -45,7 +45,7 @@
     }
   }
 
-  /** One client with this id, 16 hexadecimal digits, and key: the first word of its answer, or what went wrong. */
+  /** Sends one request with an id of 16 hex digits and a key. Returns the answer's first word, or the error. */
   public static String sendRequest(InetSocketAddress proxy, String id, String key) {
     try (LineConnection client = LineConnection.connect(proxy)) {
       client.setReadTimeout(READ_TIMEOUT_MILLIS);
@@ -65,7 +65,7 @@
     return refused.get();
   }
 
-  /** Clients that got neither. */
+  /** Returns the number of clients that got neither UP nor BUSY. */
   public int unanswered() {
     return unanswered.get();
   }
--- a/lab/src/main/java/lemondeal/lab/site/FleetTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/site/FleetTestCluster.java
@@ -14,9 +14,9 @@
 import lemondeal.lab.ProxyProcess;
 
 /**
- * A fleet of real proxies on loopback that tell each other rows, with a {@link Relay} in each direction of each pair. A
- * proxy is named {@code n} and its place; they stand in the zones {@code a} and {@code b} in turn. Ended with its
- * owner.
+ * A fleet of real proxies on loopback that exchange reports, with a {@link Relay} in each direction of each pair. A
+ * proxy is named {@code n} and its index; even ones are in zone {@code a}, odd ones in zone {@code b}. {@link #close}
+ * ends everything.
  */
 public final class FleetTestCluster implements AutoCloseable {
   private static final String VISIBILITY_EVENT = "\"event\":\"fleet-sight\"";
@@ -30,10 +30,11 @@
   private final InetSocketAddress discovery;
 
   /**
-   * Makes the site; nothing runs yet.
+   * Creates the cluster without starting a proxy.
    *
-   * @param more lines of the operator's section {@code fleet} beside the members; PLACE in them is the proxy's place
-   * @param discovery where the proxies list their servers
+   * @param extraFleetSettings lines of the operator's section {@code fleet} in addition to the members; PLACE in them
+   *     is replaced by the proxy's index
+   * @param discovery address of the discovery that lists the servers
    */
   public FleetTestCluster(int count, long seed, String extraFleetSettings, InetSocketAddress discovery) throws IOException {
     this.count = count;
@@ -57,7 +58,7 @@
     }
   }
 
-  /** How many proxies it has. */
+  /** Returns the number of proxies. */
   public int size() {
     return count;
   }
@@ -66,13 +67,13 @@
     return "n" + i;
   }
 
-  /** Starts the proxy of this place, or starts it again. */
+  /** Starts or restarts proxy {@code i}. */
   public ProxyProcess start(int i) throws IOException, InterruptedException {
     proxies[i] = ProxyProcess.start(writeConfig(i, true), writeOperatorFile(i));
     return proxies[i];
   }
 
-  /** The platform's configuration of a proxy; {@code mayTell}: whether it says that proxies may tell each other. */
+  /** Writes a proxy's platform configuration; {@code peersAllowed} permits messages between proxies. */
   public Path writeConfig(int i, boolean peersAllowed) throws IOException {
     return Files.writeString(folder.resolve("proxy-" + i + ".json"), """
         {"name":"%s","listen":"127.0.0.1:0","admin_addr":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"%x",
@@ -89,7 +90,7 @@
         """.formatted(proxyName(i), discovery.getPort(), i + 1, i, count, peersAllowed));
   }
 
-  /** The operator's own file of a proxy. */
+  /** Writes a proxy's operator file. */
   public Path writeOperatorFile(int i) throws IOException {
     StringBuilder members = new StringBuilder();
     for (int other = 0; other < count; other++) {
@@ -105,17 +106,17 @@
     return proxies[i];
   }
 
-  /** Where this proxy hears the others. */
+  /** Returns the address where the proxy receives messages of the fleet. */
   public InetSocketAddress listenAddress(int i) {
     return listenAddresses.get(i);
   }
 
-  /** What one proxy sends to another passes here. */
+  /** Returns the relay for traffic from one proxy to another. */
   public Relay relay(int from, int to) {
     return relays[from][to];
   }
 
-  /** From now on bytes between this proxy and all others pass so, both ways. */
+  /** Sets the network conditions between a proxy and all others, in both directions. */
   public void setConditions(int i, NetworkConditions conditions) {
     for (int other = 0; other < count; other++) {
       if (other != i) {
@@ -130,7 +131,7 @@
     new ProcessBuilder("kill", "-" + signal, Long.toString(proxies[i].pid())).start().waitFor();
   }
 
-  /** Whom the proxy has in sight by its log, as it says: names with blanks between. Null before it has said any. */
+  /** Returns the visible members from the proxy's last log line about them, separated by blanks; null if there is none. */
   public String visibleMembers(int i) {
     String last = null;
     for (String line : proxies[i].log()) {
@@ -142,12 +143,12 @@
     return last;
   }
 
-  /** Waits until the proxy has exactly these in sight; how long that took, in milliseconds. */
+  /** Waits until the proxy logs exactly these visible members. Returns the elapsed milliseconds. */
   public long awaitVisibleMembers(int i, String names, long timeoutSeconds) throws IOException, InterruptedException {
     long startNanos = System.nanoTime();
     while (!names.equals(visibleMembers(i))) {
       if (System.nanoTime() - startNanos > timeoutSeconds * 1_000_000_000L) {
-        throw new IOException(proxyName(i) + " has " + visibleMembers(i) + " in sight, not " + names + ": " + proxies[i].log());
+        throw new IOException(proxyName(i) + " sees " + visibleMembers(i) + ", not " + names + ": " + proxies[i].log());
       }
       Thread.sleep(10);
     }
--- a/lab/src/main/java/lemondeal/lab/site/NetworkConditions.java
+++ b/lab/src/main/java/lemondeal/lab/site/NetworkConditions.java
@@ -1,17 +1,17 @@
 package lemondeal.lab.site;
 
 /**
- * How a {@link Relay} lets bytes pass, one way.
+ * Network conditions for one direction of a {@link Relay}.
  *
- * @param way whether they pass at all
- * @param delayMillis each piece is held for so long at least
- * @param jitterMillis and for as long again as an exponential draw of this mean, in order
- * @param resetShare the share of pieces in whose place the connection is reset: what loss is to a stream
- * @param bytesPerSecond 0 where there is no bound
+ * @param mode whether bytes pass at all
+ * @param delayMillis minimum delay of each chunk
+ * @param jitterMillis mean of an exponentially distributed additional delay; the order is kept
+ * @param resetShare fraction of chunks at which the connection is reset, the counterpart of packet loss for a stream
+ * @param bytesPerSecond rate limit; 0 for none
  */
 public record NetworkConditions(Mode mode, long delayMillis, long jitterMillis, double resetShare, int bytesPerSecond) {
 
-  /** OPEN passes; STALLED holds everything and closes nothing, as a cut cable; CUT resets, and refuses who comes. */
+  /** OPEN passes bytes; STALLED holds them without closing, as a cut cable; CUT resets current and new connections. */
   public enum Mode { OPEN, STALLED, CUT }
 
   public static final NetworkConditions OPEN = new NetworkConditions(Mode.OPEN, 0, 0, 0, 0);
--- a/lab/src/main/java/lemondeal/lab/site/Relay.java
+++ b/lab/src/main/java/lemondeal/lab/site/Relay.java
@@ -16,13 +16,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stands on loopback before one address and passes on what is sent there, as its {@link Passage} says. What comes back
- * passes freely unless nothing passes at all. Its draws come from the seed, one stream in the order in which pieces
- * come.
+ * A TCP relay on loopback that forwards to one address under {@link NetworkConditions}. Replies are forwarded without
+ * delay unless the relay is stalled or cut. Random values come from one seeded stream, in the order in which chunks
+ * arrive.
  */
 public final class Relay implements AutoCloseable {
   private static final int CHUNK_BYTES = 4096;
-  /** What is under way at most; beyond, the sender is held up, as by a full network. */
+  /** Chunks queued at most; beyond that the sender is blocked, as by a congested network. */
   private static final int MAX_QUEUED_CHUNKS = 256;
   private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
   private static final byte[] END_OF_STREAM = {};
@@ -54,7 +54,7 @@
     return (InetSocketAddress) socket.getLocalSocketAddress();
   }
 
-  /** From now on bytes pass so, those under way among them. */
+  /** Changes the conditions, also for bytes that are queued. */
   public void setConditions(NetworkConditions newConditions) {
     synchronized (conditionsLock) {
       conditions = newConditions;
@@ -76,7 +76,7 @@
       socket.setSoLinger(true, 0);
       socket.close();
     } catch (IOException e) {
-      // Closed already.
+      // Already closed.
     }
   }
 
@@ -92,7 +92,7 @@
         }
       }
     } catch (IOException e) {
-      // Closed.
+      // The relay is closed.
     }
   }
 
@@ -178,7 +178,7 @@
     }
   }
 
-  /** Waits while everything is held. */
+  /** Waits while the relay is stalled. Returns the current conditions. */
   private NetworkConditions awaitNotStalled() throws InterruptedException {
     synchronized (conditionsLock) {
       while (conditions.mode() == NetworkConditions.Mode.STALLED && !closed) {
@@ -188,7 +188,7 @@
     }
   }
 
-  /** An end passes as an end: a reset would look like a server that died. Closed once both ways have ended. */
+  /** Closes both sockets once both directions have ended. A reset here would look like a crashed server. */
   private void onDirectionEnd(AtomicInteger openDirections, Socket from, Socket to) throws IOException {
     if (openDirections.decrementAndGet() == 0) {
       openSockets.remove(from);
@@ -214,7 +214,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Closed already.
+      // Already closed.
     }
     openSockets.forEach(Relay::reset);
   }
--- a/lab/src/main/java/lemondeal/lab/site/ZoneServers.java
+++ b/lab/src/main/java/lemondeal/lab/site/ZoneServers.java
@@ -9,14 +9,14 @@
 import lemondeal.lab.stream.SessionStore;
 import lemondeal.lab.stream.ResumableServer;
 
-/** Stand-in servers in zones, each behind a {@link Relay}, so that a whole zone can vanish and return. */
+/** Fake servers in zones, each behind a {@link Relay}, so that a whole zone can fail and recover. */
 public final class ZoneServers implements AutoCloseable {
   private record RelayedServer(ResumableServer server, Relay relay) {}
 
   private final FakeDiscovery discovery = new FakeDiscovery();
   private final Map<String, List<RelayedServer>> zones = new LinkedHashMap<>();
 
-  /** So many servers in each zone, all listed. */
+  /** Starts the servers of each zone and lists them in discovery. */
   public ZoneServers(int serversPerZone, String... zoneNames) throws IOException {
     for (String zone : zoneNames) {
       List<RelayedServer> servers = new ArrayList<>();
@@ -34,22 +34,22 @@
     return discovery;
   }
 
-  /** From now on what comes to the servers of this zone passes so. */
+  /** Sets the network conditions towards the servers of a zone. */
   public void setConditions(String zone, NetworkConditions conditions) {
     zones.get(zone).forEach(relayed -> relayed.relay.setConditions(conditions));
   }
 
-  /** First lines that came to each server of the zone so far. */
+  /** Returns the number of {@code OPEN} lines that each server of the zone has received. */
   public List<Integer> openCounts(String zone) {
     return zones.get(zone).stream().map(relayed -> relayed.server.openCount()).toList();
   }
 
-  /** First lines that came to the zone so far. */
+  /** Returns the number of {@code OPEN} lines that the zone has received. */
   public int openCount(String zone) {
     return openCounts(zone).stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** Connections that stand in the zone. */
+  /** Returns the number of open connections in the zone. */
   public int openConnections(String zone) {
     return zones.get(zone).stream().mapToInt(relayed -> relayed.server.openConnections()).sum();
   }
--- a/lab/src/main/java/lemondeal/lab/stream/ResumableServer.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumableServer.java
@@ -13,13 +13,13 @@
 import lemondeal.lab.LineConnection;
 
 /**
- * A stand-in link node on loopback that can resume sessions, as docs/RESUME-WIRE.md specifies for servers. Keeps a line,
- * answers {@code ACK N}, and sends a line of its own for each; has faults to order.
+ * A fake server on loopback that can resume sessions, as docs/RESUME-WIRE.md specifies for servers. Stores each line,
+ * acknowledges it with {@code ACK N} and sends a reply line. {@link ResponseMode} selects a fault.
  */
 public final class ResumableServer implements AutoCloseable {
   private static final long LINE_WAIT_MILLIS = 100;
 
-  /** What it does with an {@code OPEN}. */
+  /** How {@code OPEN} is answered. */
   public enum ResponseMode { SERVES, CANNOT_RESUME, FULL, SILENT, ERRS }
 
   private final SessionStore store;
@@ -52,22 +52,22 @@
     responseMode = newMode;
   }
 
-  /** Keeps lines and says nothing of it. */
+  /** Stores lines without acknowledging them. */
   public void disableAcknowledgements() {
     acknowledges = false;
   }
 
-  /** Begins with its first line whatever its client has: for showing that the checker finds out. */
+  /** Sends from the first line regardless of what the client has, to show that the checker detects it. */
   public void disableReplay() {
     replays = false;
   }
 
-  /** Connections that stand. */
+  /** Returns the number of established connections. */
   public int openConnections() {
     return (int) connections.stream().filter(connection -> connection.established).count();
   }
 
-  /** Waits until no connection stands any more. */
+  /** Waits until no established connection is left. */
   public synchronized void awaitNoConnections() throws InterruptedException {
     while (openConnections() > 0) {
       wait();
@@ -79,18 +79,18 @@
     notifyAll();
   }
 
-  /** First lines that came. */
+  /** Returns the number of {@code OPEN} lines received. */
   public int openCount() {
     return openCount.get();
   }
 
-  /** Sends all clients away and takes no new ones. */
+  /** Sends {@code MOVE} to all clients and refuses new ones. */
   public void drain() {
     draining = true;
     connections.forEach(Connection::sendMove);
   }
 
-  /** Dies without a word. */
+  /** Resets all connections, as a crash does. */
   public void kill() {
     close();
     connections.forEach(connection -> connection.lines.reset());
@@ -105,7 +105,7 @@
         startDaemon(connection::run, "server");
       }
     } catch (IOException e) {
-      // Closed.
+      // The server is closed.
     }
   }
 
@@ -114,11 +114,11 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Closed already.
+      // Already closed.
     }
   }
 
-  /** One client link's connection to this server. */
+  /** A connection from a proxy, for one client. */
   private final class Connection {
     private final LineConnection lines;
     private String session;
@@ -142,7 +142,7 @@
           handleOpen(line);
         }
       } catch (IOException e) {
-        // Its end is noted below, as any other.
+        // The end of the connection is handled below.
       } finally {
         onConnectionEnd(this);
         lines.close();
@@ -174,7 +174,7 @@
       serve();
     }
 
-    /** Whether the session is this connection's from now on. */
+    /** Answers {@code OPEN}. Returns whether the connection has taken the session over. */
     private boolean respond() throws IOException {
       switch (draining ? ResponseMode.FULL : responseMode) {
         case FULL -> lines.writeLines("BUSY");
@@ -194,7 +194,7 @@
       return established;
     }
 
-    /** As a server that knows nothing of sessions. */
+    /** Serves the connection without a session. */
     private void servePlain() throws IOException {
       if (draining) {
         lines.writeLines("BUSY");
@@ -224,7 +224,7 @@
       }
     }
 
-    /** Sends the session's lines, those that the client does not have first. */
+    /** Sends the session's lines to the client, beginning with the first that the client does not have. */
     private void sendStoredLines() {
       try {
         if (!replays) {
--- a/lab/src/main/java/lemondeal/lab/stream/ResumeChecker.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumeChecker.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.Set;
 
-/** The promises of docs/RESUME-WIRE.md, held against what clients and servers saw. */
+/** Checks the guarantees of docs/RESUME-WIRE.md against what clients and servers observed. */
 public final class ResumeChecker {
   private ResumeChecker() {}
 
   /**
-   * All breaches, in words; empty if every line that was acknowledged is there once and in order, the client got each of
-   * the server's lines once and in order, and no two attempts of a session were out at the same time.
+   * Returns descriptions of all breaches. There is none if every acknowledged line is stored once and in order, each
+   * client received the server's lines once and in order, and no session had two concurrent attempts.
    */
   public static List<String> breaches(SessionStore store, List<ResumingClient> clients) {
     List<String> breaches = new ArrayList<>();
     if (store.maxActiveAttempts() > 1) {
-      breaches.add(store.maxActiveAttempts() + " attempts of one session were out at the same time");
+      breaches.add(store.maxActiveAttempts() + " attempts of one session were active at the same time");
     }
     Set<String> names = new HashSet<>();
     store.clientLinesBySession().forEach((session, lines) -> checkOrder(session, lines, names, breaches));
@@ -27,13 +27,13 @@
             + " are acknowledged, " + client.received() + " came back: " + client.eventCounts());
       }
       if (client.sent() > 0 && !names.contains(client.name())) {
-        breaches.add(client.name() + ": none of its lines was kept");
+        breaches.add(client.name() + ": none of its lines was stored");
       }
     }
     return breaches;
   }
 
-  /** The lines of a session must be those of one client, numbered from 1 without a gap. */
+  /** Checks that the lines of a session belong to one client and are numbered from 1 without a gap. */
   private static void checkOrder(String session, List<String> lines, Set<String> names, List<String> breaches) {
     for (int i = 0; i < lines.size(); i++) {
       String[] fields = lines.get(i).split(" ");
--- a/lab/src/main/java/lemondeal/lab/stream/ResumeTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumeTestCluster.java
@@ -17,7 +17,7 @@
 import lemondeal.lab.claims.FakeClaimStore;
 import lemondeal.lab.TestCertificateAuthority;
 
-/** A small site on loopback: real proxies in processes of their own, stand-in servers, discovery and claim store. */
+/** A small cluster on loopback: real proxies in child processes, fake servers, discovery and claim store. */
 public final class ResumeTestCluster implements AutoCloseable {
   public static final String RESUMABLE_CLASS = "order-sync";
 
@@ -30,23 +30,25 @@
   private final AtomicInteger nextProxyIndex = new AtomicInteger();
   private volatile int pinnedProxy = -1;
   private final Path operatorFile;
-  /** Stores that speak TLS, where there are any. */
+  /** Claim stores with TLS; empty without TLS. */
   private final List<FakeClaimStore> tlsStores = new ArrayList<>();
   private final String extraSections;
 
   /**
-   * Starts so many proxies and servers.
+   * Starts the servers and proxies.
    *
-   * @param resume lines of the operator's section {@code resume} beside classes, keys and claims; null for no such file
+   * @param resumeSettings lines of the operator's section {@code resume} in addition to classes, keys and claims; null
+   *     for no operator file
    */
   public ResumeTestCluster(int proxyCount, int serverCount, String resumeSettings) throws IOException, InterruptedException {
     this(proxyCount, serverCount, resumeSettings, "");
   }
 
   /**
-   * The same, with more sections of the operator's file.
+   * Starts the servers and proxies with further sections of the operator's file.
    *
-   * @param more whole sections beside {@code version} and {@code resume}, such as {@code limits: {rings_mb: 20}}
+   * @param extraSections sections in addition to {@code version} and {@code resume}, such as
+   *     {@code limits: {rings_mb: 20}}
    */
   public ResumeTestCluster(int proxyCount, int serverCount, String resumeSettings, String extraSections)
       throws IOException, InterruptedException {
@@ -79,8 +81,8 @@
   }
 
   /**
-   * From the next start of a proxy on, claims are made in a store of two addresses that speaks TLS alone and asks each
-   * proxy for a certificate of the lab's authority. Returns the two replicas, first address first.
+   * Makes proxies that start from now on use a claim store with two addresses that accepts only TLS and requires a
+   * certificate of the test authority. Returns the two replicas in the order of their addresses.
    */
   public List<FakeClaimStore> useTlsClaimStore() throws IOException {
     TestCertificateAuthority authority = TestCertificateAuthority.create("lab-claims");
@@ -96,12 +98,12 @@
     return List.copyOf(tlsStores);
   }
 
-  /** Claims are made on disk from the next start of a proxy on. */
+  /** Makes proxies that start from now on keep claims on disk. */
   public void useDiskClaims() throws IOException {
     writeOperatorFile("", "disk, folder: claims");
   }
 
-  /** Runs a command of the program to its end. */
+  /** Runs a command of the program and returns its output. */
   public static String runCommand(String... arguments) throws IOException, InterruptedException {
     Process process = new ProcessBuilder(ProxyProcess.command(arguments)).redirectErrorStream(true).start();
     String output = new String(process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
@@ -111,7 +113,7 @@
     return output;
   }
 
-  /** Starts proxy number {@code i} of so many, or starts it again. */
+  /** Starts or restarts proxy {@code i} of {@code count}. */
   public void startProxy(int i, int count) throws IOException, InterruptedException {
     String listen = i < proxies.size() ? "127.0.0.1:" + proxies.get(i).address().getPort() : "127.0.0.1:0";
     Path config = folder.resolve("proxy-" + i + ".json");
@@ -138,7 +140,7 @@
     started.awaitLog("ready");
   }
 
-  /** Adds a fresh server under this id. */
+  /** Starts a server and lists it under the id. */
   public ResumableServer addServer(String id) throws IOException {
     ResumableServer server = new ResumableServer(sessionStore);
     servers.put(id, server);
@@ -146,24 +148,24 @@
     return server;
   }
 
-  /** Drains the server as an operator would: told by discovery, and by the server to its clients. */
+  /** Drains the server as an operator would: discovery lists it as terminating, and the server moves its clients. */
   public void drain(String id) {
     discovery.putInstance(id, servers.get(id).address(), "terminating");
     servers.get(id).drain();
   }
 
-  /** The server dies; discovery hears of it. */
+  /** Crashes the server and lists it as terminated. */
   public void kill(String id) {
     servers.get(id).kill();
     discovery.putInstance(id, servers.get(id).address(), "terminated");
   }
 
-  /** Has the front send all to one proxy; -1 for all of them. */
+  /** Directs all new clients to one proxy; -1 restores round-robin. */
   public void pinToProxy(int proxy) {
     pinnedProxy = proxy;
   }
 
-  /** The plain front: proxies in turn, those that are alive. */
+  /** Returns the pinned proxy, or the next live proxy in round-robin order. */
   public InetSocketAddress nextProxyAddress() {
     if (pinnedProxy >= 0) {
       return proxies.get(pinnedProxy).address();
@@ -197,7 +199,7 @@
     return folder;
   }
 
-  /** Clients with a thread each; {@link #await} waits for them. */
+  /** Starts each client on its own thread; {@link #await} waits for them. */
   public static List<Thread> start(List<ResumingClient> clients) {
     List<Thread> threads = new ArrayList<>();
     for (ResumingClient client : clients) {
--- a/lab/src/main/java/lemondeal/lab/stream/ResumingClient.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumingClient.java
@@ -13,8 +13,8 @@
 import lemondeal.lab.LineConnection;
 
 /**
- * A client that keeps to docs/RESUME-WIRE.md: sends its lines at a pace, keeps those that nobody has acknowledged, and
- * goes on with its token wherever the front sends it. Notes all that a user would complain of. Run by one thread.
+ * A client that implements docs/RESUME-WIRE.md: sends lines at a fixed interval, keeps the unacknowledged ones, and
+ * resumes with its token at any proxy. Records every breach that its user would notice. Runs on one thread.
  */
 public final class ResumingClient implements Runnable {
   private static final int DEADLINE_MILLIS = 2000;
@@ -22,13 +22,13 @@
   private static final long RETRY_DELAY_MILLIS = 100;
 
   /**
-   * How it behaves.
+   * How the client behaves.
    *
-   * @param front where to connect to, anew each time
-   * @param lines to send in all
-   * @param paceMillis between two lines
-   * @param resumes whether it asks for a session at all
-   * @param until nanoseconds on {@link System#nanoTime} after which it gives up
+   * @param nextProxy supplies the address for each connection
+   * @param lines total number of lines to send
+   * @param paceMillis interval between two lines
+   * @param resumable whether the client requests a resumable session
+   * @param deadlineNanos {@link System#nanoTime} after which the client gives up
    */
   public record Settings(Supplier<InetSocketAddress> nextProxy, String className, int lines, int paceMillis, boolean resumable,
       long deadlineNanos) {}
@@ -48,13 +48,13 @@
   private final Map<String, Integer> eventCounts = new TreeMap<>();
   private long resent;
 
-  /** {@code name}: 8 hex digits that no other client has. */
+  /** @param name 8 hex digits, unique among the clients */
   public ResumingClient(String name, Settings settings) {
     this.name = name;
     this.settings = settings;
   }
 
-  /** The text of this client's line of the number. */
+  /** Returns the text of the client's line with this number. */
   public String lineText(long number) {
     return "order " + name + " " + number;
   }
@@ -105,14 +105,14 @@
     return open;
   }
 
-  /** Whether a server has taken it. */
+  /** Handles the answer to the first line. Returns whether a server accepted the connection. */
   private boolean isAccepted(String answer) throws InterruptedException {
     if (answer != null && answer.startsWith("UP ")) {
       return true;
     }
     countEvent(answer == null ? "closed" : answer.replaceAll(" [0-9].*", ""));
     if (answer != null && answer.matches("ERR (used|token|other|got)")) {
-      breaches.add(name + ": " + answer + " to an honest token");
+      breaches.add(name + ": " + answer + " for a valid token");
       resetSession();
     }
     boolean retryDelayGiven = answer != null && answer.matches("BUSY [0-9]+");
@@ -120,11 +120,11 @@
     return false;
   }
 
-  /** The line behind UP. */
+  /** Handles the line after UP. */
   private void onResumeLine(String line, LineConnection connection) throws IOException {
     String[] fields = (line == null ? "" : line).split(" ");
     if (fields.length < 3 || !fields[0].equals("RESUME")) {
-      throw new IOException("no RESUME line, but " + line);
+      throw new IOException("expected a RESUME line, found " + line);
     }
     countEvent(fields[1].equals("at") ? "at" : fields[1].equals("new") ? "new" : fields[1] + " " + fields[2]);
     if (fields[1].equals("at")) {
@@ -134,7 +134,7 @@
       }
     } else {
       if (!token.isEmpty()) {
-        breaches.add(name + ": had to begin anew: " + line);
+        breaches.add(name + ": had to start a new session: " + line);
       }
       resetSession();
     }
@@ -150,7 +150,7 @@
     unacknowledged.clear();
   }
 
-  /** Without a session a client can only send its stream once more. */
+  /** Without a session a client can only send all its lines again. */
   private void resendAll(LineConnection connection) throws IOException {
     resent += sent;
     for (long number = 1; number <= sent; number++) {
@@ -174,7 +174,7 @@
     connection.setReadTimeout(settings.paceMillis());
     boolean firstLinePending = true;
     if (connectionCount > 1) {
-      // A user's next line does not wait: what is measured is the gap, not the pace.
+      // Sends the next line at once after a reconnection, so that the gap is measured and not the interval.
       sendNext(connection);
     }
     while (!isDone() && System.nanoTime() < settings.deadlineNanos()) {
@@ -198,7 +198,7 @@
     }
   }
 
-  /** Whether the first line of the connection is still to come. */
+  /** Handles a line. Returns whether the connection's first data line is still pending. */
   private boolean onLine(String line, boolean firstLinePending) {
     String[] fields = line.split(" ");
     switch (fields[0]) {
@@ -240,7 +240,7 @@
     eventCounts.merge(event, 1, Integer::sum);
   }
 
-  // ---- What is to be told of it, once its thread has ended -------------------------------------
+  // ---- Results, valid after the thread has ended -------------------------------------
 
   public String name() {
     return name;
@@ -258,7 +258,7 @@
     return received;
   }
 
-  /** Lines sent once more that had been sent before. */
+  /** Returns the number of lines sent again without a session. */
   public long resent() {
     return resent;
   }
@@ -267,7 +267,7 @@
     return breaches;
   }
 
-  /** Nanoseconds from the last line of one connection to the first of the next. */
+  /** Returns the nanoseconds from the last line of each connection to the first line of the next. */
   public List<Long> gaps() {
     return gaps;
   }
--- a/lab/src/main/java/lemondeal/lab/stream/RollingDrain.java
+++ b/lab/src/main/java/lemondeal/lab/stream/RollingDrain.java
@@ -9,13 +9,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A day of drains at a small site of real proxies, for whoever wants to see resumable moves at work, or to run them for
- * longer than a test may: servers drain in turn and are replaced, now and then one dies, and at the end the promises are
- * checked.
+ * Drains and replaces the servers of a small cluster of real proxies one after another, crashes one now and then, and
+ * checks the guarantees of resumable sessions at the end. For demonstrations, and for runs longer than a test may take.
  */
 public final class RollingDrain {
   private static final long STEP_MILLIS = 1000;
-  /** Every so many drains the newest server dies without a word. */
+  /** Number of drains after which the newest server crashes. */
   private static final int DRAINS_PER_CRASH = 3;
 
   private final int proxies;
@@ -27,7 +26,7 @@
   private int drainedCount;
   private int crashedCount;
 
-  /** {@code progress} hears a line a second. */
+  /** {@code progress} receives a line per second. */
   public RollingDrain(int proxies, int servers, int clients, PrintStream progress) {
     this.proxies = proxies;
     this.servers = servers;
@@ -35,14 +34,14 @@
     this.progress = progress;
   }
 
-  /** Runs for about so many seconds; the breaches of the promises, none if all is well. */
+  /** Runs for about the given time. Returns the breaches of the guarantees. */
   public List<String> run(int seconds, int paceMillis) throws IOException, InterruptedException {
     try (ResumeTestCluster cluster = new ResumeTestCluster(proxies, servers, "checkpoint: 1s")) {
       for (int i = 1; i <= servers; i++) {
         inService.add("s-" + i);
       }
       int lines = seconds * 1000 / paceMillis;
-      // A client that was moved a few times needs somewhat longer; one that never comes through is a breach.
+      // A client that was moved several times needs longer; one that never finishes is a breach.
       long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(2L * seconds + 10);
       List<ResumingClient> clients = clients(cluster, lines, paceMillis, deadlineNanos);
       List<Thread> threads = ResumeTestCluster.start(clients);
@@ -68,7 +67,7 @@
     return clients;
   }
 
-  /** The oldest server drains, and a fresh one takes its place. */
+  /** Drains the oldest server and adds a new one in its place. */
   private void drainNext(ResumeTestCluster cluster) throws IOException {
     String newServer = "t-" + ++addedCount;
     cluster.addServer(newServer);
@@ -87,7 +86,7 @@
   private void reportProgress(int second, ResumeTestCluster cluster, List<ResumingClient> clients) {
     int doneCount = (int) clients.stream().filter(ResumingClient::isDone).count();
     long lines = clients.stream().mapToLong(ResumingClient::sent).sum();
-    progress.printf("%3d s: %d servers drained, %d died; %d lines sent, %d of %d clients done, %d kept out by the fence%n",
+    progress.printf("%3d s: %d servers drained, %d crashed; %d lines sent, %d of %d clients done, %d rejected by fencing%n",
         second, drainedCount, crashedCount, lines, doneCount, clients.size(), cluster.sessionStore().fencedOutCount());
   }
 }
--- a/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
+++ b/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
@@ -6,12 +6,11 @@
 import java.util.Map;
 
 /**
- * What the stand-in servers share of sessions, as link nodes would share it in a store behind them: the lines of each
- * direction and the highest epoch. Safe for use by several threads.
+ * Session data shared by the fake servers, as real servers would share it in a database: the lines of each direction
+ * and the highest epoch. Thread-safe.
  */
 public final class SessionStore {
 
-  /** One session. */
   static final class Session {
     private long epoch;
     private final List<String> fromClient = new ArrayList<>();
@@ -20,14 +19,14 @@
     private int maxActiveAttempts;
   }
 
-  /** What a connection may take over: the client's lines that are there, and whether that may be. */
+  /** Result of a takeover: whether it was granted, and the number of the client's stored lines. */
   public record TakeoverResult(boolean granted, long storedLines) {}
 
   private final Map<String, Session> sessions = new HashMap<>();
   private boolean fenced = true;
   private long fencedOutCount;
 
-  /** Without the fence: for showing that the checker finds out. */
+  /** Turns fencing off, to show that the checker detects it. */
   public synchronized void disableFencing() {
     fenced = false;
   }
@@ -36,7 +35,7 @@
     return sessions.computeIfAbsent(id, newId -> new Session());
   }
 
-  /** An attempt has come to a server; it is out until {@link #attemptEnded}. */
+  /** Records that an attempt has reached a server; it stays active until {@link #attemptEnded}. */
   synchronized void attemptStarted(String id) {
     Session session = session(id);
     session.activeAttempts++;
@@ -47,7 +46,7 @@
     session(id).activeAttempts--;
   }
 
-  /** Takes the session for a connection of this epoch, whose client has so many lines; only with the highest epoch. */
+  /** Takes the session over for a connection if its epoch is the highest so far. */
   synchronized TakeoverResult takeOver(String id, long epoch, long receivedByClient) {
     Session session = session(id);
     if (fenced && epoch <= session.epoch || receivedByClient > session.toClient.size()) {
@@ -59,7 +58,7 @@
     return new TakeoverResult(true, session.fromClient.size());
   }
 
-  /** Keeps a line of the client and the server's line that answers it. The count of kept lines, or -1 if fenced out. */
+  /** Stores a client line and the server's reply to it. Returns the number of stored lines, or -1 if fenced out. */
   synchronized long append(String id, long epoch, String line) {
     Session session = session(id);
     if (fenced && epoch < session.epoch) {
@@ -73,8 +72,8 @@
   }
 
   /**
-   * The server's line of this number, waiting for it to come; null if it has not come after the wait, or the connection
-   * is fenced out.
+   * Returns the server's line with this number and waits for it if necessary. Returns null on a timeout, or if the
+   * connection is fenced out.
    */
   synchronized String awaitLine(String id, long epoch, long lineNumber, long timeoutMillis) throws InterruptedException {
     Session session = session(id);
@@ -88,38 +87,38 @@
     return !fenced || epoch >= session(id).epoch;
   }
 
-  /** The client's lines in the order in which they were applied. */
+  /** Returns the client's lines in the order in which they were stored. */
   public synchronized List<String> clientLines(String id) {
     return List.copyOf(session(id).fromClient);
   }
 
-  /** The client's lines of every session. */
+  /** Returns the client's lines of every session. */
   public synchronized Map<String, List<String>> clientLinesBySession() {
     Map<String, List<String>> copy = new HashMap<>();
     sessions.forEach((id, session) -> copy.put(id, List.copyOf(session.fromClient)));
     return copy;
   }
 
-  /** The most attempts of one session that were out at the same time. */
+  /** Returns the highest number of concurrent attempts of one session. */
   public synchronized int maxActiveAttempts() {
     return sessions.values().stream().mapToInt(session -> session.maxActiveAttempts).max().orElse(0);
   }
 
-  /** Waits until so many lines of clients have been kept. */
+  /** Waits until {@code count} client lines have been stored. */
   public synchronized void awaitClientLines(int count) throws InterruptedException {
     while (sessions.values().stream().mapToInt(session -> session.fromClient.size()).sum() < count) {
       wait();
     }
   }
 
-  /** Waits until so many sessions have been taken. */
+  /** Waits until {@code count} sessions have been taken over by a connection. */
   public synchronized void awaitSessions(int count) throws InterruptedException {
     while (sessions.values().stream().filter(session -> session.epoch > 0).count() < count) {
       wait();
     }
   }
 
-  /** Takes and lines that the fence kept out. */
+  /** Returns the number of takeovers and lines that were fenced out. */
   public synchronized long fencedOutCount() {
     return fencedOutCount;
   }
