--- a/example/ToySite.java
+++ b/example/ToySite.java
@@ -8,35 +8,35 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Two toy servers and a toy discovery on loopback, to try the proxy with. Run with
- * {@code java example/ToySite.java}; the example's README says the rest.
+ * Two example servers and an example discovery endpoint on loopback, for trying the proxy. Run with
+ * {@code java example/ToySite.java}; see the example's README.
  */
 public final class ToySite {
-  private static final int DISCOVERY = 8500;
-  private static final int[] SERVERS = {9001, 9002};
+  private static final int DISCOVERY_PORT = 8500;
+  private static final int[] SERVER_PORTS = {9001, 9002};
   private static final int HEARTBEAT_MS = 2000;
 
-  private interface Talk {
-    void with(BufferedReader in, OutputStream out) throws IOException, InterruptedException;
+  private interface ConnectionHandler {
+    void handle(BufferedReader in, OutputStream out) throws IOException, InterruptedException;
   }
 
   private ToySite() {}
 
   public static void main(String[] args) throws IOException {
-    for (int port : SERVERS) {
+    for (int port : SERVER_PORTS) {
       listen(port, (in, out) -> serve(port, in, out));
     }
-    listen(DISCOVERY, ToySite::list);
+    listen(DISCOVERY_PORT, ToySite::discovery);
     System.out.println("toy servers and discovery are up; end with Ctrl-C");
   }
 
-  private static void listen(int port, Talk talk) throws IOException {
+  private static void listen(int port, ConnectionHandler handler) throws IOException {
     ServerSocket listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
     new Thread(() -> {
       while (true) {
         try {
           Socket socket = listener.accept();
-          new Thread(() -> talk(socket, talk)).start();
+          new Thread(() -> handle(socket, handler)).start();
         } catch (IOException e) {
           System.out.println("port " + port + ": " + e.getMessage());
         }
@@ -44,55 +44,55 @@
     }).start();
   }
 
-  private static void talk(Socket socket, Talk talk) {
+  private static void handle(Socket socket, ConnectionHandler handler) {
     try (socket) {
-      talk.with(new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII)),
+      handler.handle(new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII)),
           socket.getOutputStream());
     } catch (IOException | InterruptedException e) {
       System.out.println("a connection ended: " + e.getMessage());
     }
   }
 
-  /** A server: takes every connection, echoes its lines and says goodbye to {@code quit}. */
+  /** A server that accepts every connection, echoes its lines and answers {@code quit} with BYE. */
   private static void serve(int port, BufferedReader in, OutputStream out) throws IOException {
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       System.out.println(port + " <- " + line);
       if (line.startsWith("OPEN ")) {
-        say(out, "UP toy-" + port);
+        writeLine(out, "UP toy-" + port);
       } else if (line.equals("PING")) {
-        say(out, "PONG");
+        writeLine(out, "PONG");
       } else if (line.equals("STATS")) {
-        say(out, "PONG qps=1,inflight=1,x0=0.1");
+        writeLine(out, "PONG qps=1,inflight=1,x0=0.1");
       } else if (line.equals("quit")) {
-        say(out, "BYE");
+        writeLine(out, "BYE");
         return;
       } else {
-        say(out, "echo " + line);
+        writeLine(out, "echo " + line);
       }
     }
   }
 
-  private static void say(OutputStream out, String line) throws IOException {
+  private static void writeLine(OutputStream out, String line) throws IOException {
     out.write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** Discovery: both servers are in service, and nothing ever changes. */
-  private static void list(BufferedReader in, OutputStream out) throws IOException, InterruptedException {
+  /** Discovery: lists both servers as in service and sends empty lines on a watch, since nothing changes. */
+  private static void discovery(BufferedReader in, OutputStream out) throws IOException, InterruptedException {
     String request = in.readLine();
     for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
       continue;
     }
-    say(out, "HTTP/1.1 200 OK");
-    say(out, "Transfer-Encoding: chunked");
-    say(out, "");
-    chunk(out, "{\"generation\":1,\"reset\":true,\"instances\":[" + instance(SERVERS[0]) + ","
-        + instance(SERVERS[1]) + "]}\n");
+    writeLine(out, "HTTP/1.1 200 OK");
+    writeLine(out, "Transfer-Encoding: chunked");
+    writeLine(out, "");
+    writeChunk(out, "{\"generation\":1,\"reset\":true,\"instances\":[" + instance(SERVER_PORTS[0]) + ","
+        + instance(SERVER_PORTS[1]) + "]}\n");
     while (request.contains("stream=1")) {
       Thread.sleep(HEARTBEAT_MS);
-      chunk(out, "\n");
+      writeChunk(out, "\n");
     }
-    say(out, "0");
-    say(out, "");
+    writeLine(out, "0");
+    writeLine(out, "");
   }
 
   private static String instance(int port) {
@@ -100,8 +100,8 @@
         + "\"machineType\":\"toy\",\"cell\":0,\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0}";
   }
 
-  private static void chunk(OutputStream out, String text) throws IOException {
-    say(out, Integer.toHexString(text.length()));
-    say(out, text);
+  private static void writeChunk(OutputStream out, String text) throws IOException {
+    writeLine(out, Integer.toHexString(text.length()));
+    writeLine(out, text);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/consul/FakeConsul.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FakeConsul.java
@@ -110,11 +110,11 @@
     }
     server.setExecutor(threads);
     server.createContext("/v1/health/service/", exchange -> query(exchange, this::healthEntries));
-    server.createContext("/v1/health/state/", exchange -> query(exchange, (name, query, now) ->
+    server.createContext("/v1/health/state/", exchange -> query(exchange, (name, query, mode) ->
         catalogue.checkEntries(name)));
-    server.createContext("/v1/catalog/service/", exchange -> query(exchange, (name, query, now) ->
+    server.createContext("/v1/catalog/service/", exchange -> query(exchange, (name, query, mode) ->
         catalogue.catalogueEntries(name)));
-    server.createContext("/v1/catalog/nodes", exchange -> query(exchange, (name, query, now) -> catalogue.nodeEntries()));
+    server.createContext("/v1/catalog/nodes", exchange -> query(exchange, (name, query, mode) -> catalogue.nodeEntries()));
     server.createContext("/v1/status/leader", exchange -> answerAgentCall(exchange, () -> "\"127.0.0.1:8300\""));
     server.createContext("/v1/agent/", exchange -> answerAgentCall(exchange, () -> executeAgentCall(exchange)));
     server.start();
--- a/lab/src/main/java/lemondeal/lab/consul/ShortConnectionClients.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ShortConnectionClients.java
@@ -91,8 +91,8 @@
     }
   }
 
-  private void countAnswer(String what) {
-    counts.computeIfAbsent(what, k -> new AtomicLong()).incrementAndGet();
+  private void countAnswer(String answer) {
+    counts.computeIfAbsent(answer, k -> new AtomicLong()).incrementAndGet();
   }
 
   private static void sleep(long millis) {
--- a/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/NoSendToLeftZone.java
@@ -8,12 +8,12 @@
 public final class NoSendToLeftZone extends InvariantChecker {
   private static final long GRACE_MILLIS = 1_000;
 
-  private final Map<String, Long> leftSince = new HashMap<>();
+  private final Map<String, Long> evacuatedAt = new HashMap<>();
 
   @Override
   public void onStart(long trueTime, int member, boolean stateIntact) {
     if (!stateIntact) {
-      leftSince.keySet().removeIf(key -> key.startsWith(member + "/"));
+      evacuatedAt.keySet().removeIf(key -> key.startsWith(member + "/"));
     }
   }
 
@@ -21,17 +21,17 @@
   public void onDecision(long trueTime, int member, Evacuation.Decision decision) {
     String key = member + "/" + decision.zone();
     if (decision.evacuates()) {
-      leftSince.putIfAbsent(key, trueTime);
+      evacuatedAt.putIfAbsent(key, trueTime);
     } else {
-      leftSince.remove(key);
+      evacuatedAt.remove(key);
     }
   }
 
   @Override
   public void onSend(long trueTime, int member, int zone, int key, int server) {
-    Long since = leftSince.get(member + "/" + zone);
-    if (since != null && trueTime - since > GRACE_MILLIS) {
-      reportBreach(trueTime + " ms: member " + member + " sends to zone " + zone + ", evacuated at " + since);
+    Long evacuationTime = evacuatedAt.get(member + "/" + zone);
+    if (evacuationTime != null && trueTime - evacuationTime > GRACE_MILLIS) {
+      reportBreach(trueTime + " ms: member " + member + " sends to zone " + zone + ", evacuated at " + evacuationTime);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/fleet/FleetTraceCounts.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/FleetTraceCounts.java
@@ -33,7 +33,7 @@
   static FleetTraceCounts read(Path folder) throws IOException {
     FleetTraceCounts count = new FleetTraceCounts();
     try (Stream<Path> files = Files.list(folder)) {
-      for (Path file : files.filter(f -> f.toString().endsWith(".log")).sorted().toList()) {
+      for (Path file : files.filter(path -> path.toString().endsWith(".log")).sorted().toList()) {
         // The log of a killed proxy may end in the middle of a line or of a character.
         for (String line : new String(Files.readAllBytes(file), StandardCharsets.UTF_8).split("\n")) {
           count.add(TraceLine.parse(line));
--- a/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
@@ -54,8 +54,8 @@
         | change | plays | median ms | 99th ms | worst ms | after 1 s |
         | --- | --- | --- | --- | --- | --- |
         """);
-    try (ConsulTestCluster site = new ConsulTestCluster(3, 8, DAMPING); ShortConnectionClients clients = new ShortConnectionClients(site::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
-      FakeConsul consul = site.consul();
+    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING); ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
+      FakeConsul consul = cluster.consul();
       List<ChangeKind> kinds = List.of(
           new ChangeKind("critical check", key -> consul.catalogue().setStatus(key, "critical"), key -> consul.catalogue().setStatus(key, "passing")),
           new ChangeKind("node leaves (serfHealth)", key -> consul.catalogue().setCheck(key, "serfHealth", "critical"),
@@ -68,12 +68,12 @@
         for (int round = 0; round < repeats; round++) {
           String name = "s-" + (1 + round % 8);
           if (kind.name().startsWith("warning")) {
-            consul.catalogue().update(site.consulKey(name), instance -> instance.setWarningWeight(0));
+            consul.catalogue().update(cluster.consulKey(name), instance -> instance.setWarningWeight(0));
           }
-          long delay = drain(site, name, kind.change());
+          long delay = drain(cluster, name, kind.change());
           delays.recordValue(delay);
           lateCount += delay > 1000 ? 1 : 0;
-          kind.undo().accept(site.consulKey(name));
+          kind.undo().accept(cluster.consulKey(name));
           Thread.sleep(1500);
         }
         table.append(String.format(Locale.ROOT, "| %s | %d | %d | %d | %d | %d |%n", kind.name(), repeats,
@@ -88,19 +88,19 @@
   }
 
   /** Returns the milliseconds from the change to the last new work at the server. */
-  private static long drain(ConsulTestCluster site, String name, Consumer<String> change) throws InterruptedException {
+  private static long drain(ConsulTestCluster cluster, String name, Consumer<String> change) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + 10_000 * MILLI;
     long startNanos = System.nanoTime();
-    while (site.server(name).lastOpenNanos() < startNanos) {
+    while (cluster.server(name).lastOpenNanos() < startNanos) {
       if (System.nanoTime() > deadlineNanos) {
         throw new IllegalStateException(name + " received no work before its change");
       }
       Thread.sleep(10);
     }
     long changedNanos = System.nanoTime();
-    change.accept(site.consulKey(name));
+    change.accept(cluster.consulKey(name));
     Thread.sleep(2500);
-    return Math.max(0, site.server(name).lastOpenNanos() - changedNanos) / MILLI;
+    return Math.max(0, cluster.server(name).lastOpenNanos() - changedNanos) / MILLI;
   }
 
   // ---- Sizes ----------------------------------------------------------------------------------
@@ -115,15 +115,15 @@
         | --- | --- | --- | --- | --- | --- |
         """, seconds));
     for (int size : sizes) {
-      try (ConsulTestCluster site = new ConsulTestCluster(0, 0, DAMPING + "\nmost_instances: 200000")) {
-        FakeConsul consul = site.consul();
+      try (ConsulTestCluster cluster = new ConsulTestCluster(0, 0, DAMPING + "\nmost_instances: 200000")) {
+        FakeConsul consul = cluster.consul();
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < size; i++) {
           // Nothing listens there: without clients no connection is opened.
           keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulTestCluster.SERVICE, "x-" + i, 1 + i % 60_000));
         }
-        site.startProxy(0, 1);
-        ProxyProcess proxy = site.proxies().get(0);
+        cluster.startProxy(0, 1);
+        ProxyProcess proxy = cluster.proxies().get(0);
         Thread.sleep(2000);
         ProcessUsage before = ProcessUsage.of(proxy.pid());
         Histogram pings = new Histogram(3);
@@ -181,16 +181,16 @@
         | --- | --- | --- | --- | --- |
         """, seconds));
     for (int fleet : fleets) {
-      try (ConsulTestCluster site = new ConsulTestCluster(0, 8, DAMPING)) {
+      try (ConsulTestCluster cluster = new ConsulTestCluster(0, 8, DAMPING)) {
         for (int i = 0; i < fleet; i++) {
-          site.startProxy(i, fleet);
+          cluster.startProxy(i, fleet);
         }
-        FakeConsul consul = site.consul();
+        FakeConsul consul = cluster.consul();
         Thread.sleep(2000);
         long before = consul.queryCount();
         long endNanos = System.nanoTime() + seconds * 1000 * MILLI;
         for (int round = 0; System.nanoTime() < endNanos; round++) {
-          consul.catalogue().setStatus(site.consulKey("s-" + (1 + round % 8)), round % 16 < 8 ? "warning" : "passing");
+          consul.catalogue().setStatus(cluster.consulKey("s-" + (1 + round % 8)), round % 16 < 8 ? "warning" : "passing");
           Thread.sleep(1000);
         }
         double calm = (consul.queryCount() - before) / (double) seconds;
--- a/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
@@ -71,47 +71,47 @@
     return text.toString();
   }
 
-  private DrainResult measureDrains(boolean resumes) throws IOException, InterruptedException {
-    try (ResumeTestCluster site = new ResumeTestCluster(2, SERVERS, resumes ? "checkpoint: 1s" : null)) {
+  private DrainResult measureDrains(boolean resumable) throws IOException, InterruptedException {
+    try (ResumeTestCluster cluster = new ResumeTestCluster(2, SERVERS, resumable ? "checkpoint: 1s" : null)) {
       long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-      List<ResumingClient> allClients = clients(site, 60, 100, resumes, deadlineNanos);
+      List<ResumingClient> allClients = clients(cluster, 60, 100, resumable, deadlineNanos);
       List<Thread> threads = ResumeTestCluster.start(allClients);
       Thread.sleep(1500);
       for (int i = 1; i <= SERVERS; i++) {
-        site.addServer("t-" + i);
-        site.drain("s-" + i);
-        site.server("s-" + i).awaitNoConnections();
+        cluster.addServer("t-" + i);
+        cluster.drain("s-" + i);
+        cluster.server("s-" + i).awaitNoConnections();
         Thread.sleep(500);
       }
       ResumeTestCluster.await(threads);
-      Map<String, Integer> notes = new TreeMap<>();
-      allClients.forEach(client -> client.eventCounts().forEach((what, count) -> notes.merge(what, count, Integer::sum)));
-      progress.println("  clients saw " + notes);
+      Map<String, Integer> eventCounts = new TreeMap<>();
+      allClients.forEach(client -> client.eventCounts().forEach((event, count) -> eventCounts.merge(event, count, Integer::sum)));
+      progress.println("  clients saw " + eventCounts);
       Histogram gaps = new Histogram(3);
       allClients.forEach(client -> client.gaps().forEach(gap -> gaps.recordValue(gap / MICROS)));
       return new DrainResult(gaps, gaps.getTotalCount(), allClients.stream().mapToLong(ResumingClient::resent).sum(),
           allClients.stream().mapToLong(ResumingClient::sent).sum() + allClients.stream().mapToLong(ResumingClient::resent).sum(),
-          resumes ? ResumeChecker.breaches(site.sessionStore(), allClients).size() : 0);
+          resumable ? ResumeChecker.breaches(cluster.sessionStore(), allClients).size() : 0);
     }
   }
 
-  private List<ResumingClient> clients(ResumeTestCluster site, int lines, int pace, boolean resumes, long deadlineNanos) {
+  private List<ResumingClient> clients(ResumeTestCluster cluster, int lines, int paceMillis, boolean resumable, long deadlineNanos) {
     List<ResumingClient> allClients = new ArrayList<>();
     for (int i = 0; i < clients; i++) {
       allClients.add(new ResumingClient(String.format("%08x", i + 1),
-          new ResumingClient.Settings(site::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, pace, resumes, deadlineNanos)));
+          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis, resumable, deadlineNanos)));
     }
     return allClients;
   }
 
   /** Memory from the process size with and without the connections, CPU from a period of steady traffic. */
-  private ConnectionCost measureCost(boolean resumes) throws IOException, InterruptedException {
-    try (ResumeTestCluster site = new ResumeTestCluster(1, SERVERS, "checkpoint: 5s")) {
-      long pid = site.proxies().get(0).pid();
+  private ConnectionCost measureCost(boolean resumable) throws IOException, InterruptedException {
+    try (ResumeTestCluster cluster = new ResumeTestCluster(1, SERVERS, "checkpoint: 5s")) {
+      long pid = cluster.proxies().get(0).pid();
       ProcessUsage empty = ProcessUsage.of(pid);
-      int pace = 25;
+      int paceMillis = 25;
       int seconds = 10;
-      List<ResumingClient> allClients = clients(site, seconds * 1000 / pace, pace, resumes,
+      List<ResumingClient> allClients = clients(cluster, seconds * 1000 / paceMillis, paceMillis, resumable,
           System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds));
       List<Thread> threads = ResumeTestCluster.start(allClients);
       Thread.sleep(4000);
--- a/lab/src/main/java/lemondeal/lab/site/Relay.java
+++ b/lab/src/main/java/lemondeal/lab/site/Relay.java
@@ -198,11 +198,11 @@
     }
   }
 
-  private void resetBoth(Socket one, Socket other) {
-    reset(one);
-    reset(other);
-    openSockets.remove(one);
-    openSockets.remove(other);
+  private void resetBoth(Socket first, Socket second) {
+    reset(first);
+    reset(second);
+    openSockets.remove(first);
+    openSockets.remove(second);
   }
 
   @Override
--- a/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
+++ b/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
@@ -20,16 +20,19 @@
 import lemondeal.lab.evacuation.SharesWithinBudget;
 import org.junit.jupiter.api.Test;
 
-/** Seeded faults against every rule, and fleets that lack one. In this package: mistakes have no public door. */
+/**
+ * Checks every invariant under seeded faults, and that the checkers detect faulty rules. In this package because
+ * {@link QuorumRules} can be overridden only here.
+ */
 class FleetSimulationTest {
   private static final SlowStartRamp SLOW_START = new SlowStartRamp(5, 20, 4_000);
-  /** Dwells shorter than by default, so that a run sees several decisions; what ends a share is as by default. */
+  /** Shorter dwell times than the defaults, for several decisions per run; lease settings are the defaults. */
   private static final EvacuationSettings SETTINGS = new EvacuationSettings(EvidenceSettings.DEFAULT, 200, 1_500, 2_000,
       2_500, 4_000, 2, 8_000, 1_000, 0.01);
   private static final FleetSimulation.Topology TOPOLOGY = new FleetSimulation.Topology(memberZones(Integer.getInteger("evacuation.members", 5)), 3, 4,
       SETTINGS, SLOW_START, 400_000);
 
-  /** Evenly over three zones. */
+  /** Distributes the members evenly over three zones. */
   private static int[] memberZones(int members) {
     return IntStream.range(0, members).map(member -> member * 3 / members).toArray();
   }
@@ -72,12 +75,12 @@
       slowestMajorityMillis = Math.max(slowestMajorityMillis, ((LeavesInTime) checkers.get(4)).slowestMajorityMillis());
       maxBytesPerReport = Math.max(maxBytesPerReport, simulation.bytesPerReport());
     }
-    System.out.printf("%d seeds in %.1f s: majority within %d ms, %.3f of a budget in use, %.0f bytes a row%n", SEEDS,
+    System.out.printf("%d seeds in %.1f s: majority within %d ms, %.3f of a budget in use, %.0f bytes per report%n", SEEDS,
         (System.nanoTime() - startNanos) / 1e9, slowestMajorityMillis, peakBudgetUse, maxBytesPerReport);
-    assertTrue(slowestMajorityMillis > 0 && peakBudgetUse > 0.5, "something was decided and opened");
+    assertTrue(slowestMajorityMillis > 0 && peakBudgetUse > 0.5, "no zone was evacuated, or no budget was used");
   }
 
-  /** Rules that some seed sees broken without this part. */
+  /** Returns the invariants that any seed finds broken with the faulty rules. */
   private static Set<String> brokenWithout(Supplier<QuorumRules> faultyRules) {
     return brokenInvariants(TOPOLOGY, 2, faultyRules);
   }
@@ -116,8 +119,8 @@
   void acceptingOlderEpochsIsDetected() {
     Set<String> broken = brokenWithout(() -> new QuorumRules() {
       @Override
-      boolean isNewerEpoch(long told, long known) {
-        return told != known;
+      boolean isNewerEpoch(long reported, long known) {
+        return reported != known;
       }
     });
     assertTrue(broken.contains("EpochsGrow"), broken::toString);
--- a/lab/src/test/java/lemondeal/lab/OperatorLimitsTest.java
+++ b/lab/src/test/java/lemondeal/lab/OperatorLimitsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Rings that the JVM can't hold are refused at the start, in one line, before a client could be taken in. */
+/** Ring buffers that exceed the JVM's direct memory are refused at startup with a one-line error. */
 @Timeout(60)
 class OperatorLimitsTest {
   @TempDir
@@ -35,7 +35,7 @@
     String output = new String(proxy.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(proxy.waitFor(30, TimeUnit.SECONDS));
     assertEquals(2, proxy.exitValue(), output);
-    // The lab's proxies run with -Xmx96m and no bound of their own on direct memory: the heap's bound holds.
+    // ProxyProcess starts with -Xmx96m and no limit on direct memory, so the heap limit applies.
     Matcher matcher = Pattern.compile("limits\\.rings_mb: found 200; allowed: at most ([0-9]+) with this JVM's ([0-9]+) MB")
         .matcher(output);
     assertTrue(matcher.find(), output);
--- a/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
+++ b/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
@@ -29,11 +29,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The fleet's store at several addresses, and behind TLS with certificates both ways. */
+/** Tests the client of the fleet's claim store with several addresses and with mutual TLS. */
 @Timeout(60)
 class FleetClaimStoreTest {
   private static final long TIMEOUT_MILLIS = 2000;
-  /** Calls on a connection that has just failed fail too, until the library has found the next address. */
+  /** Calls on a connection that has just failed also fail until gRPC has connected to the next address. */
   private static final int MAX_TRIES = 20;
 
   @TempDir
@@ -59,7 +59,7 @@
     return String.format("%032x", ++sessions);
   }
 
-  /** A claim that is answered within some tries, as a client that comes again after BUSY would have it answered. */
+  /** Claims with retries, as a client that retries after BUSY causes. */
   private static ClaimAnswer claimWithRetries(FleetStore store, String session, long epoch) throws InterruptedException {
     ClaimAnswer answer = null;
     for (int i = 0; i < MAX_TRIES && !(answer instanceof ClaimAnswer.Granted || answer instanceof ClaimAnswer.Held); i++) {
@@ -68,7 +68,7 @@
     return answer;
   }
 
-  /** An address of loopback where nothing listens. */
+  /** Returns a loopback address where nothing listens. */
   private static InetSocketAddress unusedAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
@@ -76,14 +76,14 @@
   }
 
   @Test
-  @SuppressWarnings("try") // The first store's end is the fault that is caused.
+  @SuppressWarnings("try") // The first store is closed early on purpose.
   void addressesAreTriedInOrderAndShareOneStore() throws Exception {
     try (FakeClaimStore first = new FakeClaimStore(); FakeClaimStore second = first.replica()) {
       FleetStore store = open(List.of(unusedAddress(), first.address(), second.address()), null);
       String session = newSessionId();
-      assertInstanceOf(ClaimAnswer.Granted.class, claim(store, session, 16), "the first that answers is taken");
+      assertInstanceOf(ClaimAnswer.Granted.class, claim(store, session, 16), "the first reachable address is used");
       first.close();
-      assertInstanceOf(ClaimAnswer.Held.class, claimWithRetries(store, session, 16), "the next one knows the claim");
+      assertInstanceOf(ClaimAnswer.Held.class, claimWithRetries(store, session, 16), "the next address knows the claim");
       assertTrue(second.callCount() > 0);
       store.close();
     }
@@ -99,11 +99,11 @@
         authorityFile))) {
       FleetStore store = open(List.of(tls.address()), new TlsFiles(authorityFile, proxy.certificate(), proxy.key(), null));
       assertInstanceOf(ClaimAnswer.Granted.class, claim(store, newSessionId(), 16));
-      assertEquals("", logOutput.toString(), "the first calls were answered");
+      assertEquals("", logOutput.toString(), "the first calls succeeded");
       store.close();
 
       FleetStore withoutCertificate = open(List.of(tls.address()), new TlsFiles(authorityFile, null, null, null));
-      assertInstanceOf(ClaimAnswer.Unknown.class, claim(withoutCertificate, newSessionId(), 16), "a store that asks for a certificate");
+      assertInstanceOf(ClaimAnswer.Unknown.class, claim(withoutCertificate, newSessionId(), 16), "the store requires a client certificate");
       assertTrue(logOutput.toString().contains("claims-away") || logOutput.toString().contains("does not answer"), logOutput.toString());
       withoutCertificate.close();
     }
@@ -124,7 +124,7 @@
       assertInstanceOf(ClaimAnswer.Unknown.class, claim(store, newSessionId(), 16));
       store.close();
       FleetStore byAddress = open(List.of(namedStore.address()), new TlsFiles(authorityFile, null, null, null));
-      assertInstanceOf(ClaimAnswer.Unknown.class, claim(byAddress, newSessionId(), 16), "the address is not the name");
+      assertInstanceOf(ClaimAnswer.Unknown.class, claim(byAddress, newSessionId(), 16), "the certificate does not match the address");
       byAddress.close();
       FleetStore byName = open(List.of(namedStore.address()), new TlsFiles(authorityFile, null, null, "claims.store.test"));
       assertInstanceOf(ClaimAnswer.Granted.class, claim(byName, newSessionId(), 16));
@@ -144,7 +144,7 @@
         authorityFile))) {
       TlsFiles files = new TlsFiles(authorityFile, proxy.certificate(), proxy.key(), null);
       FleetStore store = open(List.of(tls.address()), files);
-      assertInstanceOf(ClaimAnswer.Unknown.class, claim(store, newSessionId(), 16), "a certificate of a stranger");
+      assertInstanceOf(ClaimAnswer.Unknown.class, claim(store, newSessionId(), 16), "client certificate of another authority");
       TestCertificateAuthority.IssuedCertificate renewedCertificate = authority.issue(renewedFolder, "proxy", "proxy-1");
       Files.copy(renewedCertificate.certificate(), proxy.certificate(), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       Files.copy(renewedCertificate.key(), proxy.key(), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
@@ -153,7 +153,7 @@
 
       Files.writeString(proxy.key(), "no key");
       assertThrows(IOException.class, () -> store.reload(files));
-      assertInstanceOf(ClaimAnswer.Granted.class, claim(store, newSessionId(), 16), "the channel before stays");
+      assertInstanceOf(ClaimAnswer.Granted.class, claim(store, newSessionId(), 16), "the previous channel stays in use");
       store.close();
     }
   }
--- a/lab/src/test/java/lemondeal/lab/consul/ConsulTestClusterTest.java
+++ b/lab/src/test/java/lemondeal/lab/consul/ConsulTestClusterTest.java
@@ -15,19 +15,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Real proxies whose servers are listed by a stand-in Consul, under the changes and faults that Consul has. */
+/** Real proxies that discover their servers from a fake Consul, under Consul's changes and faults. */
 @Timeout(240)
 class ConsulTestClusterTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final String DAMPING = "damping: {quiet: 1s, most: 4s, forget: 60s}";
 
-  /** Waits until each server has had new work since {@code since}: clients reach all of them. */
+  /** Waits until each server has received new work, so that clients reach all of them. */
   private static void awaitWork(ConsulTestCluster cluster, List<String> names) throws InterruptedException {
     long startNanos = System.nanoTime();
     long deadlineNanos = startNanos + 20 * SECOND;
     for (String name : names) {
       while (cluster.server(name).lastOpenNanos() < startNanos) {
-        assertTrue(System.nanoTime() < deadlineNanos, () -> name + " had no work; the first proxy said:\n"
+        assertTrue(System.nanoTime() < deadlineNanos, () -> name + " received no work; log of the first proxy:\n"
             + String.join("\n", cluster.proxies().get(0).log()));
         Thread.sleep(20);
       }
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Each change of the table in docs/CONSUL.md that ends new work: the last new send to that server comes within 1 s of
-   * the answer that tells it, while all others are served on.
+   * For each change of the table in docs/CONSUL.md that ends new work, the last new request reaches that server within
+   * 1 s of the change, while all other servers stay in use.
    */
   @Test
   void everyKindOfDrainEndsNewWorkWithinASecond() throws Exception {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** A server that turns critical while set-ups are out to it: each has its one answer, and no other is sent there. */
+  /** A server turns critical during pending setups: each request gets one answer, and no new one is sent there. */
   @Test
   void criticalCheckDuringSetupLosesNoRequest() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(2, 4, DAMPING);
@@ -76,7 +76,7 @@
         long changed = System.nanoTime();
         cluster.consul().catalogue().setStatus(cluster.consulKey("s-1"), "critical");
         awaitNoWork(cluster, "s-1");
-        assertTrue(cluster.server("s-1").lastOpenNanos() < changed + SECOND, "new work after a second");
+        assertTrue(cluster.server("s-1").lastOpenNanos() < changed + SECOND, "new work more than a second after the change");
         cluster.server("s-1").setSetupDelay(0);
         cluster.consul().catalogue().setStatus(cluster.consulKey("s-1"), "passing");
         awaitWork(cluster, List.of("s-1"));
@@ -87,12 +87,12 @@
   }
 
   /**
-   * Consul away in each of its ways, one after the other, while a server dies: the list held stays, the dead server's
-   * work goes elsewhere by the proxies' own failures, and all others are served throughout.
+   * Consul fails in each way in turn while a server dies: the proxies keep the last list, detect the dead server by
+   * their own failed attempts, and use all other servers throughout.
    */
   @Test
   void lastListIsKeptWhileConsulFails() throws Exception {
-    // A silent Consul can't be told from a blocking query that waits: it is told after the wait and some slack.
+    // A silent Consul looks like a waiting blocking query, and is detected only after the wait and some slack.
     try (ConsulTestCluster cluster = new ConsulTestCluster(3, 6, DAMPING + "\nwait: 1s\npace: {least: 50ms, first: 200ms, most: 1s}");
         ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 18, ConsulTestCluster.CHAT_CLASS)) {
       awaitWork(cluster, List.of("s-1", "s-2", "s-3", "s-4", "s-5", "s-6"));
@@ -111,18 +111,18 @@
       Thread.sleep(1500);
       long startNanos = System.nanoTime();
       Thread.sleep(1000);
-      assertTrue(cluster.server("s-1").lastOpenNanos() < startNanos, "Consul is heard again");
+      assertTrue(cluster.server("s-1").lastOpenNanos() < startNanos, "the change was not applied after Consul recovered");
       clients.stop();
       assertEquals(List.of(), clients.breaches());
       long served = clients.counts().getOrDefault("UP", 0L);
       long refused = clients.counts().getOrDefault("BUSY", 0L) + clients.counts().getOrDefault("ERR", 0L);
-      assertTrue(refused * 20 < served, "served throughout: " + clients.counts());
+      assertTrue(refused * 20 < served, "too many refusals: " + clients.counts());
       assertTrue(cluster.proxies().get(0).log().stream().anyMatch(line -> line.contains("not believed (empty at once)")),
           String.join("\n", cluster.proxies().get(0).log()));
     }
   }
 
-  /** A server that fails and recovers again and again gets no work while it does, and work once it is quiet. */
+  /** A server that alternates between critical and passing gets no work until its status is stable. */
   @Test
   void flappingServerGetsNoWorkUntilStable() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(2, 4, DAMPING);
@@ -137,7 +137,7 @@
         Thread.sleep(150);
       }
       long lastFlapNanos = System.nanoTime();
-      assertTrue(cluster.server("s-1").lastOpenNanos() < firstFlapNanos + SECOND, "work while it flapped");
+      assertTrue(cluster.server("s-1").lastOpenNanos() < firstFlapNanos + SECOND, "work during flapping");
       awaitWork(cluster, List.of("s-1"));
       long backNanos = cluster.server("s-1").lastOpenNanos();
       assertTrue(backNanos - lastFlapNanos > 2 * SECOND, "back " + (backNanos - lastFlapNanos) / 1_000_000 + " ms after the last flap");
@@ -154,24 +154,25 @@
     }
   }
 
-  /** Waits until the server's new work has ended for half a second. */
+  /** Waits until the server has received no new work for half a second. */
   private static void awaitNoWork(ConsulTestCluster cluster, String name) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + 20 * SECOND;
     while (System.nanoTime() - cluster.server(name).lastOpenNanos() < SECOND / 2) {
-      assertTrue(System.nanoTime() < deadlineNanos, name + " still has work");
+      assertTrue(System.nanoTime() < deadlineNanos, name + " still receives work");
       Thread.sleep(20);
     }
   }
 
   /**
-   * Away for a minute, in which one server drains and ends and another dies without a word: the proxies' own failures
-   * and probes carry both, the list held stays, and Consul is followed again when it is back, from a restored snapshot.
+   * Consul is down for a minute, in which one server drains and ends and another crashes: the proxies handle both by
+   * their own failed attempts and probes and keep the last list. When Consul returns, restored from a snapshot with a
+   * lower index, they follow it again.
    */
   @Test
   void proxiesServeThroughAMinuteWithoutConsul() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING + "\nwait: 2s\npace: {least: 50ms, first: 200ms, most: 2s}");
         ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
-      List<String> rest = List.of("s-3", "s-4", "s-5", "s-6", "s-7", "s-8");
+      List<String> remainingServers = List.of("s-3", "s-4", "s-5", "s-6", "s-7", "s-8");
       awaitWork(cluster, List.of("s-1", "s-2"));
       cluster.consul().setResponseMode(FakeConsul.ResponseMode.RESETS);
       long endNanos = System.nanoTime() + 60 * SECOND;
@@ -181,23 +182,23 @@
       Thread.sleep(5_000);
       cluster.server("s-2").close();
       while (System.nanoTime() < endNanos) {
-        awaitWork(cluster, rest);
+        awaitWork(cluster, remainingServers);
         Thread.sleep(1_000);
       }
       cluster.consul().catalogue().restoreIndex(3);
       cluster.consul().catalogue().setStatus(cluster.consulKey("s-3"), "critical");
       cluster.consul().setResponseMode(FakeConsul.ResponseMode.ANSWERS);
       awaitNoWork(cluster, "s-3");
-      awaitWork(cluster, rest.subList(1, 6));
+      awaitWork(cluster, remainingServers.subList(1, 6));
       clients.stop();
       assertEquals(List.of(), clients.breaches());
       long served = clients.counts().getOrDefault("UP", 0L);
       long refused = clients.counts().getOrDefault("BUSY", 0L) + clients.counts().getOrDefault("ERR", 0L);
-      assertTrue(refused * 50 < served, "served throughout: " + clients.counts());
+      assertTrue(refused * 50 < served, "too many refusals: " + clients.counts());
     }
   }
 
-  /** Answers that stall, flood, nest, hurry or lack half of the servers: passed over, and the next good one is heard. */
+  /** Stalled, oversized, deeply nested, premature or halved answers are rejected, and the next valid one is applied. */
   @Test
   void malformedAnswersAreRejectedAndTheNextValidOneIsUsed() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(1, 6, DAMPING + """
@@ -208,8 +209,8 @@
         """);
         ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 12, ConsulTestCluster.CHAT_CLASS)) {
       Catalogue catalogue = cluster.consul().catalogue();
-      List<String> all = List.of("s-1", "s-2", "s-3", "s-4", "s-5", "s-6");
-      awaitWork(cluster, all);
+      List<String> allServers = List.of("s-1", "s-2", "s-3", "s-4", "s-5", "s-6");
+      awaitWork(cluster, allServers);
       Map<FakeConsul.ResponseMode, String> expectedLogs = new java.util.LinkedHashMap<>();
       expectedLogs.put(FakeConsul.ResponseMode.NESTS, "did not answer: the answer is '[', not");
       expectedLogs.put(FakeConsul.ResponseMode.FLOODS, "an answer of more than 67108864 bytes");
@@ -218,19 +219,19 @@
       for (Map.Entry<FakeConsul.ResponseMode, String> modeAndLog : expectedLogs.entrySet()) {
         cluster.consul().setResponseMode(modeAndLog.getKey());
         awaitLog(cluster, modeAndLog.getValue());
-        awaitWork(cluster, all);
+        awaitWork(cluster, allServers);
         cluster.consul().setResponseMode(FakeConsul.ResponseMode.ANSWERS);
         catalogue.setStatus(cluster.consulKey("s-1"), "critical");
         awaitNoWork(cluster, "s-1");
         catalogue.setStatus(cluster.consulKey("s-1"), "passing");
-        awaitWork(cluster, all);
+        awaitWork(cluster, allServers);
       }
       cluster.consul().setResponseMode(FakeConsul.ResponseMode.HURRIES);
       long before = cluster.consul().queryCount();
       long startNanos = System.nanoTime();
       Thread.sleep(2_000);
       long calls = cluster.consul().queryCount() - before;
-      assertTrue(calls <= 1 + (System.nanoTime() - startNanos) / 50_000_000, "asked " + calls + " times: not paced");
+      assertTrue(calls <= 1 + (System.nanoTime() - startNanos) / 50_000_000, calls + " calls: not paced");
       catalogue.restoreIndex(2);
       catalogue.setStatus(cluster.consulKey("s-2"), "critical");
       awaitNoWork(cluster, "s-2");
@@ -239,7 +240,7 @@
     }
   }
 
-  /** SIGHUP with another agent behind TLS, another token and another service at once; then an expired certificate. */
+  /** SIGHUP switches to another agent with TLS, another token and another service at once; then an expired certificate. */
   @Test
   void sighupAppliesAgentTokenServiceAndCertificates() throws Exception {
     TestCertificateAuthority authority = TestCertificateAuthority.create("consul-ca");
@@ -289,7 +290,7 @@
     return Pem.context(new TlsFiles(folder.resolve("ca.pem"), issued.certificate(), issued.key(), null));
   }
 
-  /** A proxy that starts while Consul is away serves from the list that it saved; a list it can't use is passed over. */
+  /** A proxy that starts while Consul is down serves from its saved list, and ignores a damaged one. */
   @Test
   void startWithoutConsulServesFromSavedList() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(1, 3, DAMPING + "\nsaved: {file: last.list, every: 100ms}")) {
@@ -308,7 +309,7 @@
       long restarted = System.nanoTime();
       try (ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 6, ConsulTestCluster.CHAT_CLASS)) {
         awaitWork(cluster, List.of("s-1", "s-2"));
-        assertTrue(cluster.server("s-3").lastOpenNanos() < restarted, "what was drained still is");
+        assertTrue(cluster.server("s-3").lastOpenNanos() < restarted, "a drained server received work");
         cluster.consul().catalogue().setStatus(cluster.consulKey("s-3"), "passing");
         cluster.consul().setResponseMode(FakeConsul.ResponseMode.ANSWERS);
         awaitWork(cluster, List.of("s-1", "s-2", "s-3"));
@@ -322,13 +323,13 @@
     }
   }
 
-  /** Two services of one Consul, each the servers of a class of its own; one's loss leaves the other alone. */
+  /** Two services of one Consul serve one request class each; failures of one service do not affect the other. */
   @Test
   void eachClassUsesOnlyItsOwnService() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(0, 2, DAMPING)) {
       cluster.addServer("f-1", "feed", cluster.consul());
       cluster.addServer("f-2", "feed", cluster.consul());
-      // Two services at one address: what one of them is told says nothing of the other.
+      // Two services share an address: the status of one does not apply to the other.
       cluster.consul().catalogue().register("node-twin", "127.0.0.1", "feed", "twin", cluster.server("s-1").address().getPort());
       cluster.consul().catalogue().setStatus("node-twin/twin", "critical");
       cluster.writeOperatorFile(List.of(cluster.consul().address()), """
@@ -340,7 +341,7 @@
       cluster.startProxy(1, 2);
       try (ShortConnectionClients feeds = new ShortConnectionClients(cluster::nextProxyAddress, 8, ConsulTestCluster.FEED_CLASS)) {
         awaitWork(cluster, List.of("f-1", "f-2"));
-        assertEquals(0, cluster.server("s-1").openCount() + cluster.server("s-2").openCount(), "no feed goes elsewhere");
+        assertEquals(0, cluster.server("s-1").openCount() + cluster.server("s-2").openCount(), "feed requests reached servers of another service");
         try (ShortConnectionClients chats = new ShortConnectionClients(cluster::nextProxyAddress, 8, ConsulTestCluster.CHAT_CLASS)) {
           awaitWork(cluster, List.of("s-1", "s-2", "f-1", "f-2"));
           cluster.consul().catalogue().setStatus(cluster.consulKey("f-1"), "critical");
@@ -349,7 +350,7 @@
           chats.stop();
           assertEquals(List.of(), chats.breaches());
           long refused = chats.counts().getOrDefault("BUSY", 0L) + chats.counts().getOrDefault("ERR", 0L);
-          assertTrue(refused * 50 < chats.counts().get("UP"), "the other service's loss is not theirs: " + chats.counts());
+          assertTrue(refused * 50 < chats.counts().get("UP"), "refusals caused by the other service: " + chats.counts());
         }
         feeds.stop();
         assertEquals(List.of(), feeds.breaches());
--- a/lab/src/test/java/lemondeal/lab/consul/FakeConsulTest.java
+++ b/lab/src/test/java/lemondeal/lab/consul/FakeConsulTest.java
@@ -44,8 +44,8 @@
 import org.kiwiproject.consul.option.QueryOptions;
 
 /**
- * A client library of Consul's from the registry drives the stand-in: registers, sets checks, asks in every way that the
- * proxy asks. What the library sees and what the proxy's own reading makes of the same answers is compared at each step.
+ * Verifies the fake Consul with an independent client library, which registers services, sets checks and makes every
+ * kind of query that the proxy makes. Compares at each step what the library and the proxy's parser read.
  */
 @Timeout(60)
 class FakeConsulTest {
@@ -75,7 +75,7 @@
         .serviceWeights(ImmutableServiceWeights.builder().passing(10).warning(2).build()).build());
   }
 
-  /** What the proxy's parser and mapping make of the answer to these words. */
+  /** Returns what the proxy's parser and mapping read from the answer to a query. */
   private Map<String, String> proxySees(String query) throws Exception {
     HttpResponse<InputStream> answer = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(
         "http://127.0.0.1:" + consul.address().getPort() + "/v1/health/service/link" + query))
@@ -128,7 +128,7 @@
     agent.toggleMaintenanceMode("b", true);
     assertBothSee("agent-node/a PASSING 7001 10/2", "agent-node/b MAINTENANCE 7002 10/2");
     assertEquals(List.of("a"), health.getHealthyServiceInstances("link").getResponse().stream()
-        .map(one -> one.getService().getId()).toList(), "passing alone");
+        .map(entry -> entry.getService().getId()).toList(), "only passing instances");
     agent.toggleMaintenanceMode("b", false);
     consul.catalogue().setCheck("agent-node/a", "serfHealth", "critical");
     assertBothSee("agent-node/a CRITICAL 7001 10/2", "agent-node/b PASSING 7002 10/2");
@@ -145,7 +145,7 @@
     assertEquals(List.of(), health.getAllServiceInstances("nobody").getResponse());
   }
 
-  /** A blocking query ends with the change, and with its wait where nothing changes; the index only grows. */
+  /** A blocking query returns on a change, or after its wait without one; the index never decreases. */
   @Test
   void blockingQueriesWaitForTheChange() throws Exception {
     register("a", 7001);
@@ -164,10 +164,10 @@
     assertTrue(same.getIndex().compareTo(changed.getIndex()) >= 0);
     BigInteger last = same.getIndex();
     assertEquals(last, health.getAllServiceInstances("link", QueryOptions.blockSeconds(1, last).build()).getIndex(),
-        "nothing changed, and the wait was over");
+        "the query timed out without a change");
   }
 
-  /** The expressions that an operator may write pick the same entries through the library and through the proxy. */
+  /** Filter expressions select the same entries through the library and through the proxy. */
   @Test
   void filtersSelectTheSameEntries() throws Exception {
     register("a", 7001, "primary");
@@ -190,7 +190,7 @@
     assertEquals(400, refused.getCode());
   }
 
-  /** Modes of consistency, datacenters and tokens, as Consul takes or refuses them. */
+  /** Consistency modes, datacenters and tokens are accepted and refused as by Consul. */
   @Test
   void refusalsMatchConsul() throws Exception {
     register("a", 7001);
--- a/lab/src/test/java/lemondeal/lab/evacuation/InvariantCheckersTest.java
+++ b/lab/src/test/java/lemondeal/lab/evacuation/InvariantCheckersTest.java
@@ -7,7 +7,7 @@
 import lemondeal.evacuation.Evacuation;
 import org.junit.jupiter.api.Test;
 
-/** The checkers that no mistake in the agreement alone can trip, told of what they must catch. */
+/** Tests the checkers that faulty quorum rules cannot trigger, with direct calls. */
 class InvariantCheckersTest {
   private final List<String> breaches = new ArrayList<>();
 
@@ -23,7 +23,7 @@
     checker.onSend(1_100, 1, 2, 0, 0);
     checker.onSend(5_000, 0, 2, 0, 0);
     checker.onSend(5_000, 1, 1, 0, 0);
-    assertEquals(List.of(), breaches, "in time, another member, another zone");
+    assertEquals(List.of(), breaches, "within the grace period, another member, another zone");
     checker.onStart(1_100, 1, true);
     checker.onSend(1_101, 1, 2, 0, 0);
     assertEquals(List.of("NoSendToLeftZone"), breaches);
@@ -42,6 +42,6 @@
     checker.onEnd(9_100, true);
     assertEquals(List.of("KeysReturn"), breaches);
     checker.onEnd(9_100, false);
-    assertEquals(2, breaches.size(), "not all open");
+    assertEquals(2, breaches.size(), "not all zones open");
   }
 }
--- a/lab/src/test/java/lemondeal/lab/fleet/FleetTraceCountsTest.java
+++ b/lab/src/test/java/lemondeal/lab/fleet/FleetTraceCountsTest.java
@@ -36,12 +36,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The traced log and its counting, against each other: whoever changes one finds out here. */
+/** Tests the trace writer and the counting of trace lines against each other, so that their formats stay in step. */
 class FleetTraceCountsTest {
   private final List<String> logLines = new ArrayList<>();
   private long millis = 1_700_000_000_000L;
 
-  /** Decides what the test says next. */
+  /** A traced module that returns the actions given by the test. */
   private final class TracedProxy {
     private List<Balancer.Action> nextActions = List.of();
     private final Balancer traced;
@@ -74,7 +74,7 @@
 
     void handle(Event event, Balancer.Action... actions) {
       nextActions = List.of(actions);
-      assertEquals(nextActions, traced.on(7, event), "a trace changes no decision");
+      assertEquals(nextActions, traced.on(7, event), "tracing changed the decision");
     }
   }
 
@@ -103,13 +103,13 @@
     assertEquals(1, count.totalAtServer("s-2", "ended refused"));
     assertEquals(1, count.totalAtServer("s-1", "probed no_connection"));
     assertEquals(1, count.total("refuse") * count.total("move") * count.total("up") * count.total("delay"));
-    assertEquals(0, count.total("wake"), "timers are no news");
+    assertEquals(0, count.total("wake"), "timer events are not traced");
     assertEquals(List.of(0L, 40L), count.firstAttemptWaits());
     assertTrue(count.report().contains("until the answer, ms: median 1040"), count.report());
     assertTrue(count.report().startsWith("2 proxies"), count.report());
   }
 
-  /** Ids begin anew with a process: the first request of the next one once counted as the killed one's. */
+  /** Request ids restart with the process; the first request after a restart was once matched with one before it. */
   @Test
   void requestsOfAKilledProxyAreDiscarded() {
     FleetTraceCounts count = new FleetTraceCounts();
@@ -147,7 +147,7 @@
     assertEquals("1 proxies, 2 lines", run(folder).split("\n")[0]);
   }
 
-  /** The command line's writer is not flushed by itself: from a shell the command once said nothing at all. */
+  /** Uses a buffered writer: without an explicit flush the command once printed nothing in a shell. */
   private static String run(Path folder, String... options) throws Exception {
     StringWriter output = new StringWriter();
     String[] arguments = Stream.concat(Stream.of(folder.toString()), Stream.of(options)).toArray(String[]::new);
@@ -167,6 +167,6 @@
     assertTrue(output.contains("probe: 2 at 0.0023 for 1 first tries, 0.0046 of the result"), output);
     assertTrue(output.contains("move: 1 at 0.01 for 1 first tries, 0.0100 of the result"), output);
     assertEquals(2, new CommandLine(new FleetCountCommand()).setErr(new PrintWriter(new StringWriter()))
-        .execute(folder.toString(), "--config", folder.resolve("n0.log").toString()), "that is no configuration");
+        .execute(folder.toString(), "--config", folder.resolve("n0.log").toString()), "a log file is not a configuration");
   }
 }
--- a/lab/src/test/java/lemondeal/lab/site/FleetMembershipTest.java
+++ b/lab/src/test/java/lemondeal/lab/site/FleetMembershipTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Three real proxies that tell each other rows, with faults between them. Times are waited for, not held to. */
+/** Three real proxies that exchange reports, with network faults. Waits for states and asserts no durations. */
 @Timeout(240)
 class FleetMembershipTest {
   private static final String ALL_MEMBERS = "n0 n1 n2";
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Cut off with its connections reset, then with its connections held and nothing said. */
+  /** Isolates a proxy, first by resetting its connections, then by stalling them. */
   @Test
   void isolatedProxyExpiresAndReturns() throws Exception {
     for (NetworkConditions conditions : new NetworkConditions[] {NetworkConditions.CUT, NetworkConditions.STALLED}) {
@@ -58,7 +58,7 @@
     }
   }
 
-  /** A cut in one direction parts the pair, and nobody else. */
+  /** A one-way cut makes the two proxies invisible to each other and affects no other pair. */
   @Test
   void oneWayCutSeparatesOnlyThatPair() throws Exception {
     cluster.relay(0, 2).setConditions(NetworkConditions.STALLED);
@@ -69,7 +69,7 @@
     awaitFullVisibility();
   }
 
-  /** Rows that come each 200 ms and were made three lives ago are no news. */
+  /** Reports that still arrive every 200 ms, but are three lifetimes old, do not count. */
   @Test
   void reportsDelayedBeyondTheirLifeAreStale() throws Exception {
     cluster.relay(1, 0).setConditions(NetworkConditions.delayed(6_000, 0));
@@ -79,7 +79,7 @@
     awaitFullVisibility();
   }
 
-  /** A stalled proxy is absent, and when it wakes finds that its own rows have aged, too. */
+  /** A suspended proxy expires; when it continues, the reports that it holds have expired as well. */
   @Test
   void stoppedProxyExpiresAndReturns() throws Exception {
     cluster.signal(1, "STOP");
@@ -112,7 +112,7 @@
         }
         socket.getOutputStream().write(randomBytes);
       } catch (IOException e) {
-        // Closed on it: so it should be.
+        // The proxy closes the connection, as it should.
       }
     }
     cluster.setConditions(1, NetworkConditions.CUT);
@@ -122,7 +122,7 @@
     assertTrue(cluster.proxy(0).isAlive());
   }
 
-  /** Faults of all kinds at once, drawn from a seed: when they are over, all see all. */
+  /** After random overlapping faults, all members see each other again. */
   @Test
   void fleetRecoversFromRandomFaults() throws Exception {
     ClusterFaultSchedule.random(24, 3, 24, 12_000).run(cluster);
@@ -130,7 +130,7 @@
     assertEquals(ClusterFaultSchedule.random(7, 3, 9, 5_000), ClusterFaultSchedule.random(7, 3, 9, 5_000));
   }
 
-  /** Proxies that stand still, die, are parted and slow at once, as a script says. */
+  /** After overlapping suspension, crash, partition and delay, all members see each other again. */
   @Test
   void fleetRecoversFromScheduledFaults() throws Exception {
     ClusterFaultSchedule.parse("""
@@ -144,7 +144,7 @@
     assertThrows(IllegalArgumentException.class, () -> ClusterFaultSchedule.parse("at 3 cut n0"));
   }
 
-  /** Where the platform's settings forbid it, the section is refused: file, line, why, exit 2. */
+  /** If the platform's settings forbid it, the section is refused with file, line, reason and exit code 2. */
   @Test
   void fleetSectionIsRefusedWithoutPermission() throws Exception {
     ProcessBuilder builder = new ProcessBuilder(ProxyProcess.command("serve")).redirectErrorStream(true);
@@ -155,7 +155,7 @@
     Process proxy = builder.start();
     String output = new String(proxy.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     assertEquals(2, proxy.waitFor(), output);
-    assertTrue(output.contains("operator-0.yaml:3:1: fleet: the platform's settings forbid"), output);
+    assertTrue(output.contains("operator-0.yaml:3:1: fleet: the platform's settings do not allow messages between proxies"), output);
     assertEquals(1, output.lines().count(), output);
   }
 }
--- a/lab/src/test/java/lemondeal/lab/site/ZoneEvacuationTest.java
+++ b/lab/src/test/java/lemondeal/lab/site/ZoneEvacuationTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Three real proxies before two zones: one vanishes, all leave it together, and all return. */
+/** Three real proxies in front of two zones: one zone fails, all proxies evacuate it, and all return. */
 @Timeout(240)
 class ZoneEvacuationTest {
   private static final int PROXIES = 3;
@@ -66,7 +66,7 @@
     long deadlineNanos = System.nanoTime() + TIMEOUT_SECONDS * 1_000_000_000L;
     while (!condition.holds()) {
       if (System.nanoTime() > deadlineNanos) {
-        throw new IOException("never: " + description + "; " + cluster.proxy(0).log());
+        throw new IOException("timed out waiting for: " + description + "; " + cluster.proxy(0).log());
       }
       Thread.sleep(10);
     }
@@ -82,7 +82,7 @@
     return true;
   }
 
-  /** Whether all proxies said last of the zone that it stands so. */
+  /** Whether the last logged state of the zone is this one at all proxies. */
   private boolean allProxiesReport(String state, String zone) {
     for (int i = 0; i < PROXIES; i++) {
       String last = "";
@@ -96,7 +96,7 @@
     return true;
   }
 
-  /** Server of zone b by the key of the client that went there, without other traffic. */
+  /** Sends one client per key without other traffic, and returns the server of zone b by key. */
   private Map<String, Integer> serversByKeyInZoneB() {
     Map<String, Integer> keys = new TreeMap<>();
     for (int i = 0; i < KEYS; i++) {
@@ -116,25 +116,25 @@
   void fleetEvacuatesAndReturnsToAFailedZone() throws Exception {
     await("all zones open", () -> allProxiesReport("open", "a") && allProxiesReport("open", "b"));
     Map<String, Integer> before = serversByKeyInZoneB();
-    assertTrue(before.size() > 0 && before.size() < KEYS, "keys in both zones: " + before);
+    assertTrue(before.size() > 0 && before.size() < KEYS, "keys are not in both zones: " + before);
     try (ConstantRateClients clients = new ConstantRateClients(addresses(), 40)) {
       await("traffic", () -> clients.served() > 60);
       servers.setConditions("b", NetworkConditions.CUT);
-      await("all left b", () -> allProxiesLogged("zone-left", 1));
-      assertEquals(0, clients.unanswered(), "one final answer each, in time");
+      await("all evacuated b", () -> allProxiesLogged("zone-left", 1));
+      assertEquals(0, clients.unanswered(), "clients without a final answer in time");
       Thread.sleep(1_000);
       int reached = servers.openCount("b");
       servers.setConditions("b", NetworkConditions.OPEN);
       int served = clients.served();
       await("clients served by the other zone", () -> clients.served() > served + 60);
       if (!allProxiesLogged("zone-returned", 2)) {
-        assertEquals(reached, servers.openCount("b"), "nothing new goes to a zone that is left, however sound");
+        assertEquals(reached, servers.openCount("b"), "new work in an evacuated zone that has recovered");
       }
       await("all returned to b", () -> allProxiesLogged("zone-returned", 2));
       await("clients in b", () -> servers.openCount("b") > reached + 20);
       await("b open to all", () -> allProxiesReport("open", "b"));
       assertEquals(0, clients.unanswered());
     }
-    await("the keys that it had", () -> serversByKeyInZoneB().equals(before));
+    await("the original keys in b", () -> serversByKeyInZoneB().equals(before));
   }
 }
--- a/lab/src/test/java/lemondeal/lab/stream/ResumeFaultsTest.java
+++ b/lab/src/test/java/lemondeal/lab/stream/ResumeFaultsTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What goes wrong one at a time, at real proxies that share a claim store. */
+/** Single faults of resumable sessions, with real proxies that share a claim store. */
 @Timeout(30)
 class ResumeFaultsTest {
   private static final AtomicInteger IDS = new AtomicInteger();
 
-  /** A scripted client's connection that is up. */
+  /** An established connection of a test client, with its RESUME line. */
   private record OpenSession(LineConnection connection, String resumeLine) {
     String token() {
       return resumeLine.substring(resumeLine.lastIndexOf(' ') + 1);
@@ -35,7 +35,7 @@
     return connection;
   }
 
-  /** A connection that is up; comes again as long as it is throttled, as on a machine that is busy. */
+  /** Opens a connection; retries while it is throttled, as happens on a busy machine. */
   private static OpenSession openSession(ResumeTestCluster cluster, int proxy, String token, long received) throws IOException {
     LineConnection connection = open(cluster, proxy, token, received);
     String answer = connection.readLine();
@@ -54,7 +54,7 @@
     }
   }
 
-  /** The first answer that is no BUSY: what was settled or given back may still be on its way to the store. */
+  /** Returns the first answer other than BUSY: an earlier claim's settlement or release may not have reached the store. */
   private static String answerAfterRetries(ResumeTestCluster cluster, int proxy, String token) throws IOException {
     String answer = answer(cluster, proxy, token, 0);
     while (answer.startsWith("BUSY")) {
@@ -63,19 +63,19 @@
     return answer;
   }
 
-  /** A connection whose first line has come to the server, as the count of them says, and is not answered. */
+  /** Opens a connection whose first line has reached the server, by its count, and stays unanswered. */
   private static LineConnection openUnanswered(ResumeTestCluster cluster, int proxy, String token, int count) throws IOException {
     ResumableServer server = cluster.server("s-1");
     LineConnection connection = open(cluster, proxy, token, 0);
     for (int i = 0; server.openCount() < count; i++) {
-      assertTrue(i < 500, "no server was asked");
+      assertTrue(i < 500, "no server received the request");
       connection.setReadTimeout(20);
       try {
         assertTrue(connection.readLine().startsWith("BUSY"));
         connection.close();
         connection = open(cluster, proxy, token, 0);
       } catch (SocketTimeoutException e) {
-        assertNotNull(e, "not answered so far");
+        assertNotNull(e, "no answer yet");
       }
     }
     return connection;
@@ -89,21 +89,21 @@
       server.setResponseMode(ResumableServer.ResponseMode.SILENT);
       LineConnection first = openUnanswered(cluster, 0, token, 2);
       assertEquals("BUSY 500", answer(cluster, 1, token, 0));
-      assertEquals(2, server.openCount(), "the second one was sent to no server");
+      assertEquals(2, server.openCount(), "the second request was sent to a server");
       first.close();
       server.setResponseMode(ResumableServer.ResponseMode.SERVES);
       assertTrue(answerAfterRetries(cluster, 1, token).startsWith("UP "));
       assertEquals("ERR used", answerAfterRetries(cluster, 0, token));
       assertEquals(1, cluster.sessionStore().maxActiveAttempts());
       for (String line : cluster.proxies().get(1).log()) {
-        // gRPC's transport told every frame, with its payload, as long as nobody had set a level.
+        // Without a configured log level, gRPC's transport logged every frame with its payload.
         assertTrue(line.startsWith("lemondeal: ") || line.startsWith("n1 ") || line.contains("org.xnio")
             || line.startsWith("INFO: XNIO"), line);
       }
     }
   }
 
-  /** Without the claims' say both proxies would send it; the checker must see that. */
+  /** If the claim store grants everything, both proxies send the request; the checker must detect it. */
   @Test
   void checkerDetectsTwoAttemptsWithoutClaims() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(2, 1, "")) {
@@ -114,13 +114,13 @@
       try (LineConnection first = openUnanswered(cluster, 0, token, 2); LineConnection second = openUnanswered(cluster, 1, token, 3)) {
         assertNotNull(first);
         assertNotNull(second);
-        assertEquals(List.of("2 attempts of one session were out at the same time"),
+        assertEquals(List.of("2 attempts of one session were active at the same time"),
             ResumeChecker.breaches(cluster.sessionStore(), List.of()));
       }
     }
   }
 
-  /** The proxy dies between claim and UP: the lease runs out, and its attempt can't write any more. */
+  /** A proxy dies between claim and UP: its lease expires, and its attempt can no longer write. */
   @Test
   void tokenStaysValidWhenProxyDiesBetweenClaimAndUp() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(2, 1, "lease: 1s")) {
@@ -137,7 +137,7 @@
         Thread.sleep(Long.parseLong(answer.substring("BUSY ".length())));
         answer = answer(cluster, 1, token, 0);
       }
-      assertTrue(throttledCount > 0, "the lease held for a while");
+      assertTrue(throttledCount > 0, "the lease did not throttle");
       assertTrue(answer.startsWith("UP "), answer);
     }
   }
@@ -149,7 +149,7 @@
     }
   }
 
-  /** The old connection goes on talking, as one does whose client believes that it is still there. */
+  /** Keeps writing on the superseded connection, as a client does that has not noticed the takeover. */
   private static List<String> writeOnSupersededConnection(ResumeTestCluster cluster) throws Exception {
     OpenSession superseded = openSession(cluster, 0, "", 0);
     superseded.connection().writeLines("order c 1");
@@ -161,10 +161,10 @@
     try {
       superseded.connection().writeLines("order c 2", "order c 3");
       while (superseded.connection().readLine() != null) {
-        // Read on to whatever end it has.
+        // Reads until the connection ends in any way.
       }
     } catch (IOException e) {
-      assertNotNull(e, "a reset is an end too");
+      assertNotNull(e, "a reset also ends the connection");
     }
     current.connection().close();
     return ResumeChecker.breaches(cluster.sessionStore(), List.of());
@@ -203,7 +203,7 @@
     }
   }
 
-  /** Down, silent, or losing its answers: BUSY with a time, and the token stays good. */
+  /** While the claim store is down, silent or losing answers, clients get BUSY with a delay and tokens stay valid. */
   @Test
   void unavailableStoreThrottlesAndKeepsTokenValid() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(1, 1, "lease: 1s")) {
@@ -218,7 +218,7 @@
     }
   }
 
-  /** New keys are taken over on SIGHUP, by proxies that serve; a file that others can read is not. */
+  /** A running proxy applies new keys on SIGHUP, and rejects a key file that others can read. */
   @Test
   void sighupRotatesKeys() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(1, 1, "")) {
@@ -238,8 +238,8 @@
   }
 
   /**
-   * Claims in a store that speaks TLS at two addresses: a session goes on across proxies while the first address is
-   * lost, and its token is good once.
+   * With a TLS claim store at two addresses, a session resumes at another proxy and each token is valid only once, also
+   * after the first address fails.
    */
   @Test
   void tokenIsValidOnceAcrossTlsStoreReplicas() throws Exception {
@@ -251,15 +251,15 @@
       }
       String first = openSession(cluster, 0, "", 0).token();
       String second = openSession(cluster, 1, first, 0).token();
-      assertTrue(stores.get(0).callCount() > 0, "claims went to the first address");
+      assertTrue(stores.get(0).callCount() > 0, "no claim reached the first address");
       stores.get(0).close();
-      assertEquals("ERR used", answerAfterRetries(cluster, 0, first), "the second address knows what the first one was told");
+      assertEquals("ERR used", answerAfterRetries(cluster, 0, first), "the second address does not know a claim made at the first");
       assertTrue(openSession(cluster, 0, second, 0).resumeLine().startsWith("RESUME at "));
       assertTrue(stores.get(1).callCount() > 0);
     }
   }
 
-  /** Claims on disk: a proxy that dies at once after a claim does not allow the token a second time. */
+  /** With claims on disk, a proxy that is killed right after a claim does not accept the token again. */
   @Test
   void restartDoesNotAllowTokenReuse() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(1, 1, "")) {
--- a/lab/src/test/java/lemondeal/lab/stream/RollingDrainTest.java
+++ b/lab/src/test/java/lemondeal/lab/stream/RollingDrainTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients of real proxies, moved off servers that drain and cut off by servers that die. */
+/** Resumable sessions through real proxies while servers drain and crash. */
 @Timeout(120)
 class RollingDrainTest {
   private static final int CLIENTS = 200;
@@ -27,7 +27,7 @@
     return clients;
   }
 
-  /** Each server drains once and two die: nothing acknowledged is lost, repeated or out of order. */
+  /** Each server drains once and two crash: no acknowledged line is lost, repeated or out of order. */
   @Test
   void drainsAndCrashesLoseNoAcknowledgedLine() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(3, SERVERS, "checkpoint: 500ms")) {
@@ -45,11 +45,11 @@
       ResumeTestCluster.await(threads);
       assertEquals(List.of(), ResumeChecker.breaches(cluster.sessionStore(), clients));
       int continued = clients.stream().mapToInt(client -> client.eventCounts().getOrDefault("at", 0)).sum();
-      assertTrue(continued >= CLIENTS, "went on " + continued + " times");
+      assertTrue(continued >= CLIENTS, "resumed " + continued + " times");
     }
   }
 
-  /** Every proxy dies and comes back knowing nothing: tokens of a proxy that is gone are good at any other. */
+  /** Every proxy is killed and restarts without state: tokens of a killed proxy are valid at any other. */
   @Test
   void tokensSurviveARestartOfEveryProxy() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(3, 2, "checkpoint: 200ms")) {
@@ -66,8 +66,8 @@
   }
 
   /**
-   * A planned restart of a proxy with a thousand sessions: all are moved with a token, none is cut off, and the process
-   * leaves in time. Rings of 12 MB, as on the platform, would hold 768 clients; the operator's file gives 20.
+   * A planned stop of a proxy with a thousand sessions moves all of them with a token, cuts none off, and the process
+   * exits in time. Ring buffers of 12 MB, as on the platform, would hold 768 clients; the operator's file sets 20 MB.
    */
   @Test
   void stopMovesAThousandSessions() throws Exception {
@@ -82,23 +82,24 @@
       assertEquals(0, cluster.proxies().get(0).awaitExit());
       ResumeTestCluster.await(threads);
       assertEquals(List.of(), ResumeChecker.breaches(cluster.sessionStore(), clients));
-      // At least, not exactly: on a slow machine a server counts as hot meanwhile, and the module moves a share of its clients.
+      // At least one move, not exactly one: on a slow machine a server may count as overloaded, and the module then moves
+      // a share of its clients.
       assertEquals(List.of(), clients.stream().filter(client -> client.eventCounts().getOrDefault("moved", 0) < 1)
-          .map(client -> client.name() + " " + client.eventCounts()).toList(), () -> "not moved by the stop\n" + logs(cluster));
+          .map(client -> client.name() + " " + client.eventCounts()).toList(), () -> "clients not moved by the stop\n" + logs(cluster));
       assertEquals(List.of(), clients.stream().filter(client -> client.eventCounts().getOrDefault("up", 0)
           - client.eventCounts().getOrDefault("moved", 0) != 1).map(client -> client.name() + " " + client.eventCounts()).toList(),
-          "each connection of a client but its last ended with MOVE");
+          "connections other than the last did not all end with MOVE");
     }
   }
 
-  /** What the proxies said, for a failure's message. */
+  /** Returns the logs of all proxies, for assertion messages. */
   private static String logs(ResumeTestCluster cluster) {
-    StringBuilder all = new StringBuilder();
+    StringBuilder text = new StringBuilder();
     for (int i = 0; i < cluster.proxies().size(); i++) {
       for (String line : cluster.proxies().get(i).log()) {
-        all.append(i).append(": ").append(line).append('\n');
+        text.append(i).append(": ").append(line).append('\n');
       }
     }
-    return all.toString();
+    return text.toString();
   }
 }
