--- a/lab/src/main/java/lemondeal/lab/Lab.java
+++ b/lab/src/main/java/lemondeal/lab/Lab.java
@@ -18,9 +18,10 @@
 
 /** Command line of the test tools: fake servers to start by hand, and measurements. Never runs on the platform. */
 @Command(name = "lab", mixinStandardHelpOptions = true, description = "Fake servers and measurements.",
-    subcommands = {Lab.DrainDayCommand.class, Lab.MeasureResume.class, Lab.MeasureConsul.class, Lab.MeasureEmulator.class,
-        Lab.ClaimStore.class, Lab.Consul.class, ExperimentCommands.Run.class, ExperimentCommands.Compare.class,
-        ExperimentCommands.Results.class, ExperimentCommands.Placement.class, FleetCountCommand.class, SoakCommand.class})
+    subcommands = {Lab.DrainDayCommand.class, Lab.MeasureResume.class, Lab.MeasureConsul.class,
+        Lab.MeasureEmulator.class, Lab.ClaimStore.class, Lab.Consul.class, ExperimentCommands.Run.class,
+        ExperimentCommands.Compare.class, ExperimentCommands.Results.class, ExperimentCommands.Placement.class,
+        FleetCountCommand.class, SoakCommand.class})
 public final class Lab implements Runnable {
   @CommandLine.Spec
   private CommandLine.Model.CommandSpec spec;
@@ -37,8 +38,10 @@
 
   /** {@code drain-day}. */
   @Command(name = "drain-day", mixinStandardHelpOptions = true, exitCodeListHeading = "%nExit codes:%n",
-      exitCodeList = {"0:all guarantees held", "1:a guarantee was broken; each breach is printed on a line", "2:invalid usage"},
-      description = "Drain the servers of a small cluster one after another under resuming clients, and check the guarantees.")
+      exitCodeList = {"0:all guarantees held", "1:a guarantee was broken; each breach is printed on a line",
+          "2:invalid usage"},
+      description = "Drain the servers of a small cluster one after another under resuming clients, and check the "
+          + "guarantees.")
   static final class DrainDayCommand implements Callable<Integer> {
     @Option(names = "--proxies", defaultValue = "3", description = "Real proxies (${DEFAULT-VALUE}).")
     private int proxies;
@@ -49,7 +52,8 @@
     @Option(names = "--clients", defaultValue = "100", description = "Clients at the same time (${DEFAULT-VALUE}).")
     private int clients;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "Seconds for which clients send (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "20",
+        description = "Seconds for which clients send (${DEFAULT-VALUE}).")
     private int seconds;
 
     @Option(names = "--pace", defaultValue = "100", description = "Milliseconds between two lines (${DEFAULT-VALUE}).")
@@ -105,7 +109,8 @@
         description = "Instances per list (${DEFAULT-VALUE}).")
     private int[] sizes;
 
-    @Option(names = "--fleets", split = ",", defaultValue = "3,48", description = "Proxies on one Consul (${DEFAULT-VALUE}).")
+    @Option(names = "--fleets", split = ",", defaultValue = "3,48",
+        description = "Proxies on one Consul (${DEFAULT-VALUE}).")
     private int[] fleets;
 
     @Option(names = "--seconds", defaultValue = "20", description = "Seconds per size and fleet (${DEFAULT-VALUE}).")
@@ -146,7 +151,8 @@
 
   /** {@code measure-emulator}. */
   @Command(name = "measure-emulator", mixinStandardHelpOptions = true,
-      description = "Measure the emulator's speed, the largest run, and the module's time per request; takes some minutes.")
+      description = "Measure the emulator's speed, the largest run, and the module's time per request; takes some "
+          + "minutes.")
   static final class MeasureEmulator implements Callable<Integer> {
     @Option(names = "--largest", description = "Add a run with 1,000 servers, 100 proxies and a million connections.")
     private boolean largest;
@@ -176,10 +182,11 @@
 
   /** {@code consul}. */
   @Command(name = "consul", mixinStandardHelpOptions = true,
-      description = "Run the fake Consul with echo servers registered. Lines on standard input change it until the input "
-          + "ends.")
+      description = "Run the fake Consul with echo servers registered. Lines on standard input change it until the "
+          + "input ends.")
   static final class Consul implements Callable<Integer> {
-    @Option(names = "--servers", defaultValue = "4", description = "Echo servers registered at the start (${DEFAULT-VALUE}).")
+    @Option(names = "--servers", defaultValue = "4",
+        description = "Echo servers registered at the start (${DEFAULT-VALUE}).")
     private int servers;
 
     @CommandLine.Spec
@@ -188,7 +195,8 @@
     @Override
     public Integer call() throws IOException {
       if (servers < 0 || servers > 500) {
-        throw new CommandLine.ParameterException(spec.commandLine(), "--servers: found " + servers + "; allowed: 0 to 500");
+        throw new CommandLine.ParameterException(spec.commandLine(), "--servers: found " + servers
+            + "; allowed: 0 to 500");
       }
       try (ConsulConsole console = new ConsulConsole(servers, System.out)) {
         console.run(new java.io.BufferedReader(new java.io.InputStreamReader(System.in,
--- a/lab/src/main/java/lemondeal/lab/LineConnection.java
+++ b/lab/src/main/java/lemondeal/lab/LineConnection.java
@@ -38,12 +38,13 @@
     socket.setSoTimeout(timeoutMillis);
   }
 
-  /** Returns the next line without its terminator, or null at the end of the stream. Drops an unterminated last line. */
+  /** Returns the next line without its terminator, or null at the end of the stream. Drops an incomplete last line. */
   public String readLine() throws IOException {
     for (int b = input.read(); b >= 0; b = input.read()) {
       if (b == '\n') {
         int length = partialLine.length();
-        String line = partialLine.substring(0, length > 0 && partialLine.charAt(length - 1) == '\r' ? length - 1 : length);
+        String line = partialLine.substring(0, length > 0 && partialLine.charAt(length - 1) == '\r'
+            ? length - 1 : length);
         partialLine.setLength(0);
         return line;
       }
--- a/lab/src/main/java/lemondeal/lab/ProxyProcess.java
+++ b/lab/src/main/java/lemondeal/lab/ProxyProcess.java
@@ -21,7 +21,8 @@
   private static final long TIMEOUT_SECONDS = 30;
   /** Signals ignored in the parent, as under {@code nohup}, would be ignored in the proxy as well. */
   private static final List<String> RESET_SIGNALS = List.of("env", "--default-signal=HUP,INT,TERM");
-  private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
+  private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m",
+      "-Xss512k");
 
   private final Process process;
   private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>();
--- a/lab/src/main/java/lemondeal/lab/TestCertificateAuthority.java
+++ b/lab/src/main/java/lemondeal/lab/TestCertificateAuthority.java
@@ -33,8 +33,8 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * A certificate authority that signs certificates for fake servers and proxies on loopback, and writes them as PEM files
- * like an operator's authority. For tests only: private keys are stored unprotected in the test folders.
+ * A certificate authority that signs certificates for fake servers and proxies on loopback, and writes them as PEM
+ * files like an operator's authority. For tests only: private keys are stored unprotected in the test folders.
  */
 public final class TestCertificateAuthority {
   private static final Duration VALIDITY = Duration.ofDays(2);
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Issues a server and client certificate. Numeric names such as {@code 127.0.0.1} become IP subject alternative names,
-   * all others DNS names.
+   * Issues a certificate for servers and clients. Numeric names such as {@code 127.0.0.1} become IP subject alternative
+   * names, all others DNS names.
    */
   public IssuedCertificate issue(Path folder, String file, String... names) throws IOException {
     return issue(folder, file, VALIDITY, names);
@@ -89,7 +89,8 @@
 
   private IssuedCertificate issue(Path folder, String file, Duration validFor, String... names) throws IOException {
     KeyPair subjectKeyPair = generateKeyPair();
-    X509v3CertificateBuilder builder = certificateBuilder(new X500Name("CN=" + name), new X500Name("CN=" + names[0]), subjectKeyPair, validFor);
+    X509v3CertificateBuilder builder = certificateBuilder(new X500Name("CN=" + name), new X500Name("CN=" + names[0]),
+        subjectKeyPair, validFor);
     GeneralName[] alternativeNames = new GeneralName[names.length];
     for (int i = 0; i < names.length; i++) {
       alternativeNames[i] = new GeneralName(names[i].matches("[0-9.]+") ? GeneralName.iPAddress : GeneralName.dNSName,
--- a/lab/src/main/java/lemondeal/lab/claims/FakeClaimStore.java
+++ b/lab/src/main/java/lemondeal/lab/claims/FakeClaimStore.java
@@ -66,7 +66,8 @@
   private FakeClaimStore(Map<ByteString, Entry> entries, Tls tls) throws IOException {
     this.entries = entries;
     this.tls = tls;
-    NettyServerBuilder builder = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+    NettyServerBuilder builder = NettyServerBuilder
+        .forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
         .addService(new ClaimStoreService());
     if (tls != null) {
       SslContextBuilder context = GrpcSslContexts.forServer(tls.certificate().toFile(), tls.key().toFile());
@@ -100,7 +101,8 @@
   private Entry read(ByteString key) {
     synchronized (entries) {
       callCount++;
-      return responseMode == ResponseMode.GRANTS_ALL ? Entry.getDefaultInstance() : entries.getOrDefault(key, Entry.getDefaultInstance());
+      return responseMode == ResponseMode.GRANTS_ALL ? Entry.getDefaultInstance()
+          : entries.getOrDefault(key, Entry.getDefaultInstance());
     }
   }
 
--- a/lab/src/main/java/lemondeal/lab/consul/Catalogue.java
+++ b/lab/src/main/java/lemondeal/lab/consul/Catalogue.java
@@ -112,14 +112,16 @@
       throws InterruptedException {
     if (index > 0) {
       int initialRestoreCount = restoreCount;
-      awaitCondition(waitMillis, () -> indexOf(service) > index || restoreCount != initialRestoreCount || cancelled.getAsBoolean());
+      awaitCondition(waitMillis, () -> indexOf(service) > index || restoreCount != initialRestoreCount
+          || cancelled.getAsBoolean());
     }
   }
 
   /** Waits until the condition holds or the wait times out; checks after each change and {@link #wakeWaiters}. */
   synchronized void awaitCondition(long waitMillis, BooleanSupplier condition) throws InterruptedException {
     long deadline = System.currentTimeMillis() + waitMillis;
-    for (long remaining = waitMillis; remaining > 0 && !condition.getAsBoolean(); remaining = deadline - System.currentTimeMillis()) {
+    for (long remaining = waitMillis; remaining > 0 && !condition.getAsBoolean();
+        remaining = deadline - System.currentTimeMillis()) {
       wait(remaining);
     }
   }
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulConsole.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ConsulConsole.java
@@ -55,7 +55,8 @@
   String execute(String[] arguments) throws IOException {
     String command = arguments[0].toLowerCase(Locale.ROOT);
     if (command.equals("list")) {
-      return consulKeys.keySet() + " " + servers.values().stream().map(server -> server.openCount() + "").toList() + " opened";
+      return consulKeys.keySet() + " " + servers.values().stream().map(server -> server.openCount() + "").toList()
+          + " opened";
     }
     if (arguments.length < 2) {
       return "'" + String.join(" ", arguments) + "' can't be done; " + HELP;
@@ -116,7 +117,8 @@
   private String add(String name) throws IOException {
     EchoServer server = new EchoServer();
     servers.put(name, server);
-    consulKeys.put(name, consul.catalogue().register("node-" + name, "127.0.0.1", ConsulTestCluster.SERVICE, name, server.address().getPort()));
+    consulKeys.put(name, consul.catalogue().register("node-" + name, "127.0.0.1", ConsulTestCluster.SERVICE, name,
+        server.address().getPort()));
     return name + " at 127.0.0.1:" + server.address().getPort();
   }
 
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ConsulTestCluster.java
@@ -41,7 +41,8 @@
    *
    * @param extraSettings lines of the operator's section {@code discovery.consul} in addition to agents and service
    */
-  public ConsulTestCluster(int proxyCount, int serverCount, String extraSettings) throws IOException, InterruptedException {
+  public ConsulTestCluster(int proxyCount, int serverCount, String extraSettings)
+      throws IOException, InterruptedException {
     this(proxyCount, serverCount, extraSettings, Map.of());
   }
 
--- a/lab/src/main/java/lemondeal/lab/consul/FakeConsul.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FakeConsul.java
@@ -114,7 +114,8 @@
         catalogue.checkEntries(name)));
     server.createContext("/v1/catalog/service/", exchange -> query(exchange, (name, query, mode) ->
         catalogue.catalogueEntries(name)));
-    server.createContext("/v1/catalog/nodes", exchange -> query(exchange, (name, query, mode) -> catalogue.nodeEntries()));
+    server.createContext("/v1/catalog/nodes", exchange ->
+        query(exchange, (name, query, mode) -> catalogue.nodeEntries()));
     server.createContext("/v1/status/leader", exchange -> answerAgentCall(exchange, () -> "\"127.0.0.1:8300\""));
     server.createContext("/v1/agent/", exchange -> answerAgentCall(exchange, () -> executeAgentCall(exchange)));
     server.start();
@@ -166,10 +167,12 @@
     Catalogue.Snapshot perform(String name, Map<String, String> query, ResponseMode mode) throws FilterException;
   }
 
-  private Catalogue.Snapshot healthEntries(String name, Map<String, String> query, ResponseMode mode) throws FilterException {
+  private Catalogue.Snapshot healthEntries(String name, Map<String, String> query, ResponseMode mode)
+      throws FilterException {
     int[] position = new int[1];
     boolean passing = query.containsKey("passing") && !query.get("passing").equals("false");
-    Catalogue.Snapshot snapshot = catalogue.healthEntries(name, instance -> (mode != ResponseMode.HALF || position[0]++ % 2 == 0)
+    Catalogue.Snapshot snapshot = catalogue.healthEntries(name,
+        instance -> (mode != ResponseMode.HALF || position[0]++ % 2 == 0)
         && (!passing || instance.worstStatus().equals("passing"))
         && (!query.containsKey("tag") || instance.tags.contains(query.get("tag"))));
     if (!query.containsKey("filter")) {
@@ -231,11 +234,13 @@
     if (initialMode.blocksQueries && query.containsKey("index")) {
       long wait = Math.min(MAX_WAIT_MILLIS, query.containsKey("wait") ? durationMillis(query.get("wait"))
           : DEFAULT_WAIT_MILLIS);
-      catalogue.awaitChange(service, Long.parseLong(query.get("index")), wait + wait / 16, () -> responseMode != initialMode || closed);
+      catalogue.awaitChange(service, Long.parseLong(query.get("index")), wait + wait / 16,
+          () -> responseMode != initialMode || closed);
     }
   }
 
-  private void respond(HttpExchange exchange, ResponseMode mode, Catalogue.Snapshot snapshot) throws IOException, InterruptedException {
+  private void respond(HttpExchange exchange, ResponseMode mode, Catalogue.Snapshot snapshot)
+      throws IOException, InterruptedException {
     byte[] body = JSON.writeValueAsBytes(snapshot.json());
     switch (mode) {
       case SILENT -> holdCall();
@@ -280,11 +285,13 @@
     }
   }
 
-  private static void send(HttpExchange exchange, int status, String body, long index, ResponseMode mode) throws IOException {
+  private static void send(HttpExchange exchange, int status, String body, long index, ResponseMode mode)
+      throws IOException {
     send(exchange, status, body.getBytes(StandardCharsets.UTF_8), index, mode);
   }
 
-  private static void send(HttpExchange exchange, int status, byte[] body, long index, ResponseMode mode) throws IOException {
+  private static void send(HttpExchange exchange, int status, byte[] body, long index, ResponseMode mode)
+      throws IOException {
     exchange.getResponseHeaders().set("Content-Type", status == 200 ? "application/json" : "text/plain");
     if (index > 0) {
       exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(index));
@@ -361,7 +368,8 @@
     String key = catalogue.register(AGENT_NODE, "127.0.0.1", name, id, body.path("Port").asInt());
     return catalogue.update(key, instance -> {
       body.path("Tags").forEach(tag -> instance.addTag(tag.asText()));
-      body.path("Meta").fields().forEachRemaining(meta -> instance.putServiceMeta(meta.getKey(), meta.getValue().asText()));
+      body.path("Meta").fields().forEachRemaining(meta ->
+          instance.putServiceMeta(meta.getKey(), meta.getValue().asText()));
       instance.setAddress(body.path("Address").asText(""));
       if (body.path("Weights").isObject()) {
         instance.setPassingWeight(body.path("Weights").path("Passing").asInt(1));
--- a/lab/src/main/java/lemondeal/lab/consul/FilterEvaluator.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FilterEvaluator.java
@@ -27,7 +27,8 @@
       case EQUAL -> anyValue(match, entry, field -> field.asText().equals(match.value()));
       case UNEQUAL -> !anyValue(match, entry, field -> field.asText().equals(match.value()));
       case MATCHES -> anyValue(match, entry, field -> Pattern.compile(match.value()).matcher(field.asText()).find());
-      case NOT_MATCHES -> !anyValue(match, entry, field -> Pattern.compile(match.value()).matcher(field.asText()).find());
+      case NOT_MATCHES -> !anyValue(match, entry,
+          field -> Pattern.compile(match.value()).matcher(field.asText()).find());
       case IN -> anyValue(match, entry, field -> contains(field, match.value()));
       case NOT_IN -> !anyValue(match, entry, field -> contains(field, match.value()));
       case EMPTY -> !anyValue(match, entry, FilterEvaluator::isNonEmpty);
--- a/lab/src/main/java/lemondeal/lab/consul/Instance.java
+++ b/lab/src/main/java/lemondeal/lab/consul/Instance.java
@@ -87,7 +87,8 @@
     tags.forEach(serviceEntry.putArray("Tags")::add);
     serviceEntry.put("Address", address);
     serviceEntry.set("Meta", textObject(serviceMeta));
-    serviceEntry.put("Port", port).put("EnableTagOverride", false).put("CreateIndex", createIndex).put("ModifyIndex", modifyIndex);
+    serviceEntry.put("Port", port).put("EnableTagOverride", false).put("CreateIndex", createIndex)
+        .put("ModifyIndex", modifyIndex);
     serviceEntry.putObject("Weights").put("Passing", passingWeight).put("Warning", warningWeight);
     checks.forEach((check, status) -> entry.withArray("Checks").add(checkEntry(check, status)));
     return entry;
@@ -103,8 +104,9 @@
 
   ObjectNode checkEntry(String check, String status) {
     boolean nodeCheck = isNodeCheck(check);
-    ObjectNode entry = JSON.objectNode().put("Node", node).put("CheckID", check).put("Name", check).put("Status", status)
-        .put("Notes", "").put("Output", "").put("ServiceID", nodeCheck ? "" : id).put("ServiceName", nodeCheck ? "" : service);
+    ObjectNode entry = JSON.objectNode().put("Node", node).put("CheckID", check).put("Name", check)
+        .put("Status", status).put("Notes", "").put("Output", "").put("ServiceID", nodeCheck ? "" : id)
+        .put("ServiceName", nodeCheck ? "" : service);
     entry.putArray("ServiceTags");
     return entry;
   }
--- a/lab/src/main/java/lemondeal/lab/consul/ShortConnectionClients.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ShortConnectionClients.java
@@ -13,8 +13,8 @@
 import lemondeal.lab.LineConnection;
 
 /**
- * Clients that repeatedly open a connection, hold it briefly and close it, each on its own thread. Checks the protocol's
- * rule for each request: exactly one final answer within the deadline.
+ * Clients that repeatedly open a connection, hold it briefly and close it, each on its own thread. Checks the rule of
+ * the protocol for each request: exactly one final answer within the deadline.
  */
 public final class ShortConnectionClients implements AutoCloseable {
   private static final int DEADLINE_MILLIS = 2000;
--- a/lab/src/main/java/lemondeal/lab/evacuation/EpochsGrow.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/EpochsGrow.java
@@ -18,7 +18,8 @@
   public void onReport(long trueTime, int member, int zone, long epoch, boolean votes) {
     Long before = highest.put(member + "/" + zone, epoch);
     if (before != null && before > epoch) {
-      reportBreach(trueTime + " ms: member " + member + " goes back from epoch " + before + " to " + epoch + " of zone " + zone);
+      reportBreach(trueTime + " ms: member " + member + " goes back from epoch " + before + " to " + epoch
+          + " of zone " + zone);
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/evacuation/FaultSchedule.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FaultSchedule.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** The faults of a run, generated from its seed: odd seeds fail a zone in isolation, even seeds combine random faults. */
+/** The faults of a run, generated from its seed: odd seeds fail a zone in isolation, even seeds mix random faults. */
 public record FaultSchedule(List<Fault> faults) {
   /** Start of the period with faults. */
   public static final long FIRST_FAULT_MILLIS = 5_000;
@@ -44,7 +44,8 @@
 
   private static Fault randomFault(Fault.Kind kind, Random random, int members, int zones, int serversPerZone) {
     long startMillis = FIRST_FAULT_MILLIS + random.nextInt((int) START_RANGE_MILLIS);
-    long endMillis = startMillis + (random.nextInt(4) == 0 ? 200 + random.nextInt(800) : 1_000 + random.nextInt((int) MAX_DURATION_MILLIS));
+    long endMillis = startMillis + (random.nextInt(4) == 0 ? 200 + random.nextInt(800)
+        : 1_000 + random.nextInt((int) MAX_DURATION_MILLIS));
     int zone = random.nextInt(zones);
     int member = random.nextInt(members);
     int subsetCount = 1 << Math.min(members, Fault.MAX_MEMBER_BITS);
@@ -69,11 +70,13 @@
   }
 
   boolean isActive(Fault.Kind kind, long trueTime, int target) {
-    return faults.stream().anyMatch(fault -> fault.kind() == kind && fault.isActive(trueTime) && fault.target() == target);
+    return faults.stream().anyMatch(fault -> fault.kind() == kind && fault.isActive(trueTime)
+        && fault.target() == target);
   }
 
   boolean isActive(Fault.Kind kind, long trueTime, int target, int parameter) {
-    return faults.stream().anyMatch(fault -> fault.kind() == kind && fault.isActive(trueTime) && fault.target() == target && fault.parameter() == parameter);
+    return faults.stream().anyMatch(fault -> fault.kind() == kind && fault.isActive(trueTime)
+        && fault.target() == target && fault.parameter() == parameter);
   }
 
   boolean anyActive(Fault.Kind kind, long trueTime) {
--- a/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
@@ -38,8 +38,8 @@
    * @param memberZones the zone of each member
    * @param recoveryLimitMillis time after the last fault within which all zones must be open again
    */
-  public record Topology(int[] memberZones, int zones, int serversPerZone, EvacuationSettings settings, SlowStartRamp slowStart,
-      long recoveryLimitMillis) {
+  public record Topology(int[] memberZones, int zones, int serversPerZone, EvacuationSettings settings,
+      SlowStartRamp slowStart, long recoveryLimitMillis) {
     public int members() {
       return memberZones.length;
     }
@@ -55,7 +55,8 @@
   private final Random random;
   private final List<SimulatedProxy> members = new ArrayList<>();
   private final PriorityQueue<InFlightReport> inFlightReports =
-      new PriorityQueue<>(Comparator.comparingLong(InFlightReport::arrivesAt).thenComparingLong(InFlightReport::sequence));
+      new PriorityQueue<>(Comparator.comparingLong(InFlightReport::arrivesAt)
+          .thenComparingLong(InFlightReport::sequence));
   private final Deque<InFlightReport> pastReports = new ArrayDeque<>();
   private final Deque<String> trace = new ArrayDeque<>();
   private final List<String> breaches = new ArrayList<>();
@@ -65,18 +66,21 @@
   private long reportCount;
   private long reportBytes;
 
-  public FleetSimulation(long seed, Topology topology, FaultSchedule faultSchedule, EvacuationFactory factory, List<InvariantChecker> checkers) {
+  public FleetSimulation(long seed, Topology topology, FaultSchedule faultSchedule, EvacuationFactory factory,
+      List<InvariantChecker> checkers) {
     this.topology = topology;
     this.faultSchedule = faultSchedule;
     this.factory = factory;
     this.checkers = checkers;
     random = new Random(seed);
     lastTraced = new String[topology.members() * topology.zones()];
-    checkers.forEach(checker -> checker.setBreachListener((rule, description) -> breaches.add(rule + ": " + description)));
+    checkers.forEach(checker -> checker.setBreachListener((rule, description) ->
+        breaches.add(rule + ": " + description)));
     List<ZoneMembership.Member> memberships = IntStream.range(0, topology.members())
         .mapToObj(i -> new ZoneMembership.Member(memberName(i), topology.memberZones()[i])).toList();
     for (int i = 0; i < topology.members(); i++) {
-      members.add(new SimulatedProxy(this, ZoneMembership.of(memberships, memberName(i)), new Random(seed * 1_000 + i)));
+      members.add(new SimulatedProxy(this, ZoneMembership.of(memberships, memberName(i)),
+          new Random(seed * 1_000 + i)));
     }
     for (int key = 0; key < KEYS; key++) {
       int rankedKey = key;
@@ -90,12 +94,13 @@
     return "p" + (char) ('a' + member / 26) + (char) ('a' + member % 26);
   }
 
-  /** Runs until all zones have stayed open for a while, a checker reports a breach, or time is up. Returns the breaches. */
+  /** Runs until all zones have stayed open for a while, a checker reports a breach, or time is up. Returns breaches. */
   public List<String> run() {
     long lastFaultEnd = faultSchedule.lastFaultEnd();
     long stableSince = -1;
     long trueTime = 0;
-    for (; breaches.isEmpty() && (stableSince < 0 || trueTime - stableSince < STABLE_MILLIS) && trueTime < lastFaultEnd + topology.recoveryLimitMillis(); trueTime += STEP_MILLIS) {
+    for (; breaches.isEmpty() && (stableSince < 0 || trueTime - stableSince < STABLE_MILLIS)
+        && trueTime < lastFaultEnd + topology.recoveryLimitMillis(); trueTime += STEP_MILLIS) {
       step(trueTime);
       boolean stable = trueTime > lastFaultEnd && allOpen(trueTime);
       stableSince = !stable ? -1 : stableSince < 0 ? trueTime : stableSince;
@@ -121,12 +126,14 @@
         members.get(report.to()).receive(memberName(report.from()), report.report());
       } else {
         // The socket of a suspended process buffers what arrives.
-        inFlightReports.add(new InFlightReport(trueTime + STEP_MILLIS, report.sequence(), report.from(), report.to(), report.report()));
+        inFlightReports.add(new InFlightReport(trueTime + STEP_MILLIS, report.sequence(), report.from(), report.to(),
+            report.report()));
       }
     }
     checkRateLimits(trueTime);
     for (SimulatedProxy member : members) {
-      if (member.isRunning() && !isStalled(member.index, trueTime) && (trueTime / STEP_MILLIS + member.index) % (TICK_MILLIS / STEP_MILLIS) == 0) {
+      if (member.isRunning() && !isStalled(member.index, trueTime)
+          && (trueTime / STEP_MILLIS + member.index) % (TICK_MILLIS / STEP_MILLIS) == 0) {
         member.tick(trueTime);
       }
     }
@@ -134,7 +141,8 @@
 
   private void applyFaults(long trueTime) {
     for (SimulatedProxy member : members) {
-      boolean dead = faultSchedule.isActive(Fault.Kind.DEAD, trueTime, member.index, 0) || faultSchedule.isActive(Fault.Kind.DEAD, trueTime, member.index, 1)
+      boolean dead = faultSchedule.isActive(Fault.Kind.DEAD, trueTime, member.index, 0)
+          || faultSchedule.isActive(Fault.Kind.DEAD, trueTime, member.index, 1)
           || faultSchedule.anyActive(Fault.Kind.ALL_DEAD, trueTime);
       if (dead && member.isRunning()) {
         member.crash();
@@ -146,19 +154,23 @@
         checkers.forEach(checker -> checker.onStart(trueTime, member.index, !damaged));
       }
     }
-    faultSchedule.faults().stream().filter(fault -> fault.kind() == Fault.Kind.ZONE_DIES && trueTime <= fault.startMillis()
+    faultSchedule.faults().stream().filter(fault -> fault.kind() == Fault.Kind.ZONE_DIES
+        && trueTime <= fault.startMillis()
         && fault.startMillis() < trueTime + STEP_MILLIS && isIsolated(fault)).forEach(fault ->
             checkers.forEach(checker -> checker.onIsolatedZoneFailure(trueTime, fault.target())));
     if (faultSchedule.anyActive(Fault.Kind.REPLAY, trueTime) && !pastReports.isEmpty()) {
       InFlightReport replayed = List.copyOf(pastReports).get(random.nextInt(pastReports.size()));
-      inFlightReports.add(new InFlightReport(trueTime, nextSequence++, replayed.from(), random.nextInt(topology.members()), replayed.report()));
+      inFlightReports.add(new InFlightReport(trueTime, nextSequence++, replayed.from(),
+          random.nextInt(topology.members()), replayed.report()));
     }
   }
 
   /** Whether the failure lasts long enough and every other fault around it should cause no evacuation. */
   private boolean isIsolated(Fault failure) {
-    return failure.endMillis() - failure.startMillis() > 3_500 && faultSchedule.faults().stream().filter(other -> other != failure)
-        .filter(other -> other.startMillis() < failure.startMillis() + 3_500 && other.endMillis() > failure.startMillis() - 30_000)
+    return failure.endMillis() - failure.startMillis() > 3_500
+        && faultSchedule.faults().stream().filter(other -> other != failure)
+        .filter(other -> other.startMillis() < failure.startMillis() + 3_500
+            && other.endMillis() > failure.startMillis() - 30_000)
         .allMatch(other -> other.kind() == Fault.Kind.FLAPS || other.kind() == Fault.Kind.LOSSY
             || other.kind() == Fault.Kind.ROWS_LATE && other.target() <= 100);
   }
@@ -212,7 +224,8 @@
     return rankings[key];
   }
 
-  Evacuation createEvacuation(ZoneMembership membership, long incarnation, Optional<EvacuationState> savedState, long localTime) {
+  Evacuation createEvacuation(ZoneMembership membership, long incarnation, Optional<EvacuationState> savedState,
+      long localTime) {
     return factory.create(membership, topology.settings(), topology.slowStart(), incarnation, savedState, localTime);
   }
 
@@ -239,9 +252,11 @@
       if (to != from && !isLost(trueTime, from, to)) {
         reportCount++;
         reportBytes += report.length;
-        int maxDelayMillis = faultSchedule.faults().stream().filter(fault -> fault.kind() == Fault.Kind.ROWS_LATE && fault.isActive(trueTime))
+        int maxDelayMillis = faultSchedule.faults().stream().filter(fault -> fault.kind() == Fault.Kind.ROWS_LATE
+            && fault.isActive(trueTime))
             .mapToInt(Fault::target).max().orElse(5);
-        inFlightReports.add(new InFlightReport(trueTime + 1 + random.nextInt(maxDelayMillis), nextSequence++, from, to, report));
+        inFlightReports.add(new InFlightReport(trueTime + 1 + random.nextInt(maxDelayMillis), nextSequence++, from,
+            to, report));
       }
     }
   }
@@ -249,8 +264,10 @@
   private boolean isLost(long trueTime, int from, int to) {
     return faultSchedule.anyActive(Fault.Kind.ROWS_DROP, trueTime) && random.nextInt(10) < 3
         || faultSchedule.faults().stream().filter(fault -> fault.isActive(trueTime)).anyMatch(fault ->
-            fault.kind() == Fault.Kind.SPLIT && Fault.containsMember(fault.target(), from) != Fault.containsMember(fault.target(), to)
-                || fault.kind() == Fault.Kind.ONE_WAY && Fault.containsMember(fault.target(), from) && Fault.containsMember(fault.parameter(), to));
+            fault.kind() == Fault.Kind.SPLIT && Fault.containsMember(fault.target(), from)
+                != Fault.containsMember(fault.target(), to)
+                || fault.kind() == Fault.Kind.ONE_WAY && Fault.containsMember(fault.target(), from)
+                && Fault.containsMember(fault.parameter(), to));
   }
 
   void onReport(long trueTime, int member, int zone, long epoch, boolean votes) {
@@ -258,7 +275,8 @@
   }
 
   void onDecision(long trueTime, int member, Evacuation.Decision decision) {
-    trace(trueTime, member, (decision.countedHere() ? "decides epoch " : "learns of epoch ") + decision.epoch() + " of zone "
+    trace(trueTime, member, (decision.countedHere() ? "decides epoch " : "learns of epoch ") + decision.epoch()
+        + " of zone "
         + decision.zone());
     checkers.forEach(checker -> checker.onDecision(trueTime, member, decision));
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
@@ -34,7 +34,8 @@
     }
     serverBeforeFaults.forEach((key, server) -> {
       if (lastSentAt.get(key) > trueTime - stableMillis && !server.equals(lastServer.getOrDefault(key, server))) {
-        reportBreach(trueTime + " ms: key " + key + " goes to server " + lastServer.get(key) + " and not back to " + server);
+        reportBreach(trueTime + " ms: key " + key + " goes to server " + lastServer.get(key)
+            + " and not back to " + server);
       }
     });
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/LeavesInTime.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/LeavesInTime.java
@@ -46,11 +46,13 @@
     }
     if (!decision.evacuates()) {
       failure.returned = true;
-    } else if (failure.evacuatedMembers.add(member) && failure.majorityAt < 0 && failure.evacuatedMembers.size() * 2 > members) {
+    } else if (failure.evacuatedMembers.add(member) && failure.majorityAt < 0
+        && failure.evacuatedMembers.size() * 2 > members) {
       failure.majorityAt = trueTime;
       slowestMajorityMillis = Math.max(slowestMajorityMillis, trueTime - failure.failedAt);
       if (trueTime - failure.failedAt > DECISION_LIMIT_MILLIS) {
-        reportBreach(trueTime + " ms: a majority knows of zone " + decision.zone() + " after " + (trueTime - failure.failedAt) + " ms");
+        reportBreach(trueTime + " ms: a majority knows of zone " + decision.zone() + " after "
+            + (trueTime - failure.failedAt) + " ms");
       }
     }
   }
@@ -59,7 +61,8 @@
   public void onSend(long trueTime, int member, int zone, int key, int server) {
     ZoneFailure failure = failures.get(zone);
     if (failure != null && !failure.returned && trueTime - failure.failedAt > STOP_LIMIT_MILLIS) {
-      reportBreach(trueTime + " ms: member " + member + " still sends to zone " + zone + ", failed since " + failure.failedAt);
+      reportBreach(trueTime + " ms: member " + member + " still sends to zone " + zone + ", failed since "
+          + failure.failedAt);
     }
   }
 
--- a/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/LittleMovesNobody.java
@@ -20,9 +20,11 @@
   @Override
   public void onDecision(long trueTime, int member, Evacuation.Decision decision) {
     boolean justified = faultSchedule.faults().stream().anyMatch(fault -> affects(fault, decision.zone())
-        && fault.endMillis() - fault.startMillis() >= BLIP_MILLIS && fault.startMillis() + BLIP_MILLIS <= trueTime && fault.endMillis() + MAX_EVIDENCE_AGE_MILLIS >= trueTime);
+        && fault.endMillis() - fault.startMillis() >= BLIP_MILLIS && fault.startMillis() + BLIP_MILLIS <= trueTime
+        && fault.endMillis() + MAX_EVIDENCE_AGE_MILLIS >= trueTime);
     if (decision.evacuates() && decision.countedHere() && !justified) {
-      reportBreach(trueTime + " ms: member " + member + " evacuates zone " + decision.zone() + " without a lasting failure");
+      reportBreach(trueTime + " ms: member " + member + " evacuates zone " + decision.zone()
+          + " without a lasting failure");
     }
   }
 
--- a/lab/src/main/java/lemondeal/lab/evacuation/MajorityBehindDecisions.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/MajorityBehindDecisions.java
@@ -36,13 +36,14 @@
     // The member that counts the votes may add its own before it has sent a report.
     Set<Integer> voters = new HashSet<>(Set.of(member));
     for (Vote vote : votes) {
-      if (vote.zone() == decision.zone() && vote.epoch() == decision.epoch() - 1 && trueTime - vote.votedAt() <= voteTtl) {
+      if (vote.zone() == decision.zone() && vote.epoch() == decision.epoch() - 1
+          && trueTime - vote.votedAt() <= voteTtl) {
         voters.add(vote.member());
       }
     }
     if (voters.size() * 2 <= members) {
-      reportBreach(trueTime + " ms: member " + member + " decides epoch " + decision.epoch() + " of zone " + decision.zone()
-          + " with " + voters);
+      reportBreach(trueTime + " ms: member " + member + " decides epoch " + decision.epoch() + " of zone "
+          + decision.zone() + " with " + voters);
     }
     votes.removeIf(vote -> trueTime - vote.votedAt() > voteTtl);
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/SharesWithinBudget.java
@@ -75,7 +75,8 @@
     double budget = budget(history, trueTime);
     peakBudgetUse = Double.isInfinite(budget) ? peakBudgetUse : Math.max(peakBudgetUse, sum / budget);
     if (sum > budget + ROUNDING) {
-      reportBreach(trueTime + " ms: rate limits of zone " + zone + " are " + Arrays.toString(rates) + ", more than " + budget
+      reportBreach(trueTime + " ms: rate limits of zone " + zone + " are " + Arrays.toString(rates)
+          + ", more than " + budget
           + " in epoch " + history.epoch);
     }
   }
--- a/lab/src/main/java/lemondeal/lab/evacuation/SimulatedProxy.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/SimulatedProxy.java
@@ -107,8 +107,10 @@
     if (localTime >= nextProbeAt) {
       nextProbeAt = localTime + PROBE_INTERVAL_MILLIS;
       for (int zone = 0; zone < simulation.zones(); zone++) {
-        nextProbeAt = evacuation.suspectsFailure(zone, localTime) ? localTime + SUSPECT_PROBE_INTERVAL_MILLIS : nextProbeAt;
-        startAttempt(zone * simulation.servers() / simulation.zones() + random.nextInt(simulation.servers() / simulation.zones()), -1, trueTime);
+        nextProbeAt = evacuation.suspectsFailure(zone, localTime)
+            ? localTime + SUSPECT_PROBE_INTERVAL_MILLIS : nextProbeAt;
+        startAttempt(zone * simulation.servers() / simulation.zones()
+            + random.nextInt(simulation.servers() / simulation.zones()), -1, trueTime);
       }
     }
     if (localTime >= nextReportAt || evacuation.reportDue()) {
@@ -151,10 +153,11 @@
     routeClient(key, trueTime, localTime);
   }
 
-  /** Sends the client to the highest-ranked server of its key that is not backed off and whose zone's rate limit permits. */
+  /** Sends the client to its key's highest-ranked server that is not backed off and in a zone with rate limit left. */
   private void routeClient(int key, long trueTime, long localTime) {
     for (int server : simulation.ranking(key)) {
-      if (backoffUntil[server] <= localTime && rateLimiter.tryAcquire(evacuation.access(simulation.zoneOf(server), localTime), localTime)) {
+      if (backoffUntil[server] <= localTime
+          && rateLimiter.tryAcquire(evacuation.access(simulation.zoneOf(server), localTime), localTime)) {
         simulation.onSend(trueTime, index, simulation.zoneOf(server), key, server);
         startAttempt(server, key, trueTime);
         return;
@@ -164,6 +167,7 @@
 
   private void startAttempt(int server, int key, long trueTime) {
     boolean answered = simulation.isAnswered(index, server, trueTime, random);
-    inFlight.add(new Attempt(trueTime + (answered ? RESPONSE_MILLIS : TIMEOUT_MILLIS), trueTime, server, answered, simulation.isLate(trueTime), key));
+    inFlight.add(new Attempt(trueTime + (answered ? RESPONSE_MILLIS : TIMEOUT_MILLIS), trueTime, server, answered,
+        simulation.isLate(trueTime), key));
   }
 }
--- a/lab/src/main/java/lemondeal/lab/fleet/FleetTraceCounts.java
+++ b/lab/src/main/java/lemondeal/lab/fleet/FleetTraceCounts.java
@@ -143,7 +143,7 @@
   private static String waitLine(String milestone, List<Long> waits) {
     List<Long> sorted = waits.stream().sorted().toList();
     String line = "until the %s, ms: median %d, 99th percentile %d, most %d (%d requests)%n";
-    return sorted.isEmpty() ? "" : String.format(line, milestone, sorted.get(sorted.size() / 2), sorted.get(sorted.size() * 99 / 100), sorted.get(sorted.size() - 1),
-        sorted.size());
+    return sorted.isEmpty() ? "" : String.format(line, milestone, sorted.get(sorted.size() / 2),
+        sorted.get(sorted.size() * 99 / 100), sorted.get(sorted.size() - 1), sorted.size());
   }
 }
--- a/lab/src/main/java/lemondeal/lab/measure/ClaimThroughput.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ClaimThroughput.java
@@ -19,7 +19,7 @@
 import lemondeal.lab.claims.FakeClaimStore;
 import lemondeal.log.PlainLog;
 
-/** Measures the claims per second of each store: new sessions are claimed and settled, with a bounded number in flight. */
+/** Measures the claims per second of each store: claims and settles new sessions, with a bounded number in flight. */
 final class ClaimThroughput {
   private static final int MAX_IN_FLIGHT = 64;
   private static final long LEASE_MILLIS = 10_000;
@@ -45,7 +45,8 @@
 
   static double fleet(long millis) throws IOException, InterruptedException {
     try (FakeClaimStore server = new FakeClaimStore()) {
-      return rate(FleetStore.open(List.of(server.address()), null, 5000, new PlainLog(System.err)), MAX_IN_FLIGHT, millis);
+      return rate(FleetStore.open(List.of(server.address()), null, 5000, new PlainLog(System.err)),
+          MAX_IN_FLIGHT, millis);
     }
   }
 
@@ -57,7 +58,8 @@
     return rate;
   }
 
-  private static double run(CasClaimService claims, int round, int maxInFlight, long millis) throws InterruptedException {
+  private static double run(CasClaimService claims, int round, int maxInFlight, long millis)
+      throws InterruptedException {
     Semaphore permits = new Semaphore(maxInFlight);
     AtomicLong granted = new AtomicLong();
     long startNanos = System.nanoTime();
--- a/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
@@ -48,20 +48,25 @@
 
   private String drains() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder("""
-        3 proxies, 8 echo servers, 24 clients of short connections. The time from the change in the fake Consul to the last
-        first line that reached that server; 0 where none came after the change.
+        3 proxies, 8 echo servers, 24 clients of short connections. The time from the change in the fake Consul to the
+        last first line that reached that server; 0 where none came after the change.
 
         | change | plays | median ms | 99th ms | worst ms | after 1 s |
         | --- | --- | --- | --- | --- | --- |
         """);
-    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING); ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
+    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING);
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24,
+            ConsulTestCluster.CHAT_CLASS)) {
       FakeConsul consul = cluster.consul();
       List<ChangeKind> kinds = List.of(
-          new ChangeKind("critical check", key -> consul.catalogue().setStatus(key, "critical"), key -> consul.catalogue().setStatus(key, "passing")),
+          new ChangeKind("critical check", key -> consul.catalogue().setStatus(key, "critical"),
+              key -> consul.catalogue().setStatus(key, "passing")),
           new ChangeKind("node leaves (serfHealth)", key -> consul.catalogue().setCheck(key, "serfHealth", "critical"),
               key -> consul.catalogue().setCheck(key, "serfHealth", "passing")),
-          new ChangeKind("maintenance", key -> consul.catalogue().setMaintenance(key, true), key -> consul.catalogue().setMaintenance(key, false)),
-          new ChangeKind("warning with weight 0", key -> consul.catalogue().setStatus(key, "warning"), key -> consul.catalogue().setStatus(key, "passing")));
+          new ChangeKind("maintenance", key -> consul.catalogue().setMaintenance(key, true),
+              key -> consul.catalogue().setMaintenance(key, false)),
+          new ChangeKind("warning with weight 0", key -> consul.catalogue().setStatus(key, "warning"),
+              key -> consul.catalogue().setStatus(key, "passing")));
       for (ChangeKind kind : kinds) {
         Histogram delays = new Histogram(3);
         int lateCount = 0;
@@ -88,7 +93,8 @@
   }
 
   /** Returns the milliseconds from the change to the last new work at the server. */
-  private static long drain(ConsulTestCluster cluster, String name, Consumer<String> change) throws InterruptedException {
+  private static long drain(ConsulTestCluster cluster, String name, Consumer<String> change)
+      throws InterruptedException {
     long deadlineNanos = System.nanoTime() + 10_000 * MILLI;
     long startNanos = System.nanoTime();
     while (cluster.server(name).lastOpenNanos() < startNanos) {
@@ -108,8 +114,8 @@
   private String sizes() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
         One proxy, no clients, a list of so many instances of which 1%% turn critical or passing each second, for %d s.
-        CPU is the proxy's, in all its threads; a PING on a new connection is accepted and answered by its I/O thread, so
-        its round trip shows how long that thread was blocked.
+        CPU is the proxy's, in all its threads; a PING on a new connection is accepted and answered by its I/O thread,
+        so its round trip shows how long that thread was blocked.
 
         | instances | CPU of a core | memory MB | PING median ms | PING 99th ms | PING worst ms |
         | --- | --- | --- | --- | --- | --- |
@@ -120,7 +126,8 @@
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < size; i++) {
           // Nothing listens there: without clients no connection is opened.
-          keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulTestCluster.SERVICE, "x-" + i, 1 + i % 60_000));
+          keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulTestCluster.SERVICE, "x-" + i,
+              1 + i % 60_000));
         }
         cluster.startProxy(0, 1);
         ProxyProcess proxy = cluster.proxies().get(0);
@@ -190,7 +197,8 @@
         long before = consul.queryCount();
         long endNanos = System.nanoTime() + seconds * 1000 * MILLI;
         for (int round = 0; System.nanoTime() < endNanos; round++) {
-          consul.catalogue().setStatus(cluster.consulKey("s-" + (1 + round % 8)), round % 16 < 8 ? "warning" : "passing");
+          consul.catalogue().setStatus(cluster.consulKey("s-" + (1 + round % 8)),
+              round % 16 < 8 ? "warning" : "passing");
           Thread.sleep(1000);
         }
         double calm = (consul.queryCount() - before) / (double) seconds;
--- a/lab/src/main/java/lemondeal/lab/measure/EmulatorReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/EmulatorReport.java
@@ -12,7 +12,7 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.VerboseMode;
 
-/** Measures the emulator's speed, the largest run that fits, and the module's time per request. Returns Markdown tables. */
+/** Measures the emulator's speed, the largest run that fits, and the module's time per request, as Markdown tables. */
 final class EmulatorReport {
   private static final long SECOND = Scenario.SECOND;
   /** Each: servers, proxies, new clients per second, seconds. */
@@ -54,7 +54,8 @@
         List.of(new Scenario.ServerPool("link", size[0], 8, 8, 10_000, 10_000, 0.3, 8 * SECOND, 0)),
         List.of(new Scenario.ClientClass("chat", 1, 2_000, 0.8, 0, 0, 600 * SECOND, 1, 2_000, false, 500_000, 300_000,
             2 * SECOND, 1)), size[2], List.of(), 0, 0, 0, new Scenario.Network(500, 1_500), new Scenario.Store(0, 0),
-        new Scenario.Discovery(500, 300_000, 2 * SECOND), new Scenario.FrontEnd(2 * SECOND, 200_000, 4 * SECOND, 200_000, 12),
+        new Scenario.Discovery(500, 300_000, 2 * SECOND),
+        new Scenario.FrontEnd(2 * SECOND, 200_000, 4 * SECOND, 200_000, 12),
         new Scenario.Rules(20_000, SECOND, 4, 2 * SECOND), List.of());
     long startNanos = System.nanoTime();
     Simulation.Result result = new Simulation(scenario, Policies.byName(policy), 1).run();
--- a/lab/src/main/java/lemondeal/lab/measure/ProcessUsage.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ProcessUsage.java
@@ -14,7 +14,8 @@
     String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
     String status = Files.readString(Path.of("/proc/" + pid + "/status"));
-    return new ProcessUsage((Long.parseLong(fields[UTIME_FIELD]) + Long.parseLong(fields[UTIME_FIELD + 1])) / TICKS_PER_SECOND,
+    return new ProcessUsage(
+        (Long.parseLong(fields[UTIME_FIELD]) + Long.parseLong(fields[UTIME_FIELD + 1])) / TICKS_PER_SECOND,
         Long.parseLong(status.replaceAll("(?s).*VmRSS:\\s+([0-9]+).*", "$1")));
   }
 }
--- a/lab/src/main/java/lemondeal/lab/measure/RankingBenchmark.java
+++ b/lab/src/main/java/lemondeal/lab/measure/RankingBenchmark.java
@@ -49,12 +49,13 @@
   @Setup
   public void start() {
     module = new DecisionModule();
-    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, SECOND / 2,
-        2 * SECOND, 1, 300_000);
+    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL,
+        0, SECOND / 2, 2 * SECOND, 1, 300_000);
     module.on(0, new Start(1, new Balancer.Settings(0, 1, 0, List.of(requestClass), List.of(),
         new Balancer.Rules(20_000, SECOND, 4, 2 * SECOND, 0.35, 9 * SECOND, 0),
         new Balancer.Limits(3, true, true, false, false, true, 2 * SECOND, SECOND),
-        new Balancer.Prices(0.03, 0.2, 0.0023, 0, 0.01), Balancer.WeightMeaning.ROUGH, true, false, false, true, false, 1)));
+        new Balancer.Prices(0.03, 0.2, 0.0023, 0, 0.01), Balancer.WeightMeaning.ROUGH, true, false, false, true,
+        false, 1)));
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
       entries.add(new ServerEntry("s-" + i, i % 3, 0, 0, 0, ServerState.READY, 1 + i % 4));
--- a/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
@@ -54,8 +54,10 @@
     progress.println("open connections, plain ...");
     ConnectionCost plainCost = measureCost(false);
     table("a connection at the proxy|resumable|plain", new String[][] {
-        {"memory, KB (resident, whole process)", formatDecimal(resumableCost.kilobytes()), formatDecimal(plainCost.kilobytes())},
-        {"CPU for a line each way, microseconds", formatDecimal(resumableCost.microsPerLine()), formatDecimal(plainCost.microsPerLine())}});
+        {"memory, KB (resident, whole process)", formatDecimal(resumableCost.kilobytes()),
+            formatDecimal(plainCost.kilobytes())},
+        {"CPU for a line each way, microseconds", formatDecimal(resumableCost.microsPerLine()),
+            formatDecimal(plainCost.microsPerLine())}});
     progress.println("tokens ...");
     List<String[]> tokens = new ArrayList<>();
     for (RunResult result : new Runner(new OptionsBuilder().include(TokenBenchmark.class.getSimpleName())
@@ -65,7 +67,8 @@
     }
     progress.println("claims ...");
     tokens.add(new String[] {"claims in memory", formatInteger(ClaimThroughput.memory(2000))});
-    tokens.add(new String[] {"claims on disk, each on disk before it is told", formatInteger(ClaimThroughput.disk(2000))});
+    tokens.add(new String[] {"claims on disk, each on disk before it is told",
+        formatInteger(ClaimThroughput.disk(2000))});
     tokens.add(new String[] {"claims in the stand-in fleet store", formatInteger(ClaimThroughput.fleet(2000))});
     table("of one process|a second", tokens.toArray(new String[0][]));
     return text.toString();
@@ -85,21 +88,25 @@
       }
       ResumeTestCluster.await(threads);
       Map<String, Integer> eventCounts = new TreeMap<>();
-      allClients.forEach(client -> client.eventCounts().forEach((event, count) -> eventCounts.merge(event, count, Integer::sum)));
+      allClients.forEach(client -> client.eventCounts().forEach((event, count) ->
+          eventCounts.merge(event, count, Integer::sum)));
       progress.println("  clients saw " + eventCounts);
       Histogram gaps = new Histogram(3);
       allClients.forEach(client -> client.gaps().forEach(gap -> gaps.recordValue(gap / MICROS)));
       return new DrainResult(gaps, gaps.getTotalCount(), allClients.stream().mapToLong(ResumingClient::resent).sum(),
-          allClients.stream().mapToLong(ResumingClient::sent).sum() + allClients.stream().mapToLong(ResumingClient::resent).sum(),
+          allClients.stream().mapToLong(ResumingClient::sent).sum()
+          + allClients.stream().mapToLong(ResumingClient::resent).sum(),
           resumable ? ResumeChecker.breaches(cluster.sessionStore(), allClients).size() : 0);
     }
   }
 
-  private List<ResumingClient> clients(ResumeTestCluster cluster, int lines, int paceMillis, boolean resumable, long deadlineNanos) {
+  private List<ResumingClient> clients(ResumeTestCluster cluster, int lines, int paceMillis, boolean resumable,
+      long deadlineNanos) {
     List<ResumingClient> allClients = new ArrayList<>();
     for (int i = 0; i < clients; i++) {
       allClients.add(new ResumingClient(String.format("%08x", i + 1),
-          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis, resumable, deadlineNanos)));
+          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis,
+              resumable, deadlineNanos)));
     }
     return allClients;
   }
@@ -133,7 +140,8 @@
 
   private void table(String header, String[][] rows) {
     String[] names = header.split("\\|");
-    text.append("| ").append(String.join(" | ", names)).append(" |\n|").append(" --- |".repeat(names.length)).append('\n');
+    text.append("| ").append(String.join(" | ", names)).append(" |\n|").append(" --- |".repeat(names.length))
+        .append('\n');
     for (String[] row : rows) {
       text.append("| ").append(String.join(" | ", row)).append(" |\n");
     }
--- a/lab/src/main/java/lemondeal/lab/site/ClusterFault.java
+++ b/lab/src/main/java/lemondeal/lab/site/ClusterFault.java
@@ -15,8 +15,8 @@
  * @param conditions network conditions during the fault; null for kinds that are not network faults
  * @param durationMillis 0 for a fault without an end
  */
-public record ClusterFault(long startMillis, Kind kind, List<Integer> fromProxies, List<Integer> toProxies, boolean bothDirections,
-    NetworkConditions conditions, long durationMillis) {
+public record ClusterFault(long startMillis, Kind kind, List<Integer> fromProxies, List<Integer> toProxies,
+    boolean bothDirections, NetworkConditions conditions, long durationMillis) {
 
   /** Kinds of faults: STOP and KILL affect processes, the others the network between them. */
   public enum Kind { CUT, STALL, DELAY, LOSE, THROTTLE, STOP, KILL }
@@ -24,14 +24,15 @@
   private static final String TIME = "\\d+(?:\\.\\d+)?(?:ms|s|m)";
   private static final String PROXIES = "all|n\\d+(?:,n\\d+)*";
   private static final Pattern SYNTAX = Pattern.compile("at (?<at>" + TIME + ")"
-      + " (?<kind>cut|stall|delay|lose|throttle|stop|kill) (?<from>" + PROXIES + ")(?: (?<way>to|from) (?<to>" + PROXIES + "))?"
+      + " (?<kind>cut|stall|delay|lose|throttle|stop|kill) (?<from>" + PROXIES + ")(?: (?<way>to|from) (?<to>"
+      + PROXIES + "))?"
       + "(?: by (?<by>" + TIME + "|[0-9.]+))?(?: spread (?<spread>" + TIME + "))?(?: for (?<for>" + TIME + "))?");
 
   /**
    * Parses {@code at TIME KIND WHO [to|from WHO] [by AMOUNT [spread TIME]] [for TIME]}. {@code to} affects only that
    * direction, {@code from} both directions, and neither of them both directions with all others. The amount is a time
-   * for {@code delay}, with {@code spread} as the mean of the jitter; the fraction of chunks that reset their connection
-   * for {@code lose}; and bytes per second for {@code throttle}.
+   * for {@code delay}, with {@code spread} as the mean of the jitter; the fraction of chunks that reset their
+   * connection for {@code lose}; and bytes per second for {@code throttle}.
    *
    * @throws IllegalArgumentException if the text has another form
    */
@@ -42,8 +43,9 @@
           + " [spread TIME]] [for TIME]");
     }
     Kind kind = Kind.valueOf(matcher.group("kind").toUpperCase(Locale.ROOT));
-    return new ClusterFault(parseMillis(matcher.group("at")), kind, proxyIndexes(matcher.group("from")), proxyIndexes(matcher.group("to")),
-        !"to".equals(matcher.group("way")), conditions(kind, matcher), parseMillis(matcher.group("for")));
+    return new ClusterFault(parseMillis(matcher.group("at")), kind, proxyIndexes(matcher.group("from")),
+        proxyIndexes(matcher.group("to")), !"to".equals(matcher.group("way")), conditions(kind, matcher),
+        parseMillis(matcher.group("for")));
   }
 
   private static NetworkConditions conditions(Kind kind, Matcher matcher) {
--- a/lab/src/main/java/lemondeal/lab/site/ClusterFaultSchedule.java
+++ b/lab/src/main/java/lemondeal/lab/site/ClusterFaultSchedule.java
@@ -57,7 +57,8 @@
     }
   }
 
-  private static void startFault(ClusterFault fault, FleetTestCluster cluster) throws IOException, InterruptedException {
+  private static void startFault(ClusterFault fault, FleetTestCluster cluster)
+      throws IOException, InterruptedException {
     switch (fault.kind()) {
       case STOP -> forEachProxy(fault.fromProxies(), cluster, i -> cluster.signal(i, "STOP"));
       case KILL -> forEachProxy(fault.fromProxies(), cluster, i -> cluster.proxy(i).kill());
@@ -77,7 +78,8 @@
     void apply(int proxy) throws IOException, InterruptedException;
   }
 
-  private static void forEachProxy(List<Integer> proxies, FleetTestCluster cluster, ProxyAction action) throws IOException, InterruptedException {
+  private static void forEachProxy(List<Integer> proxies, FleetTestCluster cluster, ProxyAction action)
+      throws IOException, InterruptedException {
     for (int i = 0; i < cluster.size(); i++) {
       if (proxies.isEmpty() || proxies.contains(i)) {
         action.apply(i);
--- a/lab/src/main/java/lemondeal/lab/site/FleetTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/site/FleetTestCluster.java
@@ -36,7 +36,8 @@
    *     is replaced by the proxy's index
    * @param discovery address of the discovery that lists the servers
    */
-  public FleetTestCluster(int count, long seed, String extraFleetSettings, InetSocketAddress discovery) throws IOException {
+  public FleetTestCluster(int count, long seed, String extraFleetSettings, InetSocketAddress discovery)
+      throws IOException {
     this.count = count;
     this.extraFleetSettings = extraFleetSettings;
     this.discovery = discovery;
@@ -99,7 +100,8 @@
           other % 2 == 0 ? "a" : "b", address.getPort()));
     }
     return Files.writeString(folder.resolve("operator-" + i + ".yaml"),
-        "version: 1\nlog: {format: json}\nfleet:\n  members:\n" + members + extraFleetSettings.replace("PLACE", Integer.toString(i)).indent(2));
+        "version: 1\nlog: {format: json}\nfleet:\n  members:\n" + members
+        + extraFleetSettings.replace("PLACE", Integer.toString(i)).indent(2));
   }
 
   public ProxyProcess proxy(int i) {
@@ -131,7 +133,7 @@
     new ProcessBuilder("kill", "-" + signal, Long.toString(proxies[i].pid())).start().waitFor();
   }
 
-  /** Returns the visible members from the proxy's last log line about them, separated by blanks; null if there is none. */
+  /** Returns the visible members from the proxy's last log line about them, separated by blanks; null without one. */
   public String visibleMembers(int i) {
     String last = null;
     for (String line : proxies[i].log()) {
--- a/lab/src/main/java/lemondeal/lab/stream/ResumableServer.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumableServer.java
@@ -189,7 +189,8 @@
 
     private boolean takeSession() throws IOException {
       SessionStore.TakeoverResult takeover = store.takeOver(session, epoch, nextLine - 1);
-      lines.writeLines(takeover.granted() ? "UP r" + receiptCount.incrementAndGet() + " resumed=" + takeover.storedLines() : "ERR");
+      lines.writeLines(takeover.granted() ? "UP r" + receiptCount.incrementAndGet()
+          + " resumed=" + takeover.storedLines() : "ERR");
       established = takeover.granted();
       return established;
     }
--- a/lab/src/main/java/lemondeal/lab/stream/ResumeTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumeTestCluster.java
@@ -40,7 +40,8 @@
    * @param resumeSettings lines of the operator's section {@code resume} in addition to classes, keys and claims; null
    *     for no operator file
    */
-  public ResumeTestCluster(int proxyCount, int serverCount, String resumeSettings) throws IOException, InterruptedException {
+  public ResumeTestCluster(int proxyCount, int serverCount, String resumeSettings)
+      throws IOException, InterruptedException {
     this(proxyCount, serverCount, resumeSettings, "");
   }
 
@@ -87,9 +88,11 @@
   public List<FakeClaimStore> useTlsClaimStore() throws IOException {
     TestCertificateAuthority authority = TestCertificateAuthority.create("lab-claims");
     Path authorityFile = authority.writeCertificate(folder.resolve("claims-ca.pem"));
-    TestCertificateAuthority.IssuedCertificate storeCertificate = authority.issue(folder, "claims-store", "claims.lab.test");
+    TestCertificateAuthority.IssuedCertificate storeCertificate = authority.issue(folder, "claims-store",
+        "claims.lab.test");
     TestCertificateAuthority.IssuedCertificate proxyCertificate = authority.issue(folder, "proxy", "proxy.lab.test");
-    FakeClaimStore first = new FakeClaimStore(new FakeClaimStore.Tls(storeCertificate.certificate(), storeCertificate.key(), authorityFile));
+    FakeClaimStore first = new FakeClaimStore(new FakeClaimStore.Tls(storeCertificate.certificate(),
+        storeCertificate.key(), authorityFile));
     tlsStores.add(first);
     tlsStores.add(first.replica());
     writeOperatorFile("", "fleet, store: ['127.0.0.1:%d', '127.0.0.1:%d'],\n"
--- a/lab/src/main/java/lemondeal/lab/stream/ResumingClient.java
+++ b/lab/src/main/java/lemondeal/lab/stream/ResumingClient.java
@@ -30,8 +30,8 @@
    * @param resumable whether the client requests a resumable session
    * @param deadlineNanos {@link System#nanoTime} after which the client gives up
    */
-  public record Settings(Supplier<InetSocketAddress> nextProxy, String className, int lines, int paceMillis, boolean resumable,
-      long deadlineNanos) {}
+  public record Settings(Supplier<InetSocketAddress> nextProxy, String className, int lines, int paceMillis,
+      boolean resumable, long deadlineNanos) {}
 
   private final Settings settings;
   private final String name;
--- a/lab/src/main/java/lemondeal/lab/stream/RollingDrain.java
+++ b/lab/src/main/java/lemondeal/lab/stream/RollingDrain.java
@@ -62,7 +62,8 @@
     List<ResumingClient> clients = new ArrayList<>();
     for (int i = 1; i <= clientCount; i++) {
       clients.add(new ResumingClient(String.format("%08x", i),
-          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis, true, deadlineNanos)));
+          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis,
+              true, deadlineNanos)));
     }
     return clients;
   }
@@ -86,7 +87,8 @@
   private void reportProgress(int second, ResumeTestCluster cluster, List<ResumingClient> clients) {
     int doneCount = (int) clients.stream().filter(ResumingClient::isDone).count();
     long lines = clients.stream().mapToLong(ResumingClient::sent).sum();
-    progress.printf("%3d s: %d servers drained, %d crashed; %d lines sent, %d of %d clients done, %d rejected by fencing%n",
+    progress.printf(
+        "%3d s: %d servers drained, %d crashed; %d lines sent, %d of %d clients done, %d rejected by fencing%n",
         second, drainedCount, crashedCount, lines, doneCount, clients.size(), cluster.sessionStore().fencedOutCount());
   }
 }
--- a/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
+++ b/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
@@ -75,12 +75,14 @@
    * Returns the server's line with this number and waits for it if necessary. Returns null on a timeout, or if the
    * connection is fenced out.
    */
-  synchronized String awaitLine(String id, long epoch, long lineNumber, long timeoutMillis) throws InterruptedException {
+  synchronized String awaitLine(String id, long epoch, long lineNumber, long timeoutMillis)
+      throws InterruptedException {
     Session session = session(id);
     if (session.toClient.size() < lineNumber && isCurrentEpoch(id, epoch)) {
       wait(timeoutMillis);
     }
-    return session.toClient.size() < lineNumber || !isCurrentEpoch(id, epoch) ? null : session.toClient.get((int) lineNumber - 1);
+    return session.toClient.size() < lineNumber || !isCurrentEpoch(id, epoch) ? null
+        : session.toClient.get((int) lineNumber - 1);
   }
 
   synchronized boolean isCurrentEpoch(String id, long epoch) {
--- a/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
+++ b/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
@@ -29,8 +29,9 @@
   /** Shorter dwell times than the defaults, for several decisions per run; lease settings are the defaults. */
   private static final EvacuationSettings SETTINGS = new EvacuationSettings(EvidenceSettings.DEFAULT, 200, 1_500, 2_000,
       2_500, 4_000, 2, 8_000, 1_000, 0.01);
-  private static final FleetSimulation.Topology TOPOLOGY = new FleetSimulation.Topology(memberZones(Integer.getInteger("evacuation.members", 5)), 3, 4,
-      SETTINGS, SLOW_START, 400_000);
+  private static final FleetSimulation.Topology TOPOLOGY =
+      new FleetSimulation.Topology(memberZones(Integer.getInteger("evacuation.members", 5)), 3, 4,
+          SETTINGS, SLOW_START, 400_000);
 
   /** Distributes the members evenly over three zones. */
   private static int[] memberZones(int members) {
@@ -50,12 +51,15 @@
         new LittleMovesNobody(faultSchedule(seed)));
   }
 
-  private static FleetSimulation simulation(long seed, List<InvariantChecker> checkers, Supplier<QuorumRules> quorumRules) {
+  private static FleetSimulation simulation(long seed, List<InvariantChecker> checkers,
+      Supplier<QuorumRules> quorumRules) {
     return simulation(seed, TOPOLOGY, checkers, quorumRules);
   }
 
-  private static FleetSimulation simulation(long seed, FleetSimulation.Topology topology, List<InvariantChecker> checkers, Supplier<QuorumRules> quorumRules) {
-    return new FleetSimulation(seed, topology, faultSchedule(seed), (membership, settings, slowStart, incarnation, savedState, now) ->
+  private static FleetSimulation simulation(long seed, FleetSimulation.Topology topology,
+      List<InvariantChecker> checkers, Supplier<QuorumRules> quorumRules) {
+    return new FleetSimulation(seed, topology, faultSchedule(seed),
+        (membership, settings, slowStart, incarnation, savedState, now) ->
             new Evacuation(membership, settings, slowStart, incarnation, savedState, now, quorumRules.get()), checkers);
   }
 
@@ -75,8 +79,8 @@
       slowestMajorityMillis = Math.max(slowestMajorityMillis, ((LeavesInTime) checkers.get(4)).slowestMajorityMillis());
       maxBytesPerReport = Math.max(maxBytesPerReport, simulation.bytesPerReport());
     }
-    System.out.printf("%d seeds in %.1f s: majority within %d ms, %.3f of a budget in use, %.0f bytes per report%n", SEEDS,
-        (System.nanoTime() - startNanos) / 1e9, slowestMajorityMillis, peakBudgetUse, maxBytesPerReport);
+    System.out.printf("%d seeds in %.1f s: majority within %d ms, %.3f of a budget in use, %.0f bytes per report%n",
+        SEEDS, (System.nanoTime() - startNanos) / 1e9, slowestMajorityMillis, peakBudgetUse, maxBytesPerReport);
     assertTrue(slowestMajorityMillis > 0 && peakBudgetUse > 0.5, "no zone was evacuated, or no budget was used");
   }
 
@@ -85,10 +89,12 @@
     return brokenInvariants(TOPOLOGY, 2, faultyRules);
   }
 
-  private static Set<String> brokenInvariants(FleetSimulation.Topology topology, long firstSeed, Supplier<QuorumRules> faultyRules) {
+  private static Set<String> brokenInvariants(FleetSimulation.Topology topology, long firstSeed,
+      Supplier<QuorumRules> faultyRules) {
     Set<String> broken = new TreeSet<>();
     for (long seed = firstSeed; seed <= firstSeed + 60; seed += 2) {
-      simulation(seed, topology, checkers(seed), faultyRules).run().forEach(breach -> broken.add(breach.replaceFirst(":.*", "")));
+      simulation(seed, topology, checkers(seed), faultyRules).run()
+          .forEach(breach -> broken.add(breach.replaceFirst(":.*", "")));
     }
     return broken;
   }
@@ -140,7 +146,8 @@
   private static Set<String> brokenWithEvidence(EvidenceSettings evidence) {
     EvacuationSettings settings = new EvacuationSettings(evidence, 200, 1_500, 2_000, 2_500, 4_000, 2, 8_000, 1_000,
         0.01);
-    return brokenInvariants(new FleetSimulation.Topology(TOPOLOGY.memberZones(), 3, 4, settings, SLOW_START, 400_000), 1, QuorumRules::new);
+    return brokenInvariants(new FleetSimulation.Topology(TOPOLOGY.memberZones(), 3, 4, settings, SLOW_START, 400_000),
+        1, QuorumRules::new);
   }
 
   @Test
--- a/lab/src/test/java/lemondeal/lab/OperatorLimitsTest.java
+++ b/lab/src/test/java/lemondeal/lab/OperatorLimitsTest.java
@@ -36,7 +36,8 @@
     assertTrue(proxy.waitFor(30, TimeUnit.SECONDS));
     assertEquals(2, proxy.exitValue(), output);
     // ProxyProcess starts with -Xmx96m and no limit on direct memory, so the heap limit applies.
-    Matcher matcher = Pattern.compile("limits\\.rings_mb: found 200; allowed: at most ([0-9]+) with this JVM's ([0-9]+) MB")
+    Matcher matcher = Pattern
+        .compile("limits\\.rings_mb: found 200; allowed: at most ([0-9]+) with this JVM's ([0-9]+) MB")
         .matcher(output);
     assertTrue(matcher.find(), output);
     int directMemoryMb = Integer.parseInt(matcher.group(2));
--- a/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
+++ b/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
@@ -48,8 +48,8 @@
 
   private static ClaimAnswer claim(FleetStore store, String session, long epoch) throws InterruptedException {
     BlockingQueue<ClaimAnswer> answers = new LinkedBlockingQueue<>();
-    new CasClaimService(store, System::currentTimeMillis).claim(new Claim(session, epoch, "h" + System.nanoTime(), 10_000,
-        System.currentTimeMillis() + 60_000), answers::add);
+    new CasClaimService(store, System::currentTimeMillis).claim(new Claim(session, epoch,
+        "h" + System.nanoTime(), 10_000, System.currentTimeMillis() + 60_000), answers::add);
     ClaimAnswer answer = answers.poll(20, TimeUnit.SECONDS);
     assertNotNull(answer);
     return answer;
@@ -60,9 +60,11 @@
   }
 
   /** Claims with retries, as a client that retries after BUSY causes. */
-  private static ClaimAnswer claimWithRetries(FleetStore store, String session, long epoch) throws InterruptedException {
+  private static ClaimAnswer claimWithRetries(FleetStore store, String session, long epoch)
+      throws InterruptedException {
     ClaimAnswer answer = null;
-    for (int i = 0; i < MAX_TRIES && !(answer instanceof ClaimAnswer.Granted || answer instanceof ClaimAnswer.Held); i++) {
+    for (int i = 0; i < MAX_TRIES && !(answer instanceof ClaimAnswer.Granted
+        || answer instanceof ClaimAnswer.Held); i++) {
       answer = claim(store, session, epoch);
     }
     return answer;
@@ -83,7 +85,8 @@
       String session = newSessionId();
       assertInstanceOf(ClaimAnswer.Granted.class, claim(store, session, 16), "the first reachable address is used");
       first.close();
-      assertInstanceOf(ClaimAnswer.Held.class, claimWithRetries(store, session, 16), "the next address knows the claim");
+      assertInstanceOf(ClaimAnswer.Held.class, claimWithRetries(store, session, 16),
+          "the next address knows the claim");
       assertTrue(second.callCount() > 0);
       store.close();
     }
@@ -97,14 +100,17 @@
     TestCertificateAuthority.IssuedCertificate proxy = authority.issue(folder, "proxy", "proxy-1");
     try (FakeClaimStore tls = new FakeClaimStore(new FakeClaimStore.Tls(server.certificate(), server.key(),
         authorityFile))) {
-      FleetStore store = open(List.of(tls.address()), new TlsFiles(authorityFile, proxy.certificate(), proxy.key(), null));
+      FleetStore store = open(List.of(tls.address()),
+          new TlsFiles(authorityFile, proxy.certificate(), proxy.key(), null));
       assertInstanceOf(ClaimAnswer.Granted.class, claim(store, newSessionId(), 16));
       assertEquals("", logOutput.toString(), "the first calls succeeded");
       store.close();
 
       FleetStore withoutCertificate = open(List.of(tls.address()), new TlsFiles(authorityFile, null, null, null));
-      assertInstanceOf(ClaimAnswer.Unknown.class, claim(withoutCertificate, newSessionId(), 16), "the store requires a client certificate");
-      assertTrue(logOutput.toString().contains("claims-away") || logOutput.toString().contains("does not answer"), logOutput.toString());
+      assertInstanceOf(ClaimAnswer.Unknown.class, claim(withoutCertificate, newSessionId(), 16),
+          "the store requires a client certificate");
+      assertTrue(logOutput.toString().contains("claims-away") || logOutput.toString().contains("does not answer"),
+          logOutput.toString());
       withoutCertificate.close();
     }
   }
@@ -114,19 +120,23 @@
     TestCertificateAuthority trustedAuthority = TestCertificateAuthority.create("ours");
     TestCertificateAuthority otherAuthority = TestCertificateAuthority.create("theirs");
     Path authorityFile = trustedAuthority.writeCertificate(folder.resolve("ca.pem"));
-    TestCertificateAuthority.IssuedCertificate foreignCertificate = otherAuthority.issue(folder, "foreign", "127.0.0.1");
-    TestCertificateAuthority.IssuedCertificate namedCertificate = trustedAuthority.issue(folder, "named", "claims.store.test");
-    try (FakeClaimStore foreignStore = new FakeClaimStore(new FakeClaimStore.Tls(foreignCertificate.certificate(), foreignCertificate.key(),
-        null));
-        FakeClaimStore namedStore = new FakeClaimStore(new FakeClaimStore.Tls(namedCertificate.certificate(), namedCertificate.key(),
-            null))) {
+    TestCertificateAuthority.IssuedCertificate foreignCertificate = otherAuthority.issue(folder, "foreign",
+        "127.0.0.1");
+    TestCertificateAuthority.IssuedCertificate namedCertificate = trustedAuthority.issue(folder, "named",
+        "claims.store.test");
+    try (FakeClaimStore foreignStore = new FakeClaimStore(new FakeClaimStore.Tls(foreignCertificate.certificate(),
+            foreignCertificate.key(), null));
+        FakeClaimStore namedStore = new FakeClaimStore(new FakeClaimStore.Tls(namedCertificate.certificate(),
+            namedCertificate.key(), null))) {
       FleetStore store = open(List.of(foreignStore.address()), new TlsFiles(authorityFile, null, null, null));
       assertInstanceOf(ClaimAnswer.Unknown.class, claim(store, newSessionId(), 16));
       store.close();
       FleetStore byAddress = open(List.of(namedStore.address()), new TlsFiles(authorityFile, null, null, null));
-      assertInstanceOf(ClaimAnswer.Unknown.class, claim(byAddress, newSessionId(), 16), "the certificate does not match the address");
+      assertInstanceOf(ClaimAnswer.Unknown.class, claim(byAddress, newSessionId(), 16),
+          "the certificate does not match the address");
       byAddress.close();
-      FleetStore byName = open(List.of(namedStore.address()), new TlsFiles(authorityFile, null, null, "claims.store.test"));
+      FleetStore byName = open(List.of(namedStore.address()),
+          new TlsFiles(authorityFile, null, null, "claims.store.test"));
       assertInstanceOf(ClaimAnswer.Granted.class, claim(byName, newSessionId(), 16));
       byName.close();
     }
@@ -144,16 +154,20 @@
         authorityFile))) {
       TlsFiles files = new TlsFiles(authorityFile, proxy.certificate(), proxy.key(), null);
       FleetStore store = open(List.of(tls.address()), files);
-      assertInstanceOf(ClaimAnswer.Unknown.class, claim(store, newSessionId(), 16), "client certificate of another authority");
-      TestCertificateAuthority.IssuedCertificate renewedCertificate = authority.issue(renewedFolder, "proxy", "proxy-1");
-      Files.copy(renewedCertificate.certificate(), proxy.certificate(), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+      assertInstanceOf(ClaimAnswer.Unknown.class, claim(store, newSessionId(), 16),
+          "client certificate of another authority");
+      TestCertificateAuthority.IssuedCertificate renewedCertificate = authority.issue(renewedFolder, "proxy",
+          "proxy-1");
+      Files.copy(renewedCertificate.certificate(), proxy.certificate(),
+          java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       Files.copy(renewedCertificate.key(), proxy.key(), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       store.reload(files);
       assertInstanceOf(ClaimAnswer.Granted.class, claim(store, newSessionId(), 16));
 
       Files.writeString(proxy.key(), "no key");
       assertThrows(IOException.class, () -> store.reload(files));
-      assertInstanceOf(ClaimAnswer.Granted.class, claim(store, newSessionId(), 16), "the previous channel stays in use");
+      assertInstanceOf(ClaimAnswer.Granted.class, claim(store, newSessionId(), 16),
+          "the previous channel stays in use");
       store.close();
     }
   }
--- a/lab/src/test/java/lemondeal/lab/consul/ConsulTestClusterTest.java
+++ b/lab/src/test/java/lemondeal/lab/consul/ConsulTestClusterTest.java
@@ -41,7 +41,8 @@
   @Test
   void everyKindOfDrainEndsNewWorkWithinASecond() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING);
-        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24,
+            ConsulTestCluster.CHAT_CLASS)) {
       FakeConsul consul = cluster.consul();
       Map<String, Consumer<String>> kinds = Map.of(
           "s-1", key -> consul.catalogue().setStatus(key, "critical"),
@@ -68,7 +69,8 @@
   @Test
   void criticalCheckDuringSetupLosesNoRequest() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(2, 4, DAMPING);
-        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 16, ConsulTestCluster.CHAT_CLASS)) {
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 16,
+            ConsulTestCluster.CHAT_CLASS)) {
       awaitWork(cluster, List.of("s-1", "s-2", "s-3", "s-4"));
       for (int round = 0; round < 3; round++) {
         cluster.server("s-1").setSetupDelay(400);
@@ -76,7 +78,8 @@
         long changed = System.nanoTime();
         cluster.consul().catalogue().setStatus(cluster.consulKey("s-1"), "critical");
         awaitNoWork(cluster, "s-1");
-        assertTrue(cluster.server("s-1").lastOpenNanos() < changed + SECOND, "new work more than a second after the change");
+        assertTrue(cluster.server("s-1").lastOpenNanos() < changed + SECOND,
+            "new work more than a second after the change");
         cluster.server("s-1").setSetupDelay(0);
         cluster.consul().catalogue().setStatus(cluster.consulKey("s-1"), "passing");
         awaitWork(cluster, List.of("s-1"));
@@ -93,12 +96,14 @@
   @Test
   void lastListIsKeptWhileConsulFails() throws Exception {
     // A silent Consul looks like a waiting blocking query, and is detected only after the wait and some slack.
-    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 6, DAMPING + "\nwait: 1s\npace: {least: 50ms, first: 200ms, most: 1s}");
-        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 18, ConsulTestCluster.CHAT_CLASS)) {
+    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 6, DAMPING
+        + "\nwait: 1s\npace: {least: 50ms, first: 200ms, most: 1s}");
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 18,
+            ConsulTestCluster.CHAT_CLASS)) {
       awaitWork(cluster, List.of("s-1", "s-2", "s-3", "s-4", "s-5", "s-6"));
       for (FakeConsul.ResponseMode mode : List.of(FakeConsul.ResponseMode.SILENT, FakeConsul.ResponseMode.FAILS,
-          FakeConsul.ResponseMode.TOO_OFTEN, FakeConsul.ResponseMode.RESETS, FakeConsul.ResponseMode.GARBLES, FakeConsul.ResponseMode.CUTS,
-          FakeConsul.ResponseMode.NO_LEADER, FakeConsul.ResponseMode.EMPTY)) {
+          FakeConsul.ResponseMode.TOO_OFTEN, FakeConsul.ResponseMode.RESETS, FakeConsul.ResponseMode.GARBLES,
+          FakeConsul.ResponseMode.CUTS, FakeConsul.ResponseMode.NO_LEADER, FakeConsul.ResponseMode.EMPTY)) {
         cluster.consul().setResponseMode(mode);
         if (mode == FakeConsul.ResponseMode.FAILS) {
           cluster.server("s-6").close();
@@ -111,13 +116,15 @@
       Thread.sleep(1500);
       long startNanos = System.nanoTime();
       Thread.sleep(1000);
-      assertTrue(cluster.server("s-1").lastOpenNanos() < startNanos, "the change was not applied after Consul recovered");
+      assertTrue(cluster.server("s-1").lastOpenNanos() < startNanos,
+          "the change was not applied after Consul recovered");
       clients.stop();
       assertEquals(List.of(), clients.breaches());
       long served = clients.counts().getOrDefault("UP", 0L);
       long refused = clients.counts().getOrDefault("BUSY", 0L) + clients.counts().getOrDefault("ERR", 0L);
       assertTrue(refused * 20 < served, "too many refusals: " + clients.counts());
-      assertTrue(cluster.proxies().get(0).log().stream().anyMatch(line -> line.contains("not believed (empty at once)")),
+      assertTrue(cluster.proxies().get(0).log().stream()
+          .anyMatch(line -> line.contains("not believed (empty at once)")),
           String.join("\n", cluster.proxies().get(0).log()));
     }
   }
@@ -126,7 +133,8 @@
   @Test
   void flappingServerGetsNoWorkUntilStable() throws Exception {
     try (ConsulTestCluster cluster = new ConsulTestCluster(2, 4, DAMPING);
-        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 12, ConsulTestCluster.CHAT_CLASS)) {
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 12,
+            ConsulTestCluster.CHAT_CLASS)) {
       awaitWork(cluster, List.of("s-1", "s-2", "s-3", "s-4"));
       String key = cluster.consulKey("s-1");
       long firstFlapNanos = System.nanoTime();
@@ -140,7 +148,8 @@
       assertTrue(cluster.server("s-1").lastOpenNanos() < firstFlapNanos + SECOND, "work during flapping");
       awaitWork(cluster, List.of("s-1"));
       long backNanos = cluster.server("s-1").lastOpenNanos();
-      assertTrue(backNanos - lastFlapNanos > 2 * SECOND, "back " + (backNanos - lastFlapNanos) / 1_000_000 + " ms after the last flap");
+      assertTrue(backNanos - lastFlapNanos > 2 * SECOND, "back " + (backNanos - lastFlapNanos) / 1_000_000
+          + " ms after the last flap");
       clients.stop();
       assertEquals(List.of(), clients.breaches());
     }
@@ -149,7 +158,8 @@
   private static void awaitLog(ConsulTestCluster cluster, String text) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + 20 * SECOND;
     while (cluster.proxies().get(0).log().stream().noneMatch(line -> line.contains(text))) {
-      assertTrue(System.nanoTime() < deadlineNanos, () -> "no '" + text + "' in:\n" + String.join("\n", cluster.proxies().get(0).log()));
+      assertTrue(System.nanoTime() < deadlineNanos, () -> "no '" + text + "' in:\n"
+          + String.join("\n", cluster.proxies().get(0).log()));
       Thread.sleep(20);
     }
   }
@@ -170,8 +180,10 @@
    */
   @Test
   void proxiesServeThroughAMinuteWithoutConsul() throws Exception {
-    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING + "\nwait: 2s\npace: {least: 50ms, first: 200ms, most: 2s}");
-        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
+    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING
+        + "\nwait: 2s\npace: {least: 50ms, first: 200ms, most: 2s}");
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24,
+            ConsulTestCluster.CHAT_CLASS)) {
       List<String> remainingServers = List.of("s-3", "s-4", "s-5", "s-6", "s-7", "s-8");
       awaitWork(cluster, List.of("s-1", "s-2"));
       cluster.consul().setResponseMode(FakeConsul.ResponseMode.RESETS);
@@ -207,7 +219,8 @@
         pace: {least: 50ms, first: 100ms, most: 500ms}
         guard: {most_lost: 0.4, confirm_after: 30s}
         """);
-        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 12, ConsulTestCluster.CHAT_CLASS)) {
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 12,
+            ConsulTestCluster.CHAT_CLASS)) {
       Catalogue catalogue = cluster.consul().catalogue();
       List<String> allServers = List.of("s-1", "s-2", "s-3", "s-4", "s-5", "s-6");
       awaitWork(cluster, allServers);
@@ -240,17 +253,19 @@
     }
   }
 
-  /** SIGHUP switches to another agent with TLS, another token and another service at once; then an expired certificate. */
+  /** SIGHUP switches agent, token, service and certificates at once; an expired certificate is then refused. */
   @Test
   void sighupAppliesAgentTokenServiceAndCertificates() throws Exception {
     TestCertificateAuthority authority = TestCertificateAuthority.create("consul-ca");
     try (ConsulTestCluster cluster = new ConsulTestCluster(2, 3, DAMPING);
-        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 12, ConsulTestCluster.CHAT_CLASS)) {
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 12,
+            ConsulTestCluster.CHAT_CLASS)) {
       awaitWork(cluster, List.of("s-1", "s-2", "s-3"));
       Path folder = cluster.folder();
       authority.writeCertificate(folder.resolve("ca.pem"));
       Files.writeString(folder.resolve("token"), "second\n");
-      TestCertificateAuthority.IssuedCertificate namedCertificate = authority.issue(folder, "consul", "server.dc1.consul");
+      TestCertificateAuthority.IssuedCertificate namedCertificate = authority.issue(folder, "consul",
+          "server.dc1.consul");
       authority.issue(folder, "proxy", "proxy-1");
       String settings = """
           service: other
@@ -270,7 +285,8 @@
         awaitNoWork(cluster, "s-2");
         awaitNoWork(cluster, "s-3");
       }
-      TestCertificateAuthority.IssuedCertificate expired = authority.issueExpired(folder, "expired", "server.dc1.consul");
+      TestCertificateAuthority.IssuedCertificate expired = authority.issueExpired(folder, "expired",
+          "server.dc1.consul");
       try (FakeConsul third = new FakeConsul(context(folder, expired))) {
         cluster.writeOperatorFile(List.of(third.address()), settings);
         cluster.reloadProxies();
@@ -286,15 +302,18 @@
     }
   }
 
-  private static javax.net.ssl.SSLContext context(Path folder, TestCertificateAuthority.IssuedCertificate issued) throws Exception {
+  private static javax.net.ssl.SSLContext context(Path folder, TestCertificateAuthority.IssuedCertificate issued)
+      throws Exception {
     return Pem.context(new TlsFiles(folder.resolve("ca.pem"), issued.certificate(), issued.key(), null));
   }
 
   /** A proxy that starts while Consul is down serves from its saved list, and ignores a damaged one. */
   @Test
   void startWithoutConsulServesFromSavedList() throws Exception {
-    try (ConsulTestCluster cluster = new ConsulTestCluster(1, 3, DAMPING + "\nsaved: {file: last.list, every: 100ms}")) {
-      try (ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 6, ConsulTestCluster.CHAT_CLASS)) {
+    try (ConsulTestCluster cluster = new ConsulTestCluster(1, 3, DAMPING
+        + "\nsaved: {file: last.list, every: 100ms}")) {
+      try (ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 6,
+          ConsulTestCluster.CHAT_CLASS)) {
         awaitWork(cluster, List.of("s-1", "s-2", "s-3"));
         cluster.consul().catalogue().setStatus(cluster.consulKey("s-3"), "critical");
         awaitNoWork(cluster, "s-3");
@@ -307,7 +326,8 @@
       cluster.startProxy(0, 1);
       awaitLog(cluster, "3 servers from ");
       long restarted = System.nanoTime();
-      try (ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 6, ConsulTestCluster.CHAT_CLASS)) {
+      try (ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 6,
+          ConsulTestCluster.CHAT_CLASS)) {
         awaitWork(cluster, List.of("s-1", "s-2"));
         assertTrue(cluster.server("s-3").lastOpenNanos() < restarted, "a drained server received work");
         cluster.consul().catalogue().setStatus(cluster.consulKey("s-3"), "passing");
@@ -330,19 +350,24 @@
       cluster.addServer("f-1", "feed", cluster.consul());
       cluster.addServer("f-2", "feed", cluster.consul());
       // Two services share an address: the status of one does not apply to the other.
-      cluster.consul().catalogue().register("node-twin", "127.0.0.1", "feed", "twin", cluster.server("s-1").address().getPort());
+      cluster.consul().catalogue().register("node-twin", "127.0.0.1", "feed", "twin",
+          cluster.server("s-1").address().getPort());
       cluster.consul().catalogue().setStatus("node-twin/twin", "critical");
       cluster.writeOperatorFile(List.of(cluster.consul().address()), """
           services:
             - {service: %s, classes: [%s]}
             - {service: feed, classes: [%s]}
-          """.formatted(ConsulTestCluster.SERVICE, ConsulTestCluster.CHAT_CLASS, ConsulTestCluster.FEED_CLASS) + DAMPING);
+          """.formatted(ConsulTestCluster.SERVICE, ConsulTestCluster.CHAT_CLASS, ConsulTestCluster.FEED_CLASS)
+          + DAMPING);
       cluster.startProxy(0, 2);
       cluster.startProxy(1, 2);
-      try (ShortConnectionClients feeds = new ShortConnectionClients(cluster::nextProxyAddress, 8, ConsulTestCluster.FEED_CLASS)) {
+      try (ShortConnectionClients feeds = new ShortConnectionClients(cluster::nextProxyAddress, 8,
+          ConsulTestCluster.FEED_CLASS)) {
         awaitWork(cluster, List.of("f-1", "f-2"));
-        assertEquals(0, cluster.server("s-1").openCount() + cluster.server("s-2").openCount(), "feed requests reached servers of another service");
-        try (ShortConnectionClients chats = new ShortConnectionClients(cluster::nextProxyAddress, 8, ConsulTestCluster.CHAT_CLASS)) {
+        assertEquals(0, cluster.server("s-1").openCount() + cluster.server("s-2").openCount(),
+            "feed requests reached servers of another service");
+        try (ShortConnectionClients chats = new ShortConnectionClients(cluster::nextProxyAddress, 8,
+            ConsulTestCluster.CHAT_CLASS)) {
           awaitWork(cluster, List.of("s-1", "s-2", "f-1", "f-2"));
           cluster.consul().catalogue().setStatus(cluster.consulKey("f-1"), "critical");
           awaitNoWork(cluster, "f-1");
@@ -350,7 +375,8 @@
           chats.stop();
           assertEquals(List.of(), chats.breaches());
           long refused = chats.counts().getOrDefault("BUSY", 0L) + chats.counts().getOrDefault("ERR", 0L);
-          assertTrue(refused * 50 < chats.counts().get("UP"), "refusals caused by the other service: " + chats.counts());
+          assertTrue(refused * 50 < chats.counts().get("UP"), "refusals caused by the other service: "
+              + chats.counts());
         }
         feeds.stop();
         assertEquals(List.of(), feeds.breaches());
--- a/lab/src/test/java/lemondeal/lab/consul/FakeConsulTest.java
+++ b/lab/src/test/java/lemondeal/lab/consul/FakeConsulTest.java
@@ -101,8 +101,8 @@
       boolean maintenance = entry.getChecks().stream().anyMatch(check -> check.getCheckId().contains("_maintenance"));
       Health worst = maintenance ? Health.MAINTENANCE : statuses.contains("critical") ? Health.CRITICAL
           : statuses.contains("warning") ? Health.WARNING : Health.PASSING;
-      seen.put(entry.getNode().getNode() + "/" + entry.getService().getId(), worst + " " + entry.getService().getPort() + " "
-          + entry.getService().getWeights().orElseThrow().getPassing() + "/"
+      seen.put(entry.getNode().getNode() + "/" + entry.getService().getId(), worst + " "
+          + entry.getService().getPort() + " " + entry.getService().getWeights().orElseThrow().getPassing() + "/"
           + entry.getService().getWeights().orElseThrow().getWarning());
     }
     return seen;
@@ -111,7 +111,8 @@
   private void assertBothSee(String... expected) throws Exception {
     Map<String, String> library = librarySees(health.getAllServiceInstances("link").getResponse());
     assertEquals(library, proxySees(""));
-    assertEquals(List.of(expected), library.entrySet().stream().map(entry -> entry.getKey() + " " + entry.getValue()).toList());
+    assertEquals(List.of(expected), library.entrySet().stream().map(entry ->
+        entry.getKey() + " " + entry.getValue()).toList());
   }
 
   @Test
@@ -183,7 +184,8 @@
       List<ServiceHealth> answer = health.getAllServiceInstances("link", options).getResponse();
       assertEquals(filterAndIds.getValue(), answer.stream().map(entry -> entry.getService().getId()).sorted()
           .collect(Collectors.joining()), filterAndIds.getKey());
-      assertEquals(librarySees(answer), proxySees("?filter=" + URLEncoder.encode(filterAndIds.getKey(), StandardCharsets.UTF_8)));
+      assertEquals(librarySees(answer), proxySees("?filter="
+          + URLEncoder.encode(filterAndIds.getKey(), StandardCharsets.UTF_8)));
     }
     ConsulException refused = assertThrows(ConsulException.class, () -> health.getAllServiceInstances("link",
         ImmutableQueryOptions.builder().filter("Service.Nothing == x").build()));
@@ -195,7 +197,8 @@
   void refusalsMatchConsul() throws Exception {
     register("a", 7001);
     for (ConsistencyMode mode : List.of(ConsistencyMode.DEFAULT, ConsistencyMode.STALE, ConsistencyMode.CONSISTENT)) {
-      assertEquals(1, health.getAllServiceInstances("link", ImmutableQueryOptions.builder().consistencyMode(mode).build())
+      assertEquals(1, health.getAllServiceInstances("link",
+          ImmutableQueryOptions.builder().consistencyMode(mode).build())
           .getResponse().size());
     }
     assertEquals(Optional.of(500), errorCode(ImmutableQueryOptions.builder().datacenter("mars").build()));
--- a/lab/src/test/java/lemondeal/lab/fleet/FleetTraceCountsTest.java
+++ b/lab/src/test/java/lemondeal/lab/fleet/FleetTraceCountsTest.java
@@ -123,7 +123,8 @@
 
   @Test
   void parsesTraceLinesInsideJsonLog() {
-    TraceLine line = TraceLine.parse("{\"message\":\"trace n3 12 ended id=4 server=s-9 outcome=RESET ms=3 over=true\",\"x\":1}");
+    TraceLine line = TraceLine
+        .parse("{\"message\":\"trace n3 12 ended id=4 server=s-9 outcome=RESET ms=3 over=true\",\"x\":1}");
     assertEquals("ended reset", line.counterName());
     assertEquals("s-9", line.server());
     assertEquals("true", line.fields().get("over"));
@@ -167,6 +168,7 @@
     assertTrue(output.contains("probe: 2 at 0.0023 for 1 first tries, 0.0046 of the result"), output);
     assertTrue(output.contains("move: 1 at 0.01 for 1 first tries, 0.0100 of the result"), output);
     assertEquals(2, new CommandLine(new FleetCountCommand()).setErr(new PrintWriter(new StringWriter()))
-        .execute(folder.toString(), "--config", folder.resolve("n0.log").toString()), "a log file is not a configuration");
+        .execute(folder.toString(), "--config", folder.resolve("n0.log").toString()),
+        "a log file is not a configuration");
   }
 }
--- a/lab/src/test/java/lemondeal/lab/site/FleetMembershipTest.java
+++ b/lab/src/test/java/lemondeal/lab/site/FleetMembershipTest.java
@@ -155,7 +155,8 @@
     Process proxy = builder.start();
     String output = new String(proxy.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     assertEquals(2, proxy.waitFor(), output);
-    assertTrue(output.contains("operator-0.yaml:3:1: fleet: the platform's settings do not allow messages between proxies"), output);
+    assertTrue(output.contains("operator-0.yaml:3:1: fleet: the platform's settings do not allow messages"
+        + " between proxies"), output);
     assertEquals(1, output.lines().count(), output);
   }
 }
--- a/lab/src/test/java/lemondeal/lab/site/ZoneEvacuationTest.java
+++ b/lab/src/test/java/lemondeal/lab/site/ZoneEvacuationTest.java
@@ -101,7 +101,8 @@
     Map<String, Integer> keys = new TreeMap<>();
     for (int i = 0; i < KEYS; i++) {
       List<Integer> before = servers.openCounts("b");
-      String answer = ConstantRateClients.sendRequest(cluster.proxy(i % PROXIES).address(), "%016x".formatted(System.nanoTime()), "key" + i);
+      String answer = ConstantRateClients.sendRequest(cluster.proxy(i % PROXIES).address(),
+          "%016x".formatted(System.nanoTime()), "key" + i);
       List<Integer> after = servers.openCounts("b");
       for (int server = 0; server < after.size(); server++) {
         if (answer.equals("UP") && after.get(server) > before.get(server)) {
--- a/lab/src/test/java/lemondeal/lab/stream/ResumeFaultsTest.java
+++ b/lab/src/test/java/lemondeal/lab/stream/ResumeFaultsTest.java
@@ -27,7 +27,8 @@
     }
   }
 
-  private static LineConnection open(ResumeTestCluster cluster, int proxy, String token, long received) throws IOException {
+  private static LineConnection open(ResumeTestCluster cluster, int proxy, String token, long received)
+      throws IOException {
     LineConnection connection = LineConnection.connect(cluster.proxies().get(proxy).address());
     connection.setReadTimeout(10_000);
     connection.writeLines(String.format("OPEN %016x key c=order-sync,d=2000,resume=1%s", IDS.incrementAndGet(),
@@ -36,7 +37,8 @@
   }
 
   /** Opens a connection; retries while it is throttled, as happens on a busy machine. */
-  private static OpenSession openSession(ResumeTestCluster cluster, int proxy, String token, long received) throws IOException {
+  private static OpenSession openSession(ResumeTestCluster cluster, int proxy, String token, long received)
+      throws IOException {
     LineConnection connection = open(cluster, proxy, token, received);
     String answer = connection.readLine();
     while (answer.startsWith("BUSY")) {
@@ -54,7 +56,7 @@
     }
   }
 
-  /** Returns the first answer other than BUSY: an earlier claim's settlement or release may not have reached the store. */
+  /** Returns the first answer other than BUSY; an earlier claim's settlement or release may still be pending. */
   private static String answerAfterRetries(ResumeTestCluster cluster, int proxy, String token) throws IOException {
     String answer = answer(cluster, proxy, token, 0);
     while (answer.startsWith("BUSY")) {
@@ -64,7 +66,8 @@
   }
 
   /** Opens a connection whose first line has reached the server, by its count, and stays unanswered. */
-  private static LineConnection openUnanswered(ResumeTestCluster cluster, int proxy, String token, int count) throws IOException {
+  private static LineConnection openUnanswered(ResumeTestCluster cluster, int proxy, String token, int count)
+      throws IOException {
     ResumableServer server = cluster.server("s-1");
     LineConnection connection = open(cluster, proxy, token, 0);
     for (int i = 0; server.openCount() < count; i++) {
@@ -111,7 +114,8 @@
       ResumableServer server = cluster.server("s-1");
       cluster.claimStore().setResponseMode(FakeClaimStore.ResponseMode.GRANTS_ALL);
       server.setResponseMode(ResumableServer.ResponseMode.SILENT);
-      try (LineConnection first = openUnanswered(cluster, 0, token, 2); LineConnection second = openUnanswered(cluster, 1, token, 3)) {
+      try (LineConnection first = openUnanswered(cluster, 0, token, 2);
+          LineConnection second = openUnanswered(cluster, 1, token, 3)) {
         assertNotNull(first);
         assertNotNull(second);
         assertEquals(List.of("2 attempts of one session were active at the same time"),
@@ -208,8 +212,8 @@
   void unavailableStoreThrottlesAndKeepsTokenValid() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(1, 1, "lease: 1s")) {
       String token = openSession(cluster, 0, "", 0).token();
-      for (FakeClaimStore.ResponseMode mode : List.of(FakeClaimStore.ResponseMode.SILENT, FakeClaimStore.ResponseMode.FAILS,
-          FakeClaimStore.ResponseMode.LOSES_ANSWERS)) {
+      for (FakeClaimStore.ResponseMode mode : List.of(FakeClaimStore.ResponseMode.SILENT,
+          FakeClaimStore.ResponseMode.FAILS, FakeClaimStore.ResponseMode.LOSES_ANSWERS)) {
         cluster.claimStore().setResponseMode(mode);
         assertEquals("BUSY 500", answer(cluster, 0, token, 0), mode.toString());
       }
@@ -233,7 +237,8 @@
       cluster.proxies().get(0).sendSighup();
       cluster.proxies().get(0).awaitLog("stay as they were");
       assertTrue(openSession(cluster, 0, after, 0).token().startsWith("1.new."));
-      assertFalse(String.join("\n", cluster.proxies().get(0).log()).contains(after.substring(0, 40)), "no token in a log");
+      assertFalse(String.join("\n", cluster.proxies().get(0).log()).contains(after.substring(0, 40)),
+          "no token in a log");
     }
   }
 
@@ -253,7 +258,8 @@
       String second = openSession(cluster, 1, first, 0).token();
       assertTrue(stores.get(0).callCount() > 0, "no claim reached the first address");
       stores.get(0).close();
-      assertEquals("ERR used", answerAfterRetries(cluster, 0, first), "the second address does not know a claim made at the first");
+      assertEquals("ERR used", answerAfterRetries(cluster, 0, first),
+          "the second address does not know a claim made at the first");
       assertTrue(openSession(cluster, 0, second, 0).resumeLine().startsWith("RESUME at "));
       assertTrue(stores.get(1).callCount() > 0);
     }
--- a/lab/src/test/java/lemondeal/lab/stream/RollingDrainTest.java
+++ b/lab/src/test/java/lemondeal/lab/stream/RollingDrainTest.java
@@ -22,7 +22,8 @@
     List<ResumingClient> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       clients.add(new ResumingClient(String.format("%08x", i + 1),
-          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis, true, deadlineNanos)));
+          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis,
+              true, deadlineNanos)));
     }
     return clients;
   }
@@ -82,12 +83,14 @@
       assertEquals(0, cluster.proxies().get(0).awaitExit());
       ResumeTestCluster.await(threads);
       assertEquals(List.of(), ResumeChecker.breaches(cluster.sessionStore(), clients));
-      // At least one move, not exactly one: on a slow machine a server may count as overloaded, and the module then moves
-      // a share of its clients.
+      // At least one move, not exactly one: on a slow machine a server may count as overloaded, and the module then
+      // moves a share of its clients.
       assertEquals(List.of(), clients.stream().filter(client -> client.eventCounts().getOrDefault("moved", 0) < 1)
-          .map(client -> client.name() + " " + client.eventCounts()).toList(), () -> "clients not moved by the stop\n" + logs(cluster));
+          .map(client -> client.name() + " " + client.eventCounts()).toList(), () -> "clients not moved by the stop\n"
+          + logs(cluster));
       assertEquals(List.of(), clients.stream().filter(client -> client.eventCounts().getOrDefault("up", 0)
-          - client.eventCounts().getOrDefault("moved", 0) != 1).map(client -> client.name() + " " + client.eventCounts()).toList(),
+          - client.eventCounts().getOrDefault("moved", 0) != 1).map(client ->
+          client.name() + " " + client.eventCounts()).toList(),
           "connections other than the last did not all end with MOVE");
     }
   }
