--- a/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
@@ -276,8 +276,7 @@
 
   void onDecision(long trueTime, int member, Evacuation.Decision decision) {
     trace(trueTime, member, (decision.countedHere() ? "decides epoch " : "learns of epoch ") + decision.epoch()
-        + " of zone "
-        + decision.zone());
+        + " of zone " + decision.zone());
     checkers.forEach(checker -> checker.onDecision(trueTime, member, decision));
   }
 
--- a/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
+++ b/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
@@ -46,7 +46,7 @@
     session(id).activeAttempts--;
   }
 
-  /** Takes the session over for a connection if its epoch is the highest so far. */
+  /** Takes the session over for a connection with the highest epoch, unless its client claims more lines than exist. */
   synchronized TakeoverResult takeOver(String id, long epoch, long receivedByClient) {
     Session session = session(id);
     if (fenced && epoch <= session.epoch || receivedByClient > session.toClient.size()) {
