--- a/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
@@ -29,7 +29,7 @@
   /** Creates a member's evacuation logic: the real one, or a faulty one that a checker must detect. */
   public interface EvacuationFactory {
     Evacuation create(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp slowStart, long incarnation,
-        Optional<EvacuationState> savedState, long now);
+        Optional<EvacuationState> savedState, long localTime);
   }
 
   /**
--- a/lab/src/main/java/lemondeal/lab/site/ClusterFaultSchedule.java
+++ b/lab/src/main/java/lemondeal/lab/site/ClusterFaultSchedule.java
@@ -42,18 +42,18 @@
 
   /** Applies the faults and returns after the last one has ended. Faults without an end stay in effect. */
   public void run(FleetTestCluster cluster) throws IOException, InterruptedException {
-    List<ScheduledAction> actions = new ArrayList<>();
+    List<ScheduledAction> schedule = new ArrayList<>();
     for (ClusterFault fault : faults) {
-      actions.add(new ScheduledAction(fault.startMillis(), () -> startFault(fault, cluster)));
+      schedule.add(new ScheduledAction(fault.startMillis(), () -> startFault(fault, cluster)));
       if (fault.durationMillis() > 0) {
-        actions.add(new ScheduledAction(fault.startMillis() + fault.durationMillis(), () -> endFault(fault, cluster)));
+        schedule.add(new ScheduledAction(fault.startMillis() + fault.durationMillis(), () -> endFault(fault, cluster)));
       }
     }
-    actions.sort(Comparator.comparingLong(ScheduledAction::atMillis));
+    schedule.sort(Comparator.comparingLong(ScheduledAction::atMillis));
     long startNanos = System.nanoTime();
-    for (ScheduledAction action : actions) {
-      Thread.sleep(Math.max(0, action.atMillis() - (System.nanoTime() - startNanos) / 1_000_000));
-      action.action().run();
+    for (ScheduledAction scheduled : schedule) {
+      Thread.sleep(Math.max(0, scheduled.atMillis() - (System.nanoTime() - startNanos) / 1_000_000));
+      scheduled.action().run();
     }
   }
 
--- a/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
+++ b/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
@@ -59,8 +59,8 @@
   private static FleetSimulation simulation(long seed, FleetSimulation.Topology topology,
       List<InvariantChecker> checkers, Supplier<QuorumRules> quorumRules) {
     return new FleetSimulation(seed, topology, faultSchedule(seed),
-        (membership, settings, slowStart, incarnation, savedState, now) ->
-            new Evacuation(membership, settings, slowStart, incarnation, savedState, now, quorumRules.get()), checkers);
+        (membership, settings, slowStart, incarnation, savedState, localTime) ->
+            new Evacuation(membership, settings, slowStart, incarnation, savedState, localTime, quorumRules.get()), checkers);
   }
 
   private static final int SEEDS = Integer.getInteger("evacuation.seeds", 200);
