--- a/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
+++ b/lab/src/test/java/lemondeal/evacuation/FleetSimulationTest.java
@@ -60,7 +60,8 @@
       List<InvariantChecker> checkers, Supplier<QuorumRules> quorumRules) {
     return new FleetSimulation(seed, topology, faultSchedule(seed),
         (membership, settings, slowStart, incarnation, savedState, localTime) ->
-            new Evacuation(membership, settings, slowStart, incarnation, savedState, localTime, quorumRules.get()), checkers);
+            new Evacuation(membership, settings, slowStart, incarnation, savedState, localTime, quorumRules.get()),
+                checkers);
   }
 
   private static final int SEEDS = Integer.getInteger("evacuation.seeds", 200);
