--- a/proxy/src/test/java/lemondeal/proxy/AdminTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/AdminTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The second address, and figures that tell what crossed the sockets. */
+/** The admin address and its metrics. */
 @Timeout(30)
 class AdminTest {
   private static final long MAX_REPLY_NANOS = 1_000_000_000L;
@@ -32,7 +32,7 @@
         assertTrue(admin.readLine().startsWith("400"), call);
         admin.readToEnd();
       }
-      // What people type ends in LF alone, and may come in pieces.
+      // A call typed by hand ends in LF alone and may arrive in pieces.
       LineSocket admin = fixture.newAdminClient().send("show-").send("stat\n");
       assertTrue(admin.readLine().startsWith("200"));
       String last = null;
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Whoever keeps a connection without a call must not keep a reply from those that have one. */
+  /** Connections without a call must not delay the reply to callers that have sent one. */
   @Test
   void callersWithoutACallDoNotBlockOthers() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -52,16 +52,17 @@
         idleCallers.add(fixture.newAdminClient().send("sho"));
         long callNanos = System.nanoTime();
         assertEquals(0, fixture.metric("in_flight"));
-        assertTrue(System.nanoTime() - callNanos < MAX_REPLY_NANOS, "a reply is due within a second");
+        assertTrue(System.nanoTime() - callNanos < MAX_REPLY_NANOS, "a reply must come within a second");
       }
       idleCallers.get(0).readToEnd();
       long startNanos = System.nanoTime();
       idleCallers.get(idleCallers.size() - 1).readToEnd();
-      assertTrue(System.nanoTime() - startNanos < (fixture.limits().adminTimeout() + 1_000_000) * 1000, "the newest is timed");
+      assertTrue(System.nanoTime() - startNanos < (fixture.limits().adminTimeout() + 1_000_000) * 1000,
+          "the newest idle connection also times out");
     }
   }
 
-  /** Once as many had come as the library takes, it stopped accepting until two had gone, and not one. */
+  /** Guards against the library resuming accepts at its connection limit only after two connections have closed. */
   @Test
   void unfinishedCallsDoNotKeepOthersInTheBacklog() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -70,14 +71,16 @@
         fixture.newAdminClient().send("sho");
       }
       assertTrue(fixture.newAdminClient().send("ready\r\n").readLine().matches("(200 yes|400 no)"));
-      assertTrue(System.nanoTime() - startNanos < fixture.limits().adminTimeout() * 1000, "answered once their time was over");
+      assertTrue(System.nanoTime() - startNanos < fixture.limits().adminTimeout() * 1000,
+          "answered only after their timeout");
     }
   }
 
-  /** Ready was once the same as listening: clients came before there was a server to send them to. */
+  /** Guards against a proxy that is ready as soon as it listens: clients then arrived before any server was known. */
   @Test
   void readyOnceDiscoveryHasDeliveredAListAndNotDuringAStop() throws Exception {
-    try (ProxyFixture fixture = new ProxyFixture(event -> event instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
+    try (ProxyFixture fixture = new ProxyFixture(
+        event -> event instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
       LineSocket discovery = fixture.acceptAtDiscovery();
       assertEquals("400 no", fixture.newAdminClient().send("ready\r\n").readLine());
       String list = "{\"generation\":2,\"reset\":true,\"instances\":[" + fixture.instanceJson("in_service") + "]}\n";
@@ -94,7 +97,7 @@
     }
   }
 
-  /** Each of them once, for every class of the settings and from 0. */
+  /** Each answer and attempt counts once; every configured class is listed and starts at 0. */
   @Test
   void countsAnswersToClientsAndAttempts() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -111,15 +114,16 @@
       assertEquals(1, fixture.metric("refused.chat"));
       assertEquals(2, fixture.metric("attempts"));
 
-      // Answered without ever becoming a request: its class is known all the same.
-      assertEquals("ERR", fixture.newClient().send((ProxyTest.OPEN_PREFIX + OPEN_FIELDS + "\r\n").repeat(2)).readLine());
+      // Rejected before it became a request, but its class is known.
+      assertEquals("ERR",
+          fixture.newClient().send((ProxyTest.OPEN_PREFIX + OPEN_FIELDS + "\r\n").repeat(2)).readLine());
       assertEquals(1, fixture.metric("failed.chat"));
       assertEquals("ERR", fixture.newClient("c=none,d=2000").readLine());
-      assertEquals(1, fixture.metric("failed.chat"), "an unknown class counts in none");
+      assertEquals(1, fixture.metric("failed.chat"), "a request of an unknown class counts for no class");
 
       LineSocket adopted = fixture.newClient("c=chat,d=2000,at=" + ProxyFixture.SERVER);
       establish(fixture, adopted);
-      assertEquals(2, fixture.metric("served.chat"), "one that was open before is brought up here too");
+      assertEquals(2, fixture.metric("served.chat"), "an adopted connection also counts as served");
       assertEquals(3, fixture.metric("attempts"));
 
       fixture.events.clear();
@@ -128,11 +132,11 @@
       assertNull(client.readLine());
       fixture.awaitEvent(Ended.class);
       assertEquals(1, fixture.metric("in_flight"));
-      assertEquals(2, fixture.metric("served.chat"), "an end counts nothing more");
+      assertEquals(2, fixture.metric("served.chat"), "the end of a connection changes no count");
     }
   }
 
-  /** What is left out is the module's to say. */
+  /** The module decides which servers count as excluded. */
   @Test
   void serverCountsComeFromTheModule() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
--- a/proxy/src/test/java/lemondeal/proxy/BadClientsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/BadClientsTest.java
@@ -1,7 +1,7 @@
 package lemondeal.proxy;
 
-import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
 import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
+import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
 import static lemondeal.proxy.ProxyTest.establish;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,12 +24,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that do not keep to the protocol get an error or an end, and cost the others nothing. */
+/** Clients that violate the protocol get an error or are disconnected, without harm to other clients. */
 @Timeout(30)
 class BadClientsTest {
   private static final long MAX_END_NANOS = 3_000_000_000L;
 
-  /** Connections that said nothing once filled all that the proxy accepts: usual clients waited behind them. */
+  /** Guards against silent connections that use up all connections that the proxy accepts, so that clients wait. */
   @Test
   void silentConnectionsDoNotBlockOthers() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, "", 256)) {
@@ -38,22 +38,23 @@
       for (int i = 0; i <= fixture.limits().maxPending() + 2 * fixture.limits().maxClients(); i++) {
         silent.add(fixture.newClient());
       }
-      assertEquals("BUSY", silent.get(0).readLine(), "the oldest is sent away");
+      assertEquals("BUSY", silent.get(0).readLine(), "the oldest is evicted");
       assertNull(silent.get(0).readLine());
-      assertTrue(System.nanoTime() - startNanos < fixture.limits().firstLineTimeout() * 1000, "and at once");
+      assertTrue(System.nanoTime() - startNanos < fixture.limits().firstLineTimeout() * 1000, "evicted early");
       establish(fixture, fixture.newClient(OPEN_FIELDS));
       for (LineSocket connection : silent) {
         connection.readToEnd();
       }
-      assertTrue(System.nanoTime() - startNanos < MAX_END_NANOS, "every one is owed an end within 3 s of connecting");
+      assertTrue(System.nanoTime() - startNanos < MAX_END_NANOS, "every connection must be ended within 3 s");
     }
   }
 
-  /** Clients that come in a burst are accepted before any of them is read: the first were once sent away unheard. */
+  /** Guards against evicting the first clients of a burst before their lines are read: all are accepted first. */
   @Test
   void aBurstOfClientsIsAnsweredWhenAllSlotsAreTaken() throws Exception {
     CountDownLatch burstConnected = new CountDownLatch(1);
-    try (ProxyFixture fixture = new ProxyFixture(event -> event instanceof LoadChanged ? await(burstConnected) : ProxyTest.sendOnce(event), "", 256)) {
+    try (ProxyFixture fixture = new ProxyFixture(
+        event -> event instanceof LoadChanged ? await(burstConnected) : ProxyTest.sendOnce(event), "", 256)) {
       LineSocket server = establish(fixture, fixture.newClient(OPEN_FIELDS));
       for (int i = 1; i < fixture.limits().maxClients(); i++) {
         establish(fixture, fixture.newClient(OPEN_FIELDS));
@@ -80,7 +81,7 @@
     }
   }
 
-  /** The answers to a client that asked without reading once overran its ring. */
+  /** Guards against the PONGs for a client that does not read overflowing its ring buffer. */
   @Test
   void aFloodOfPingsWithUnreadAnswersIsThrottledByBackPressure() throws Exception {
     String pings = "PING\r\n".repeat(1000);
@@ -91,13 +92,13 @@
         while (true) {
           flood.send(pings);
         }
-      }, "it ends with its connection"));
+      }, "sending fails once its connection is closed"));
       sender.start();
-      // By then the buffers of both sides are full: the answers are more than the system holds.
+      // By now the buffers of both sides are full: the answers exceed what the kernel holds.
       sender.join(1_000);
-      assertTrue(sender.isAlive(), "the flood is held back, and not ended by a failure");
+      assertTrue(sender.isAlive(), "the flood is throttled by back-pressure, not disconnected");
       establish(fixture, fixture.newClient(OPEN_FIELDS));
-      // Its connection ends when the time for a first line is over.
+      // Its connection ends with the timeout for a first line.
       sender.join();
     }
   }
@@ -120,7 +121,7 @@
     }
   }
 
-  /** A client waits behind its first line: whoever does not is told so, and nothing has run. */
+  /** A client must wait for the answer to its first line: one that sends on gets an error, and nothing runs. */
   @Test
   void hundredsOfCommandsAtOnceAreRejected() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -136,13 +137,13 @@
       LineSocket server = fixture.acceptAtServer();
       server.readLine();
       assertEquals("ERR", client.send("hello").readLine());
-      assertNull(server.readLine(), "the execution is given up");
+      assertNull(server.readLine(), "the execution is cancelled");
       fixture.awaitEvent(ClientGone.class);
       assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
     }
   }
 
-  /** One that only ended its sending was once cut off without its answer. */
+  /** Guards against disconnecting a half-closed client without its answer. */
   @Test
   void aHalfClosedClientIsStillAnswered() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -154,12 +155,12 @@
     }
   }
 
-  /** A failure inside must not leave the connection hanging, nor reach any other. */
+  /** An internal failure must neither leave its connection hanging nor affect others. */
   @Test
   void anInternalFailureEndsOnlyItsConnection() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(event -> {
       if (event instanceof Arrived e && e.request().clientRetry()) {
-        throw new IllegalStateException("the module fails on this one");
+        throw new IllegalStateException("scripted failure of the module");
       }
       return ProxyTest.sendOnce(event);
     })) {
@@ -168,7 +169,7 @@
       fixture.newClient(OPEN_FIELDS + ",r=1").readToEnd();
       server.send("still here\r\n");
       assertEquals("still here", good.readLine());
-      assertEquals("BUSY 250", fixture.newClient("c=chat,d=200").readLine(), "deadlines still come");
+      assertEquals("BUSY 250", fixture.newClient("c=chat,d=200").readLine(), "timers still run");
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/BlockedLogProgram.java
+++ b/proxy/src/test/java/lemondeal/proxy/BlockedLogProgram.java
@@ -20,11 +20,12 @@
 import lemondeal.ProgramCommands;
 import lemondeal.proxy.ProxyFixture.LineSocket;
 
-/** The program as it is started, with one server and a log that stands still until the test empties it. */
+/** The program as a process with one server and a log pipe that is full, so that logging blocks until it is read. */
 final class BlockedLogProgram implements AutoCloseable {
   private static final int TIMEOUT_S = 30;
-  /** Writes to the log until that takes no more, and becomes the program. */
-  private static final String FILL_STDERR_SCRIPT = "my $f = fcntl(STDERR, F_GETFL, 0); fcntl(STDERR, F_SETFL, $f | O_NONBLOCK);"
+  /** Fills the stderr pipe and then replaces itself with the program. */
+  private static final String FILL_STDERR_SCRIPT =
+      "my $f = fcntl(STDERR, F_GETFL, 0); fcntl(STDERR, F_SETFL, $f | O_NONBLOCK);"
       + " 1 while defined syswrite(STDERR, 'x'); fcntl(STDERR, F_SETFL, $f); exec(@ARGV) or die $!";
   private static final String LISTEN_STATE = "0A";
 
@@ -43,11 +44,12 @@
         + "\",\"zone\":\"a\",\"machineType\":\"toy\",\"lifecycle\":\"in_service\"}]";
     Path file = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("../example/config.json"))
         .replace("\"instances\": []", "\"instances\": " + serverList));
-    // The library's own words at its start would stand still there.
+    // The library's log lines at start-up would block on the full pipe.
     Path loggingConfig = Files.writeString(folder.resolve("logging.properties"), ".level=OFF\n");
     List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
     command.addAll(List.of("perl", "-MFcntl", "-e", FILL_STDERR_SCRIPT, ProgramCommands.java(),
-        "-Djava.util.logging.config.file=" + loggingConfig, "-cp", ProgramCommands.classPath(), "lemondeal.Main", "serve"));
+        "-Djava.util.logging.config.file=" + loggingConfig, "-cp", ProgramCommands.classPath(), "lemondeal.Main",
+        "serve"));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_LISTEN", "127.0.0.1:0",
         "GW_DISCOVERY", "127.0.0.1:1"));
@@ -64,7 +66,7 @@
     return new LineSocket(new Socket(InetAddress.getLoopbackAddress(), listeningPorts().get(0)));
   }
 
-  /** Ports on which the program listens, as the system tells them. */
+  /** The ports on which the program listens, as listed in /proc. */
   private List<Integer> listeningPorts() throws IOException {
     List<String> sockets = entryNames("/proc/" + process.pid() + "/fd", BlockedLogProgram::linkTarget);
     try (Stream<String> rows = Stream.of("/proc/net/tcp", "/proc/net/tcp6").map(Path::of).filter(Files::exists)
@@ -112,7 +114,7 @@
     return new LineSocket(server.accept());
   }
 
-  /** Sends SIGTERM; returns once the program carries it out, or has ended. */
+  /** Sends SIGTERM; returns once the program handles it or has exited. */
   void terminate() throws IOException {
     process.toHandle().destroy();
     while (process.isAlive()
@@ -125,13 +127,13 @@
     new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
   }
 
-  /** From now on the log is read, and not kept. */
+  /** Starts to read and discard the log. */
   void drainLog() {
     Thread reader = new Thread(() -> {
       try {
         process.getErrorStream().transferTo(OutputStream.nullOutputStream());
       } catch (IOException e) {
-        // The program has ended.
+        // The program has exited.
       }
     });
     reader.setDaemon(true);
--- a/proxy/src/test/java/lemondeal/proxy/ClientDisconnectRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ClientDisconnectRaceTest.java
@@ -1,9 +1,9 @@
 package lemondeal.proxy;
 
-import static lemondeal.proxy.RaceSteps.expireTimersBeforeReading;
-import static lemondeal.proxy.RaceSteps.serverBacklog;
 import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
 import static lemondeal.proxy.ProxyTest.establish;
+import static lemondeal.proxy.RaceSteps.expireTimersBeforeReading;
+import static lemondeal.proxy.RaceSteps.serverBacklog;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -33,16 +33,16 @@
 import lemondeal.Balancer.Send;
 import lemondeal.Balancer.Wake;
 import lemondeal.Balancer.WakeAfter;
-import lemondeal.proxy.RaceSteps.Gate;
-import lemondeal.proxy.RaceSteps.CloseKind;
 import lemondeal.proxy.ProxyFixture.EventLoopPause;
 import lemondeal.proxy.ProxyFixture.LineSocket;
+import lemondeal.proxy.RaceSteps.CloseKind;
+import lemondeal.proxy.RaceSteps.Gate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A client whose end is in the kernel has gone, whatever the proxy was about to do for it. */
+/** Once the kernel has a client's FIN or reset, the proxy must not begin anything further for that client. */
 @Timeout(30)
 class ClientDisconnectRaceTest {
   private static final int BURST = 20;
@@ -55,7 +55,7 @@
     return event instanceof Ended e && e.outcome() == Outcome.REFUSED;
   }
 
-  /** Answers the arrival as the test says; sends at the event that is due, and stands still before that. */
+  /** Returns the given action on arrival; blocks at the gate and then sends when the trigger event comes. */
   private static Function<Event, List<Action>> sendOnEvent(Gate gate, Predicate<Event> trigger,
       Function<String, Action> onArrival) {
     List<String> ids = new CopyOnWriteArrayList<>();
@@ -71,8 +71,9 @@
     };
   }
 
-  /** Has the client leave while the module is about to send, and sees that nothing was begun. */
-  private static void disconnectBeforeSend(ProxyFixture fixture, Gate gate, LineSocket client, CloseKind closeKind) throws Exception {
+  /** Disconnects the client while the module is about to send, and checks that no attempt begins. */
+  private static void disconnectBeforeSend(ProxyFixture fixture, Gate gate, LineSocket client, CloseKind closeKind)
+      throws Exception {
     gate.awaitReached();
     closeKind.closeAndAwaitReceived(client);
     gate.open();
@@ -81,7 +82,7 @@
     assertEquals(Outcome.NOT_SENT, ended.outcome());
     assertTrue(ended.requestFinished());
     fixture.awaitQueuedWork();
-    assertEquals(0, serverBacklog(fixture, 0), "connections begun for a client that has gone");
+    assertEquals(0, serverBacklog(fixture, 0), "connections begun for a client that has disconnected");
   }
 
   @ParameterizedTest
@@ -97,7 +98,8 @@
   @EnumSource(CloseKind.class)
   void noAttemptInTheModulesQueueBeginsForAClientThatHasGone(CloseKind closeKind) throws Exception {
     Gate gate = new Gate();
-    try (ProxyFixture fixture = new ProxyFixture(sendOnEvent(gate, Wake.class::isInstance, id -> new WakeAfter(1, 7)))) {
+    try (ProxyFixture fixture = new ProxyFixture(
+        sendOnEvent(gate, Wake.class::isInstance, id -> new WakeAfter(1, 7)))) {
       disconnectBeforeSend(fixture, gate, fixture.newClient(OPEN_FIELDS), closeKind);
     }
   }
@@ -106,7 +108,8 @@
   @EnumSource(CloseKind.class)
   void noAttemptBeginsAtAProbesAnswerForAClientThatHasGone(CloseKind closeKind) throws Exception {
     Gate gate = new Gate();
-    try (ProxyFixture fixture = new ProxyFixture(sendOnEvent(gate, ProbeResult.class::isInstance, id -> new Probe(ProxyFixture.SERVER)))) {
+    try (ProxyFixture fixture = new ProxyFixture(
+        sendOnEvent(gate, ProbeResult.class::isInstance, id -> new Probe(ProxyFixture.SERVER)))) {
       LineSocket client = fixture.newClient(OPEN_FIELDS);
       LineSocket probed = fixture.acceptAtServer();
       assertEquals("STATS", probed.readLine());
@@ -119,7 +122,8 @@
   @EnumSource(CloseKind.class)
   void noRepeatBeginsForAClientThatHasGone(CloseKind closeKind) throws Exception {
     Gate gate = new Gate();
-    try (ProxyFixture fixture = new ProxyFixture(sendOnEvent(gate, ClientDisconnectRaceTest::isRefused, ClientDisconnectRaceTest::send))) {
+    try (ProxyFixture fixture = new ProxyFixture(
+        sendOnEvent(gate, ClientDisconnectRaceTest::isRefused, ClientDisconnectRaceTest::send))) {
       LineSocket client = fixture.newClient(OPEN_FIELDS);
       LineSocket server = fixture.acceptAtServer();
       server.readLine();
@@ -129,7 +133,7 @@
     }
   }
 
-  /** The end comes between the turn in which the connection came up and the one in which it is written to. */
+  /** The client leaves between the turn in which the server connection comes up and the turn that writes to it. */
   @ParameterizedTest
   @EnumSource(CloseKind.class)
   void nothingIsWrittenToADialThatComesUpForAClientThatHasGone(CloseKind closeKind) throws Exception {
@@ -149,18 +153,18 @@
       LineSocket client = fixture.newClient(OPEN_FIELDS + ",r=1");
       dialled.awaitReached();
       KernelSockets.await(() -> serverBacklog(fixture, 0) == 1);
-      // Read in the same turn as the connection comes up, and the turn ends with the client's end in the kernel.
+      // Read in the turn in which the connection comes up; that turn ends with the client's FIN or reset in the kernel.
       established.send("LOAD 1\r\n").awaitUnread(8);
       dialled.open();
       loadRead.awaitReached();
       closeKind.closeAndAwaitReceived(client);
       loadRead.open();
       assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
-      assertNull(fixture.acceptAtServer().readLine(), "a first line for a client that has gone");
+      assertNull(fixture.acceptAtServer().readLine(), "a first line for a client that has disconnected");
     }
   }
 
-  /** Both are found in one turn, in whichever order the selector has them. */
+  /** The selector reports both events in one turn, in either order. */
   @ParameterizedTest
   @EnumSource(CloseKind.class)
   void nothingIsWrittenToADialThatComesUpInTheTurnInWhichItsClientLeaves(CloseKind closeKind) throws Exception {
@@ -179,7 +183,7 @@
       closeKind.closeAndAwaitReceived(client);
       dialled.open();
       assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
-      assertNull(fixture.acceptAtServer().readLine(), "the connection is closed with nothing written");
+      assertNull(fixture.acceptAtServer().readLine(), "the connection is closed without anything written");
     }
   }
 
@@ -192,12 +196,13 @@
       server.readLine();
       server.close();
       RaceSteps.awaitClosedByProxy(server);
-      expireTimersBeforeReading(fixture, fixture.limits().adoptRetryDelay() + fixture.limits().timerTick(), () -> closeKind.closeAndAwaitReceived(client));
-      assertEquals(0, serverBacklog(fixture, 0), "tries begun for a client that has gone");
+      expireTimersBeforeReading(fixture, fixture.limits().adoptRetryDelay() + fixture.limits().timerTick(),
+          () -> closeKind.closeAndAwaitReceived(client));
+      assertEquals(0, serverBacklog(fixture, 0), "attempts begun for a client that has disconnected");
     }
   }
 
-  /** The leavers' places are taken by newcomers in the same turn; late words on a leaver must not find them. */
+  /** A new client takes the slot of one that left in the same turn; late actions for the old id must not affect it. */
   @Test
   void staleActionsDoNotAffectTheSlotsNextRequest() throws Exception {
     List<String> ids = new CopyOnWriteArrayList<>();
@@ -207,8 +212,9 @@
         return ids.size() == 1 ? List.of(new WakeAfter(1_000_000, 7)) : List.of(send(e.request().id()));
       }
       if (event instanceof Wake) {
-        String gone = ids.get(0);
-        return List.of(send(gone), new CancelAttempt(gone, 0), new Refuse(gone, 0), new Fail(gone), new Move(gone));
+        String departedId = ids.get(0);
+        return List.of(send(departedId), new CancelAttempt(departedId, 0), new Refuse(departedId, 0),
+            new Fail(departedId), new Move(departedId));
       }
       return List.of();
     })) {
@@ -230,11 +236,11 @@
       server.send("UP r1\r\nhello\r\n");
       assertEquals("UP r1", newcomer.readLine());
       assertEquals("hello", newcomer.readLine());
-      assertEquals(0, serverBacklog(fixture, 0), "nothing is sent for the one that has gone");
+      assertEquals(0, serverBacklog(fixture, 0), "nothing is sent for the client that has disconnected");
     }
   }
 
-  /** Each place that a leaver frees goes to the next in the module's queue, who has left in the same turn. */
+  /** Each freed place goes to the next client in the module's queue, which has left in the same turn. */
   @ParameterizedTest
   @EnumSource(CloseKind.class)
   void noAttemptBeginsForABurstOfClientsThatHaveGone(CloseKind closeKind) throws Exception {
@@ -266,11 +272,11 @@
         fixture.awaitEvent(ClientGone.class);
       }
       fixture.awaitQueuedWork();
-      assertEquals(0, serverBacklog(fixture, 0), "connections begun for clients that have gone");
+      assertEquals(0, serverBacklog(fixture, 0), "connections begun for clients that have disconnected");
     }
   }
 
-  /** A client that leaves with its attempt out, while a move of it is decided. */
+  /** A client leaves in the moment in which the module decides to move it. */
   @ParameterizedTest
   @EnumSource(CloseKind.class)
   void aMoveOfAClientThatHasGoneEndsItOnce(CloseKind closeKind) throws Exception {
@@ -291,7 +297,7 @@
       server.readToEnd();
       assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
       fixture.awaitQueuedWork();
-      assertFalse(fixture.events.stream().anyMatch(Ended.class::isInstance), "told once");
+      assertFalse(fixture.events.stream().anyMatch(Ended.class::isInstance), "reported once");
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/ConnectionCloseRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ConnectionCloseRaceTest.java
@@ -1,9 +1,9 @@
 package lemondeal.proxy;
 
-import static lemondeal.proxy.RaceSteps.expireTimersBeforeReading;
-import static lemondeal.proxy.RaceSteps.serverBacklog;
 import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
 import static lemondeal.proxy.ProxyTest.establish;
+import static lemondeal.proxy.RaceSteps.expireTimersBeforeReading;
+import static lemondeal.proxy.RaceSteps.serverBacklog;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bytes and ends that meet a connection in the moment in which the proxy ends it. */
+/** Bytes and closes that reach a connection in the moment in which the proxy ends it. */
 @Timeout(30)
 class ConnectionCloseRaceTest {
   private static final long MARGIN = 50_000;
@@ -41,24 +41,25 @@
   }
 
   private static void assertClosedWithoutReset(LineSocket connection) throws Exception {
-    assertNull(connection.readLine(), "an end and no reset");
-    assertFalse(RaceSteps.isReset(connection), "a reset behind the end");
+    assertNull(connection.readLine(), "a FIN, not a reset");
+    assertFalse(RaceSteps.isReset(connection), "a reset after the FIN");
   }
 
   // ---- Connections without a request ----------------------------------------------------------
 
-  /** The line was there, and its client was once reset without an answer. */
+  /** Guards against resetting a client without an answer although its line had been received. */
   @Test
   void aFirstLineReceivedBeforeItsTimeoutRunsIsServed() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
       LineSocket client = RaceSteps.idleClient(fixture);
       expireTimersBeforeReading(fixture, fixture.limits().firstLineTimeout() + MARGIN, () ->
-          client.send(ProxyTest.OPEN_PREFIX + OPEN_FIELDS + "\r\n").awaitUnread(ProxyTest.OPEN_PREFIX.length() + OPEN_FIELDS.length() + 2));
+          client.send(ProxyTest.OPEN_PREFIX + OPEN_FIELDS + "\r\n")
+              .awaitUnread(ProxyTest.OPEN_PREFIX.length() + OPEN_FIELDS.length() + 2));
       establish(fixture, client);
     }
   }
 
-  /** A request that crosses the end on the wire is answered by it, and never sent on. */
+  /** A request that crosses the close on the wire gets BUSY and is never forwarded. */
   @Test
   void aFirstLineAfterTheCloseOfAnIdleConnectionIsNotForwarded() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -74,21 +75,22 @@
     }
   }
 
-  /** Half a line lay unread as the connection was closed: a reset took the PONG along. */
+  /** Guards against closing with unread bytes: the kernel then sends a reset, and the client loses its PONG. */
   @Test
   void halfALineAtTheCloseOfAnIdleConnectionCausesNoReset() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
       LineSocket client = fixture.newClient().send("PING\r\n");
       assertEquals("PONG", client.readLine());
       fixture.awaitQueuedWork();
-      expireTimersBeforeReading(fixture, fixture.limits().firstLineTimeout() + MARGIN, () -> client.send("OPEN 00").awaitUnread(7));
+      expireTimersBeforeReading(fixture, fixture.limits().firstLineTimeout() + MARGIN,
+          () -> client.send("OPEN 00").awaitUnread(7));
       client.send("00");
       fixture.awaitQueuedWork();
       assertClosedWithoutReset(client);
     }
   }
 
-  // ---- Sides that linger behind their last answer ----------------------------------------------
+  // ---- Lingering close after the last answer ---------------------------------------------------
 
   @Test
   void bytesAtTheEndOfALingeringCloseCauseNoReset() throws Exception {
@@ -96,12 +98,13 @@
       LineSocket client = fixture.newClient().send("garbage\r\n");
       assertEquals("ERR", client.readLine());
       fixture.awaitQueuedWork();
-      expireTimersBeforeReading(fixture, fixture.limits().lingerTimeout() + MARGIN, () -> client.send("more\r\n").awaitUnread(6));
+      expireTimersBeforeReading(fixture, fixture.limits().lingerTimeout() + MARGIN,
+          () -> client.send("more\r\n").awaitUnread(6));
       assertClosedWithoutReset(client);
     }
   }
 
-  /** There is room for so many; who is sent away for others may have sent more meanwhile. */
+  /** Lingering connections are limited in number; one that is evicted for others may have sent more meanwhile. */
   @Test
   void bytesAtTheEvictionOfALingeringConnectionCauseNoReset() throws Exception {
     List<String> waiting = new CopyOnWriteArrayList<>();
@@ -131,7 +134,7 @@
 
   // ---- Moves ----------------------------------------------------------------------------------
 
-  /** Moves the first client at the word of another connection. */
+  /** Moves the first client when another connection reports a load. */
   private static Function<Event, List<Action>> moveFirstClient(List<String> ids) {
     return event -> {
       if (event instanceof Established e) {
@@ -147,7 +150,7 @@
     fixture.awaitQueuedWork();
   }
 
-  /** The move waited for the end of a line that cannot come any more, and the client was ended without it. */
+  /** Guards against a move that waits for the rest of a line after its server has closed: the client got no MOVE. */
   @Test
   void aServerThatClosesMidLineDuringAMoveHasItsClientMoved() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(moveFirstClient(new CopyOnWriteArrayList<>()))) {
@@ -164,7 +167,7 @@
     }
   }
 
-  /** PROTOCOL: a connection that its server has ended is ended within a second. A move once put that off for 5 s. */
+  /** PROTOCOL: a connection that its server has ended is ended within a second. A move once delayed that by 5 s. */
   @Test
   void aMoveDoesNotDelayTheEndOfAConnectionWhoseServerHasEnded() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(moveFirstClient(new CopyOnWriteArrayList<>()))) {
@@ -180,7 +183,7 @@
     }
   }
 
-  /** The client rests; it writes in the instant of its MOVE, and its server in that of the end. */
+  /** An idle client writes in the instant of its MOVE, and its server in the instant of the close. */
   @Test
   void bytesThatCrossAMoveDoNotDropIt() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(event -> {
@@ -203,9 +206,9 @@
     }
   }
 
-  // ---- Servers' last words ---------------------------------------------------------------------
+  // ---- Servers' last lines ---------------------------------------------------------------------
 
-  /** PROTOCOL: BYE, then the end of the connection, is served to its end; what comes behind it belongs to nobody. */
+  /** PROTOCOL: a connection that ends after BYE counts as served; lines after BYE do not change that. */
   @ParameterizedTest
   @ValueSource(strings = {"ERR", "BUSY", "UP r2", "LOAD 3"})
   void aSecondAnswerAfterByeDoesNotChangeTheOutcome(String second) throws Exception {
@@ -221,7 +224,7 @@
     }
   }
 
-  /** The server's reset behind its BYE was once passed on as one, and overtook the BYE. */
+  /** Guards against passing on a server's reset after BYE as a reset, which overtook the BYE. */
   @Test
   void aResetAfterByeClosesTheClientWithoutReset() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -239,7 +242,7 @@
     }
   }
 
-  /** PROTOCOL: a client is moved, not cut off, while its server still answers. */
+  /** PROTOCOL: a client is moved, not disconnected, while its server still answers. */
   @ParameterizedTest
   @ValueSource(ints = {0, 5000})
   void aServerWithUnreadableOutputHasItsClientMoved(int excessLength) throws Exception {
@@ -254,7 +257,7 @@
     }
   }
 
-  /** An UP without a receipt serves nobody: the client would be given what no server made for it. */
+  /** An UP without a receipt does not count: the client would get an answer that no server gave. */
   @ParameterizedTest
   @ValueSource(strings = {"UP", "UP ", "UPPER r1", "up r1", "x"})
   void aMalformedAnswerFailsItsAttempt(String answer) throws Exception {
@@ -268,7 +271,7 @@
     }
   }
 
-  /** Its first link's late second answer belongs to nobody: the repeat is answered on its own. */
+  /** A late second answer on the first link is ignored: the repeat gets its own answer. */
   @Test
   void aSecondAnswerAfterARefusalDoesNotReachTheRepeat() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(event -> event instanceof Ended e && !e.requestFinished()
@@ -287,7 +290,7 @@
     }
   }
 
-  /** A second UP is a line like any other: the client's one answer is the first. */
+  /** A second UP is relayed like any other line: the first one is the client's answer. */
   @Test
   void aSecondUpChangesNothing() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
--- a/proxy/src/test/java/lemondeal/proxy/ConnectionFloodTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ConnectionFloodTest.java
@@ -1,7 +1,7 @@
 package lemondeal.proxy;
 
-import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
 import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
+import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
 import static lemondeal.proxy.ProxyTest.establish;
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -33,13 +33,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Many at once, at the clients' address and at the second one: what crosses when all of it comes in one round. */
+/** Many connections or bytes at once, at the clients' address and at the admin address, arriving in one turn. */
 @Timeout(120)
 class ConnectionFloodTest {
   private static final String LONG_REQUEST = "c=chat,d=600000";
   private static final long SECOND = 1_000_000;
 
-  /** Heard on their way out, those whose lines had come once sent each other away from within one another. */
+  /** Guards against recursion: evicted connections with a received line were read and then evicted others in turn. */
   @Test
   void pendingClientsWhoseLinesArriveInOneTurnAreAnswered() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
@@ -68,12 +68,12 @@
       awaitMetric(fixture, "in_flight", slots);
       awaitMetric(fixture, "refused.chat", clients.size() - slots);
       assertEquals(slots, fixture.events.stream().filter(Arrived.class::isInstance).count());
-      assertTrue(maxDepth.get() < 100, "each is heard from within the one before: " + maxDepth + " calls deep");
+      assertTrue(maxDepth.get() < 100, "events are dispatched recursively: " + maxDepth + " calls deep");
       assertEquals("", log.toString().replace("lemondeal: ready\n", ""));
     }
   }
 
-  /** Asks for the figure until it is there, or has been asked so often that all that was queued is long done. */
+  /** Polls the metric until it has the value, or until all queued work must long be done. */
   private static void awaitMetric(ProxyFixture fixture, String name, long value) throws Exception {
     for (int i = 0; i < 200 && fixture.metric(name) != value; i++) {
       fixture.awaitQueuedWork();
@@ -81,7 +81,7 @@
     assertEquals(value, fixture.metric(name), name);
   }
 
-  /** More than there are slots for, in one round of accepts, with clients at work beside them. */
+  /** More clients than free slots in one turn of accepts, beside clients that are being served. */
   @Test
   void aBurstBeyondTheSlotsIsThrottledAndOthersAreServed() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, "", 128)) {
@@ -140,7 +140,7 @@
     }
   }
 
-  /** The id is free again once its holder has gone. */
+  /** The id is free again once its holder has disconnected. */
   @Test
   void anIdWhoseHolderWasResetIsFree() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -159,7 +159,7 @@
     }
   }
 
-  /** Its line and its end come in one read: it has ended its sending and waits for its answer. */
+  /** The line and the FIN are read together: the client has half-closed and waits for its answer. */
   @Test
   void aFirstLineFollowedByAFinIsAnsweredAndNotForwarded() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -178,7 +178,7 @@
     }
   }
 
-  /** The system gives the line before the reset: a connection may come up for it, and nothing is written to that. */
+  /** The kernel delivers the line before the reset: a server connection may come up, but nothing is written to it. */
   @Test
   void aFirstLineFollowedByAResetIsNotForwarded() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -189,7 +189,7 @@
         client.awaitCloseReceived();
         pause.resume();
       }
-      // Accepted behind it, and so sent on behind it.
+      // Accepted after the reset client, and so forwarded after it.
       LineSocket next = fixture.newClient(OPEN_FIELDS);
       LineSocket server = fixture.acceptAtServer();
       String line = server.readLine();
@@ -219,7 +219,7 @@
     }
   }
 
-  /** Whoever sends without end what can't be read: the end is owed within moments, however much comes. */
+  /** A client that sends endless unreadable input is ended soon, however much it sends. */
   @ParameterizedTest
   @ValueSource(strings = {"no line ", "OPEN\r\n", "OPEN 0000000000000001 k c=chat,d=2000\r\n", "\0\r\n\r"})
   void sixtyMegabytesOfGarbageEndInAnError(String garbage) throws Exception {
@@ -230,7 +230,7 @@
         for (int i = 0; i < 60 * 16; i++) {
           flood.send(block);
         }
-        throw new IOException("all of it was taken");
+        throw new IOException("all bytes were accepted");
       }));
       sender.start();
       assertEquals("ERR", flood.readLine());
@@ -242,11 +242,12 @@
     }
   }
 
-  /** Whatever they do before they go, ten thousand leave no slot, buffer, deadline or descriptor behind. */
+  /** Whatever they do before they disconnect, ten thousand clients leak no slot, buffer, timer or descriptor. */
   @Test
   void tenThousandShortConnectionsLeakNothing() throws Exception {
-    // Lists are asked for, and the module asks for none: the proxy has no deadline of its own.
-    try (ProxyFixture fixture = ProxyFixture.of(event -> List.of(), options -> options.editConfig = text -> text.replace("\"settings\":{",
+    // In poll mode with a module that requests no list the proxy itself has no timer.
+    try (ProxyFixture fixture = ProxyFixture.of(event -> List.of(),
+        options -> options.editConfig = text -> text.replace("\"settings\":{",
         "\"settings\":{\"membershipMode\":\"subscribe\",\"rules\":{\"askEvery\":10000000},"))) {
       connectAndReset(fixture, 500);
       fixture.advanceClock(5 * SECOND);
@@ -254,7 +255,8 @@
       long buffersBefore = directBuffers();
       connectAndReset(fixture, 10_000);
       fixture.advanceClock(5 * SECOND);
-      assertTrue(openSockets() <= socketsBefore + 2, openSockets() + " sockets, " + socketsBefore + " before, and the test's own two");
+      assertTrue(openSockets() <= socketsBefore + 2,
+          openSockets() + " sockets, " + socketsBefore + " before, and the test's own two");
       assertTrue(directBuffers() <= buffersBefore + 2, directBuffers() + " buffers, " + buffersBefore + " before");
       KernelSockets.await(() -> timeToNextTimer(fixture) == Long.MAX_VALUE);
       assertEquals(0, fixture.metric("in_flight"));
@@ -282,7 +284,7 @@
         connection.reset();
       }
     }
-    // Once the second of these has its answer, all that came before the first has been accepted and read.
+    // Once the second of these is answered, all connections before the first have been accepted and read.
     for (int i = 0; i < 2; i++) {
       assertEquals("PONG", fixture.newClient().send("PING\r\n").readLine());
     }
@@ -298,7 +300,7 @@
     try {
       return Files.readSymbolicLink(descriptor).toString().startsWith("socket:");
     } catch (IOException e) {
-      // Closed since the list was made.
+      // Closed since the folder was listed.
       return false;
     }
   }
@@ -308,16 +310,16 @@
         .stream().filter(pool -> pool.getName().equals("direct")).findFirst().orElseThrow().getCount();
   }
 
-  // ---- The second address ---------------------------------------------------------------------
+  // ---- The admin address ----------------------------------------------------------------------
 
-  /** Callers behind their replies once took the places of clients that still had to read their last answer. */
+  /** Guards against admin connections in a lingering close evicting clients that still have to read their answer. */
   @Test
   void aFloodAtTheAdminAddressTakesNoClientsPlace() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, "", 128)) {
       List<LineSocket> answered;
       long startNanos;
       do {
-        // On a machine so busy that their time is over before the look at them, the look tells nothing: once more.
+        // On a machine so busy that the linger timeout is over before the check, the check proves nothing: repeat.
         answered = new ArrayList<>();
         startNanos = System.nanoTime();
         for (int i = 0; i < fixture.limits().maxLingering(); i++) {
@@ -330,7 +332,7 @@
         try (EventLoopPause pause = fixture.pauseEventLoop()) {
           if (System.nanoTime() - startNanos < fixture.limits().lingerTimeout() * 900) {
             for (LineSocket client : answered) {
-              assertTrue(isOpenInAProcess(client.socket), "closed before its time was up");
+              assertTrue(isOpenInAProcess(client.socket), "closed before its linger timeout");
             }
           }
           pause.resume();
@@ -339,7 +341,7 @@
     }
   }
 
-  /** Whether a program has the socket open that this one is connected to: the system names its inode then. */
+  /** Whether a process still has the other end of this socket open: the kernel then lists its inode. */
   private static boolean isOpenInAProcess(Socket connection) throws IOException {
     String portPair = String.format(":%04X [0-9A-F]+:%04X ", connection.getPort(), connection.getLocalPort());
     for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
@@ -352,7 +354,7 @@
     return false;
   }
 
-  /** The figures of many classes once failed inside: they were longer than the buffer. */
+  /** Guards against an internal failure when the metrics of many classes exceed the buffer. */
   @Test
   void aReplyLongerThanABufferArrivesWhole() throws Exception {
     String classes = IntStream.range(0, 200).mapToObj(i -> "{\"name\":\"a-class-with-a-long-name-" + i
@@ -372,7 +374,7 @@
     }
   }
 
-  /** One that sends on behind its call gets its reply, and is not read without end. */
+  /** A caller that keeps sending after its call gets its reply, and the proxy stops reading from it. */
   @Test
   void aCallerThatKeepsSendingGetsItsReply() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -384,7 +386,7 @@
     }
   }
 
-  /** Its request may cross the end: what is read behind that is answered too. */
+  /** Its request may cross the eviction: it is answered, and not forwarded. */
   @Test
   void anEvictedPendingClientIsAnsweredBusy() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, "", 256)) {
@@ -399,7 +401,7 @@
     }
   }
 
-  /** The same, where its line is in the kernel as the order to stop is heard. */
+  /** A request pipelined after a PING during a stop is answered with BUSY. */
   @Test
   void aRequestBehindAPingIsAnsweredDuringAStop() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
--- a/proxy/src/test/java/lemondeal/proxy/DescriptorExhaustionTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DescriptorExhaustionTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process with few descriptors, all of which its clients would have. */
+/** A process with few descriptors, whose clients try to use all of them. */
 @Timeout(120)
 class DescriptorExhaustionTest {
   private static final int SOCKETS = 128;
@@ -36,10 +36,10 @@
   Path folder;
 
   private final List<LineSocket> connections = new ArrayList<>();
-  /** Links made for probes. */
+  /** Links that the proxy has opened for probes. */
   private final AtomicInteger probeLinks = new AtomicInteger();
 
-  /** The servers of the fleet, all at one address: each line that comes is answered, and connections stand. */
+  /** The fleet's servers, all at one address: each line is answered, and connections stay open. */
   private void serve(ServerSocket server) {
     try {
       while (true) {
@@ -63,7 +63,7 @@
       }
       link.close();
     } catch (IOException e) {
-      assertTrue(true, "the test ends");
+      assertTrue(true, "closed at the end of the test");
     }
   }
 
@@ -75,8 +75,9 @@
   }
 
   private Path config(int discovery, int server) throws IOException {
-    String serverList = IntStream.range(0, SERVERS).mapToObj(i -> "{\"instanceId\":\"s-" + i + "\",\"hostPort\":\"127.0.0.1:"
-        + server + "\",\"zone\":\"a\",\"machineType\":\"toy\",\"lifecycle\":\"in_service\",\"weight\":1}")
+    String serverList = IntStream.range(0, SERVERS).mapToObj(i -> "{\"instanceId\":\"s-" + i
+        + "\",\"hostPort\":\"127.0.0.1:" + server
+        + "\",\"zone\":\"a\",\"machineType\":\"toy\",\"lifecycle\":\"in_service\",\"weight\":1}")
         .collect(Collectors.joining(","));
     return Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("../example/config.json"))
         .replace("127.0.0.1:8443\"", "127.0.0.1:0\",\"admin_addr\":\"127.0.0.1:0\"")
@@ -90,7 +91,7 @@
     return new LineSocket(new Socket(InetAddress.getLoopbackAddress(), port));
   }
 
-  /** Fills whatever is left with connections that are of no use, and goes on to: the oldest of its own it closes. */
+  /** Keeps opening useless connections, closing its own oldest ones, so that all free descriptors are used. */
   private static final class ConnectionFlood implements AutoCloseable {
     private final Deque<LineSocket> peers = new ArrayDeque<>();
     private final DescriptorLimitedProcess program;
@@ -113,7 +114,7 @@
           }
           connection.send(List.of("", "garbage\r\n", "OPEN half a li", "PING\r\n").get(i % 4));
         } catch (IOException e) {
-          assertTrue(true, "turned away, which is fine");
+          assertTrue(true, "refused, which is allowed");
         }
         maxDescriptors = Math.max(maxDescriptors, program.openDescriptors());
       }
@@ -134,7 +135,7 @@
     }
   }
 
-  /** Bound and not listening, so that it refuses. */
+  /** A socket that is bound but not listening, so that connections to it are refused. */
   private static Socket boundWithoutListening() throws IOException {
     Socket socket = new Socket();
     socket.setReuseAddress(true);
@@ -151,10 +152,11 @@
       Path config = config(discoveryPort, server.getLocalPort());
       Limits limits = Config.read(Map.of("GW_CONFIG", config.toString())).limits();
       try (DescriptorLimitedProcess program = new DescriptorLimitedProcess(config, SOCKETS)) {
-        assertTrue(program.nonSocketDescriptors().size() + 1 <= 16 + 6, "the program's own: " + program.nonSocketDescriptors());
+        assertTrue(program.nonSocketDescriptors().size() + 1 <= 16 + 6,
+            "the program's own descriptors: " + program.nonSocketDescriptors());
         List<LineSocket> established = establishClients(program, limits);
         try (ConnectionFlood flood = new ConnectionFlood(program)) {
-          // Refused meanwhile: each of these is a connection that the program has turned to in the flood.
+          // Each of these is a connection that the program has handled during the flood.
           for (int i = 0; i < 20; i++) {
             assertThrottled(program, i);
           }
@@ -172,7 +174,8 @@
             assertThrottled(program, 99);
           }
           int descriptorLimit = SOCKETS + 6;
-          assertTrue(flood.maxDescriptors > 2 * limits.maxClients() + limits.maxProbeLinks(), flood.maxDescriptors + " descriptors");
+          assertTrue(flood.maxDescriptors > 2 * limits.maxClients() + limits.maxProbeLinks(),
+              flood.maxDescriptors + " descriptors");
           assertTrue(flood.maxDescriptors <= descriptorLimit, flood.maxDescriptors + " descriptors");
           assertEquals(List.of(), program.unexpectedLogLines());
           assertTrue(program.isAlive());
@@ -182,19 +185,21 @@
     }
   }
 
-  /** As many as have a slot, each up at its server. */
+  /** Establishes as many connections as there are slots. */
   private List<LineSocket> establishClients(DescriptorLimitedProcess program, Limits limits) throws Exception {
-    // A request in passing for each server or two: so the whole fleet is probed.
+    // Several short requests for each server, so that the whole fleet is probed.
     for (int i = 0; i < 4 * SERVERS; i++) {
       try (LineSocket client = connect(program.port())) {
-        client.send(String.format(OPEN_FORMAT, 20_000 + i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L)).readLine();
+        client.send(String.format(OPEN_FORMAT, 20_000 + i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L))
+            .readLine();
       }
     }
     List<LineSocket> established = new ArrayList<>();
     for (int i = 0; established.size() < limits.maxClients(); i++) {
       LineSocket client = connect(program.port());
       connections.add(client);
-      String answer = client.send(String.format(OPEN_FORMAT, i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L)).readLine();
+      String answer = client.send(String.format(OPEN_FORMAT, i, i * 0x9E3779B97F4A7C15L, i * 0x9E3779B97F4A7C15L))
+          .readLine();
       if (answer.equals("UP r1")) {
         established.add(client);
       }
@@ -202,7 +207,7 @@
     return established;
   }
 
-  /** A client beyond the slots is told so, or sent away where even that has no room. */
+  /** A client beyond the slots gets BUSY, or is disconnected if there is no room even for that. */
   private static void assertThrottled(DescriptorLimitedProcess program, int index) throws IOException {
     try (LineSocket client = connect(program.port())) {
       String answer;
--- a/proxy/src/test/java/lemondeal/proxy/DescriptorLimitedProcess.java
+++ b/proxy/src/test/java/lemondeal/proxy/DescriptorLimitedProcess.java
@@ -22,10 +22,10 @@
 import java.util.stream.Stream;
 import lemondeal.ProgramCommands;
 
-/** The program as a process of its own, which may hold only so many descriptors. */
+/** The program as a separate process with a limit on its open descriptors. */
 final class DescriptorLimitedProcess implements AutoCloseable {
   private static final int TIMEOUT_S = 30;
-  /** What {@code serve} uses: on the tests' whole class path it would hold a descriptor for each further library. */
+  /** The class path that {@code serve} needs: each further library of the tests would cost a descriptor. */
   private static final Pattern RUNTIME_CLASS_PATH = Pattern.compile(
       ".*(target/classes|/(jackson-core|xnio-api|xnio-nio|jboss-logging|wildfly-common|wildfly-client-config"
           + "|jboss-threads)-[^/]*\\.jar)");
@@ -36,11 +36,11 @@
   private volatile int port;
   private volatile int adminPort;
 
-  /** Returns once both addresses are listened on. */
+  /** Starts the program; returns once it listens on both addresses. */
   DescriptorLimitedProcess(Path config, int maxDescriptors) throws Exception {
     List<String> classPath = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
         .filter(RUNTIME_CLASS_PATH.asMatchPredicate()).toList();
-    // Where the deployed program has one jar, this one has so many, and a folder.
+    // The deployed program has one jar; this one has several and a classes folder, which need descriptors too.
     int limit = maxDescriptors + classPath.size() - 2;
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     List<String> command = new ArrayList<>(ProgramCommands.DEFAULT_SIGNALS);
@@ -89,7 +89,7 @@
     return process.isAlive();
   }
 
-  /** What its log says, but for what a start and the module say. */
+  /** Log lines other than those of a normal start and of the module. */
   List<String> unexpectedLogLines() {
     String expected = ".*(listening on|second address|ready$|example |<clinit>|INFO: XNIO ).*";
     return logLines.stream().filter(line -> !line.matches(expected)).collect(Collectors.toList());
@@ -101,14 +101,14 @@
     return entries.length;
   }
 
-  /** The descriptors that are no sockets, by what they stand for. */
+  /** The targets of the descriptors that are not sockets. */
   List<String> nonSocketDescriptors() {
     File[] entries = new File("/proc/" + process.pid() + "/fd").listFiles();
-    return Arrays.stream(entries).flatMap(DescriptorLimitedProcess::linkTarget).filter(name -> !name.startsWith("socket:")).sorted()
-        .toList();
+    return Arrays.stream(entries).flatMap(DescriptorLimitedProcess::linkTarget)
+        .filter(name -> !name.startsWith("socket:")).sorted().toList();
   }
 
-  /** Nothing for one that was closed since the folder was listed: it is not held. */
+  /** The target of a descriptor; empty for one that was closed since the folder was listed. */
   private static Stream<String> linkTarget(File descriptor) {
     try {
       return Stream.of(Files.readSymbolicLink(descriptor.toPath()).toString());
--- a/proxy/src/test/java/lemondeal/proxy/DialRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DialRaceTest.java
@@ -1,11 +1,11 @@
 package lemondeal.proxy;
 
+import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
+import static lemondeal.proxy.ProxyTest.establish;
+import static lemondeal.proxy.RaceSteps.countConnecting;
 import static lemondeal.proxy.RaceSteps.expireTimersBeforeReading;
 import static lemondeal.proxy.RaceSteps.serverBacklog;
-import static lemondeal.proxy.RaceSteps.countConnecting;
 import static lemondeal.proxy.RaceSteps.serverPort;
-import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
-import static lemondeal.proxy.ProxyTest.establish;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -25,17 +25,17 @@
 import lemondeal.Balancer.Event;
 import lemondeal.Balancer.Outcome;
 import lemondeal.Balancer.Send;
-import lemondeal.proxy.RaceSteps.Gate;
 import lemondeal.proxy.ProxyFixture.LineSocket;
+import lemondeal.proxy.RaceSteps.Gate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Connections to servers that come up late, or whose server acts in the moment in which they do. */
+/** Connections to servers that come up late, or whose server acts in the moment in which they come up. */
 @Timeout(30)
 class DialRaceTest {
-  /** Stands still once the dial has begun, before anything is known of it. */
+  /** Sends once, and blocks the event loop after the dial has begun and before its result is seen. */
   private static Function<Event, List<Action>> blockAfterDial(Gate gate, List<ProxyFixture> sites) {
     return event -> {
       if (event instanceof Arrived) {
@@ -45,7 +45,7 @@
     };
   }
 
-  /** A site whose server does something between the moment in which a dial has come up and that in which it is seen. */
+  /** Runs the step between the moment in which a dial has connected and the moment in which the proxy sees it. */
   private static Outcome outcomeOfStepBeforeConnectIsSeen(ServerStep step) throws Exception {
     Gate gate = new Gate();
     List<ProxyFixture> sites = new ArrayList<>();
@@ -69,10 +69,11 @@
     void run(ProxyFixture fixture, LineSocket server) throws Exception;
   }
 
-  /** A server that closes at once once made a request that nobody had seen count as one that may have run. */
+  /** Guards against counting a request as possibly run when its server closed before any byte was sent. */
   @Test
   void aServerThatClosesAsItsConnectionComesUpCountsAsNoConnection() throws Exception {
-    assertEquals(Outcome.NO_CONNECTION, outcomeOfStepBeforeConnectIsSeen((fixture, server) -> server.endSending().awaitCloseReceived()));
+    assertEquals(Outcome.NO_CONNECTION,
+        outcomeOfStepBeforeConnectIsSeen((fixture, server) -> server.endSending().awaitCloseReceived()));
   }
 
   @Test
@@ -83,7 +84,7 @@
     }));
   }
 
-  /** What a server says too early is judged once the line is written, and its end comes first. */
+  /** An answer before the first line is evaluated after that line is written, unless the server has closed. */
   @ParameterizedTest
   @CsvSource({"BUSY, REFUSED", "ERR, ERROR", "x, ERROR"})
   void anAnswerBeforeTheFirstLineIsEvaluatedAfterIt(String answer, Outcome outcome) throws Exception {
@@ -104,8 +105,8 @@
   }
 
   /**
-   * The server may have been told as draining right after the decision: a first line that a late dial wrote behind the
-   * grace was a send to a draining server.
+   * Guards against sending to a draining server: it may be announced as draining right after the decision, and a dial
+   * that completed after the grace then wrote its first line.
    */
   @Test
   void aDialThatCompletesAfterTheDrainGraceIsNotUsed() throws Exception {
@@ -129,13 +130,13 @@
       LineSocket server = fixture.acceptAtServer();
       gate.open();
       assertEquals(Outcome.NO_CONNECTION, fixture.awaitEvent(Ended.class).outcome());
-      assertNull(server.readLine(), "nothing is written behind the grace");
+      assertNull(server.readLine(), "nothing is written after the grace");
       assertEquals("BUSY 250", client.readLine());
       clockThread.join();
     }
   }
 
-  /** Connections that nobody accepts fill the server's queue: the next ones do not come up. */
+  /** Fills the server's accept queue with connections that nobody accepts: further ones do not come up. */
   private static List<SocketChannel> fillBacklog(ProxyFixture fixture, int server) throws IOException {
     List<SocketChannel> fillers = new ArrayList<>();
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), serverPort(fixture, server));
@@ -152,7 +153,7 @@
     }
   }
 
-  /** Nobody waits for it any more: its descriptor is given back in the same turn. */
+  /** Nobody waits for the connection any longer: its descriptor is closed in the same turn. */
   @Test
   void aCancelledDialIsClosedAtOnce() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -167,7 +168,7 @@
     }
   }
 
-  /** A dial that outlasts its attempt has written nothing: the request has not run, and goes elsewhere. */
+  /** A dial that outlasts its attempt has written nothing: the request has not run and is sent to another server. */
   @Test
   void anAttemptThatTimesOutWhileDiallingHasNotRunAndIsReportedOnce() throws Exception {
     try (ProxyFixture fixture = ProxyFixture.of(event -> {
@@ -189,11 +190,11 @@
       second.send("UP r2\r\n");
       assertEquals("UP r2", client.readLine());
       assertEquals(1, fixture.awaitEvent(Established.class).attempt());
-      assertFalse(fixture.events.stream().anyMatch(Ended.class::isInstance), "the first is heard of once");
+      assertFalse(fixture.events.stream().anyMatch(Ended.class::isInstance), "the first attempt is reported once");
     }
   }
 
-  /** Many dials at one server that takes none end one by one, each told once, and leave nothing open. */
+  /** Each of many dials to a server that accepts none is reported once, and none is left open. */
   @Test
   void dialsToAServerThatAcceptsNoneAreEachReportedOnce() throws Exception {
     int count = 12;
@@ -217,7 +218,7 @@
     }
   }
 
-  /** The first try is refused at once, and the client is served by the next. */
+  /** The first attempt is refused at once, and the client is served by the next. */
   @Test
   void aDialThatIsRefusedAtOnceHasNotRun() throws Exception {
     try (ProxyFixture fixture = ProxyFixture.of(event -> {
@@ -236,7 +237,7 @@
     }
   }
 
-  /** The answer was in the kernel when the time ran out: the proxy itself had stood still. */
+  /** The answer was in the kernel when the timeout expired: only the proxy itself had paused. */
   @Test
   void anAnswerReceivedBeforeTheTimeoutRunsCounts() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
--- a/proxy/src/test/java/lemondeal/proxy/DiscoveryWatchTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DiscoveryWatchTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How discovery keeps to the list's clock, on loopback. The site's lists are pushed: its module asks for none. */
+/** The watch of the server list on loopback. Lists are pushed here: the module requests none. */
 class DiscoveryWatchTest {
 
   private static List<Action> noActions(Event event) {
@@ -44,7 +44,7 @@
     return entries.get(0).state();
   }
 
-  /** No watch was ever opened where the settings say that lists are pushed: all drains were missed. */
+  /** Guards against opening no watch where the settings say that lists are pushed: all drains were missed. */
   @Test
   void keepsAWatchOpenInPushMode() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(DiscoveryWatchTest::noActions)) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** What the agent has counts from the first moment: the list from before the start must not be used first. */
+  /** Discovery's list must be used from the first moment, not the one from before the start. */
   @Test
   void discoverysListIsUsedBeforeTheConfiguredOne() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(DiscoveryWatchTest::noActions)) {
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Its connection stays open and tells nothing: only the clock says that it is broken. */
+  /** The connection stays open and silent: only the timeout shows that it is broken. */
   @Test
   void aSilentWatchIsReopened() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(DiscoveryWatchTest::noActions)) {
@@ -110,7 +110,7 @@
     }
   }
 
-  /** What can't be read loses nothing: the list held stays, and a watch opened anew goes on from there. */
+  /** After an unreadable list the current one stays, and the next watch continues from its version. */
   @ParameterizedTest
   @ValueSource(strings = {"{\"generation\":9,\"reset\":true}\n", "{\"generation\":9,\"instances\":[{\"instan\n", "[]\n",
       "{\"generation\":9,\"reset\":true,\"instances\":[{\"instanceId\":\"s-9\"}]}\n", "{\"generation\":9,\n\n",
@@ -126,10 +126,11 @@
     }
   }
 
-  /** Whole lists and changes name servers that come and go, each under a name of its own: nothing of them is kept. */
+  /** Full lists and changes name servers that come and go, each with its own id: nothing of them is kept. */
   @Test
   void startTimesOfRemovedServersAreDropped() throws Exception {
-    try (ProxyFixture fixture = ProxyFixture.of(DiscoveryWatchTest::noActions, options -> options.editConfig = ProxyFixture::withDefaultRules)) {
+    try (ProxyFixture fixture = ProxyFixture.of(DiscoveryWatchTest::noActions,
+        options -> options.editConfig = ProxyFixture::withDefaultRules)) {
       LineSocket watch = answerOk(fixture.acceptAtDiscovery());
       for (int i = 0; i < 20; i++) {
         String list = listJson(fixture, i + 2, true, "in_service").replace("\"s-1\"", "\"s-" + i + "\"")
--- a/proxy/src/test/java/lemondeal/proxy/EventLoopTasks.java
+++ b/proxy/src/test/java/lemondeal/proxy/EventLoopTasks.java
@@ -6,11 +6,11 @@
 import lemondeal.proxy.ProxyFixture.EventLoopPause;
 import org.junit.jupiter.api.function.Executable;
 
-/** Orders to stop and deadlines that are queued for an I/O thread which is held, behind each other. */
+/** Queues stop requests and timer expiries for a paused event loop, in a fixed order. */
 final class EventLoopTasks {
   private EventLoopTasks() {}
 
-  /** Runs the task on a thread of its own; returns when what it has to queue is queued and it waits. */
+  /** Runs the task on its own thread; returns once it has queued its work for the event loop and waits for it. */
   static Thread runUntilBlocked(Executable task) {
     Thread thread = new Thread(() -> assertDoesNotThrow(task));
     thread.start();
@@ -21,16 +21,17 @@
     return thread;
   }
 
-  /** The order to stop is queued when this returns; the thread ends when the process would. */
+  /** Queues a stop request; the returned thread ends when the process would exit. */
   static Thread queueStop(ProxyFixture fixture) {
     return runUntilBlocked(fixture.proxy::stop);
   }
 
   /**
-   * Lets the thread go on with so much time passed, and holds it again before it looks at its sockets: all deadlines
-   * that have come have run, and nothing was read.
+   * Resumes the event loop with the clock advanced and pauses it again before it polls its sockets: all timers that
+   * expire have run, and nothing was read.
    */
-  static EventLoopPause advanceClockWhilePaused(ProxyFixture fixture, EventLoopPause pause, long micros) throws Exception {
+  static EventLoopPause advanceClockWhilePaused(ProxyFixture fixture, EventLoopPause pause, long micros)
+      throws Exception {
     runUntilBlocked(() -> fixture.advanceClock(micros));
     FutureTask<EventLoopPause> nextPause = new FutureTask<>(fixture::pauseEventLoop);
     runUntilBlocked(nextPause::run);
--- a/proxy/src/test/java/lemondeal/proxy/KernelSockets.java
+++ b/proxy/src/test/java/lemondeal/proxy/KernelSockets.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** What the system tells of this machine's TCP sockets: so a test sees that an event is in the kernel already. */
+/** The kernel's TCP socket tables, by which a test sees that bytes or connections have reached the kernel. */
 final class KernelSockets {
   private static final long TIMEOUT_NANOS = 10_000_000_000L;
   private static final int ESTABLISHED = 1;
@@ -21,27 +21,27 @@
 
   private KernelSockets() {}
 
-  /** Bytes that lie unread in the socket between these ports; 0 if there is none. */
+  /** Unread bytes in the socket between these ports; 0 if there is no such socket. */
   static int unreadBytes(int local, int remote) {
     return rows().stream().filter(row -> row.local == local && row.remote == remote && row.state != LISTENING)
         .mapToInt(Row::unread).sum();
   }
 
-  /** Whether the socket between these ports has heard of no end of the other side's sending, and has none of its own. */
+  /** Whether the socket between these ports is established: neither side has closed its output. */
   static boolean isEstablished(int local, int remote) {
     return rows().stream().anyMatch(row -> row.local == local && row.remote == remote && row.state == ESTABLISHED);
   }
 
-  /** Connections that wait to be accepted on this port. */
+  /** Connections in the accept queue of this port. */
   static int backlog(int port) {
     return rows().stream().filter(row -> row.local == port && row.state == LISTENING).mapToInt(Row::unread).sum();
   }
 
-  /** Returns once it holds. The system has no word for it that could be waited for, so it is asked again. */
+  /** Returns once the condition holds. The kernel offers no notification for these states, so this polls. */
   static void await(BooleanSupplier condition) {
     long deadline = System.nanoTime() + TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < deadline, "the event never reached the kernel");
+      assertTrue(System.nanoTime() < deadline, "timed out before the kernel reached the expected state");
       Thread.onSpinWait();
     }
   }
@@ -61,7 +61,7 @@
     return rows;
   }
 
-  /** The fields of a line: number, local and remote address, state, bytes to be sent and unread, and others. */
+  /** Parses a line: number, local and remote address, state, bytes in the send and receive queues, and other fields. */
   private static Row row(String line) {
     String[] fields = line.trim().split("\\s+");
     return new Row(port(fields[1]), port(fields[2]), Integer.parseInt(fields[3], 16),
--- a/proxy/src/test/java/lemondeal/proxy/KnownServersTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/KnownServersTest.java
@@ -13,7 +13,7 @@
 import lemondeal.config.Config.Names;
 import org.junit.jupiter.api.Test;
 
-/** What is known of servers that drain or have gone: a dial of before may still be out. */
+/** What is kept of servers that drain or were removed: a dial begun earlier may still be in progress. */
 class KnownServersTest {
   private static final long MINUTE = 60_000_000;
 
@@ -28,7 +28,7 @@
     return new ServerEntry(name, 0, 7, 0, 0, state, 1);
   }
 
-  /** Whether it drops repeats rests on its zone and cell, also in the moment after its end was told. */
+  /** Its zone and cell decide whether a repeat is deduplicated, also just after its removal was announced. */
   @Test
   void aRemovedServerIsKeptForAWhile() {
     apply(ListKind.FULL, server("s1", ServerState.READY), server("s2", ServerState.READY));
@@ -41,7 +41,7 @@
     assertNotNull(servers.entry("s2"));
   }
 
-  /** The minute counts from its end, not from the notice that came long before. */
+  /** The minute counts from the removal, not from the drain that was announced long before. */
   @Test
   void aLongDrainedServerIsKeptForAWhileAfterItsRemoval() {
     apply(ListKind.FULL, server("s1", ServerState.READY));
@@ -66,7 +66,7 @@
     assertEquals(RequestRules.NOT_DRAINING, servers.drainingSince("s1"));
   }
 
-  /** Classes may have services of their own, each with lists of its own: they come in any order. */
+  /** Each class may have its own service with its own lists, which arrive in any order. */
   @Test
   void aFullListOfOneServiceRemovesNoServerOfAnother() {
     for (ListKind fullKind : List.of(ListKind.SAVED, ListKind.FULL)) {
--- a/proxy/src/test/java/lemondeal/proxy/ListenerHandoverRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ListenerHandoverRaceTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Two processes that have the clients' listening socket, and what crosses the hand-over between them. */
+/** Two processes that share the clients' listening socket, and events that race with the handover between them. */
 @Timeout(60)
 class ListenerHandoverRaceTest {
   private static final String OPEN_LINE = "OPEN 00000000000000aa k c=chat,d=2000\r\n";
@@ -29,14 +29,14 @@
     return Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
-  /** A process that has no list yet, and so does not accept. */
+  /** A process that has no server list yet and therefore does not accept. */
   private static ProxyFixture startingProxy(ServerSocketChannel listener) throws IOException {
     ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener);
     fixture.module.standing = new ServerSummary(false, 0, 0);
     return fixture;
   }
 
-  /** A process that has said that it is ready. */
+  /** A process that reports that it is ready. */
   private static ProxyFixture readyProxy(ServerSocketChannel listener) throws Exception {
     ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener);
     becomeReady(fixture);
@@ -49,10 +49,11 @@
     assertEquals("200 yes", fixture.newAdminClient().send("ready\r\n").readLine());
   }
 
-  /** Accepted by neither: whoever waits in the queue at the order is left to the other process, unread. */
+  /** Clients in the accept queue when the stop request comes are left to the other process. */
   @Test
   void clientsInTheBacklogAtTheStopGoToTheSuccessor() throws Exception {
-    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener); ProxyFixture successor = startingProxy(listener)) {
+    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener);
+        ProxyFixture successor = startingProxy(listener)) {
       LineSocket client;
       Thread stop;
       try (EventLoopPause pause = predecessor.pauseEventLoop()) {
@@ -70,7 +71,7 @@
     }
   }
 
-  /** The other order: it was accepted, and its line lies unread as the order comes. */
+  /** The other order: the client was accepted, and its line is unread when the stop request comes. */
   @Test
   void aClientWithAnUnreadLineAtTheStopIsServedAndMoved() throws Exception {
     try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener)) {
@@ -104,13 +105,15 @@
     }
   }
 
-  /** Accepted by both is what the system rules out: each is one process's, and that one's alone to move. */
+  /** The kernel gives each connection to one process only, and only that process moves the client. */
   @Test
   void eachClientIsServedByOneProcessOnly() throws Exception {
-    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener); ProxyFixture successor = readyProxy(listener)) {
+    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener);
+        ProxyFixture successor = readyProxy(listener)) {
       List<LineSocket> clients = new ArrayList<>();
-      try (EventLoopPause predecessorPause = predecessor.pauseEventLoop(); EventLoopPause successorPause = successor.pauseEventLoop()) {
-        // More than one accepts in a turn.
+      try (EventLoopPause predecessorPause = predecessor.pauseEventLoop();
+          EventLoopPause successorPause = successor.pauseEventLoop()) {
+        // More than one process accepts in one turn.
         for (int i = 0; i < predecessor.limits().acceptsPerTurn() + 10; i++) {
           clients.add(predecessor.newClient("c=chat,d=9000"));
         }
@@ -146,10 +149,11 @@
     }
   }
 
-  /** The successor ends before it is ready: it has accepted nobody, and the one before goes on as if nothing were. */
+  /** A successor that ends before it is ready has accepted no client, and its predecessor continues unaffected. */
   @Test
   void aSuccessorThatEndsBeforeItIsReadyCostsNothing() throws Exception {
-    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener); ProxyFixture successor = startingProxy(listener)) {
+    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener);
+        ProxyFixture successor = startingProxy(listener)) {
       LineSocket established = predecessor.newClient("c=chat,d=2000");
       LineSocket server = establish(predecessor, established);
       EventLoopTasks.queueStop(successor).join();
@@ -157,7 +161,7 @@
       server.send("still here\r\n");
       assertEquals("still here", established.readLine());
       assertEquals(0, successor.metric("in_flight"));
-      // A list that comes to it during its stop makes it accept nothing either.
+      // A server list that arrives during its stop does not make it accept either.
       successor.module.standing = new ServerSummary(true, 1, 0);
       successor.advanceClock(successor.limits().firstListTimeout() + TICK);
       assertEquals("400 no", successor.newAdminClient().send("ready\r\n").readLine());
@@ -173,10 +177,11 @@
     }
   }
 
-  /** The order comes to the one before while its successor has no list: clients wait in the queue for the successor. */
+  /** If the predecessor stops before its successor has a list, clients wait in the accept queue for the successor. */
   @Test
   void aStopBeforeTheSuccessorIsReadyLosesNoClient() throws Exception {
-    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener); ProxyFixture successor = startingProxy(listener)) {
+    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener);
+        ProxyFixture successor = startingProxy(listener)) {
       LineSocket established = predecessor.newClient("c=chat,d=2000");
       establish(predecessor, established);
       Thread stop = EventLoopTasks.queueStop(predecessor);
@@ -190,7 +195,7 @@
     }
   }
 
-  /** The times of the one before run on beside its successor: a server that hangs keeps neither it nor its client. */
+  /** The predecessor's timeouts still apply beside its successor: a hanging server delays neither it nor its client. */
   @Test
   void aRequestAtAServerThatHangsIsAnsweredBeforeTheEnd() throws Exception {
     try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener)) {
--- a/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a LOAD line is taken for where servers tell both loads and delays. */
+/** How a LOAD line is interpreted where servers report both loads and delays. */
 @Timeout(20)
 class LoadLinesTest {
   private static final String LOADS_AND_DELAYS = "\"tellsDelay\":true,\"tellsLoad\":true,";
 
-  /** The delays of servers that tell loads too once all went for loads: no client was ever kept or moved away. */
+  /** Guards against taking all delays for loads where servers report both: delays then never moved a client away. */
   @Test
   void aValueFarBelowTheUsualLoadIsADelay() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, LOADS_AND_DELAYS)) {
@@ -26,11 +26,11 @@
       server.send("LOAD 1006.605\r\n");
       assertEquals(1006.605, fixture.awaitEvent(MessageDelay.class).millis());
       server.send("LOAD 4564.61\r\n");
-      assertEquals(4564.61, fixture.awaitEvent(LoadChanged.class).load(), "an idle connection's load");
+      assertEquals(4564.61, fixture.awaitEvent(LoadChanged.class).load(), "the load of an idle connection");
     }
   }
 
-  /** A long delay, told on a light connection, looks like a load; that it goes on from the last one tells. */
+  /** A long delay on a lightly loaded connection looks like a load; that it continues the last delay shows it. */
   @Test
   void aValueThatContinuesTheDelaySeriesIsADelay() {
     Settings settings = new Settings(0, 1, 0, List.of(), List.of(), null, null, null, null, false, false, false, false,
@@ -38,8 +38,8 @@
     DelayMeter delayMeter = new DelayMeter(settings, Limits.of(1024, 192, 150_000, 5_000_000, 3_000_000), event -> { });
     delayMeter.recordServerReported(5_000_000, "s", 1106.7);
     assertTrue(delayMeter.continuesDelaySeries(6_010_000, "s", 1840.7));
-    assertFalse(delayMeter.continuesDelaySeries(6_010_000, "s", 5178.7), "too far from it");
-    assertFalse(delayMeter.continuesDelaySeries(5_600_000, "s", 1840.7), "not a second later");
+    assertFalse(delayMeter.continuesDelaySeries(6_010_000, "s", 5178.7), "too far from the last delay");
+    assertFalse(delayMeter.continuesDelaySeries(5_600_000, "s", 1840.7), "less than a second later");
     assertFalse(delayMeter.continuesDelaySeries(6_010_000, "other", 1840.7));
   }
 
--- a/proxy/src/test/java/lemondeal/proxy/ProbeLinkTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ProbeLinkTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Links that are kept for probes: bounded together, and what may cross on one of them. */
+/** The pool of links kept for probes: its limit, and races on a single link. */
 @Timeout(60)
 class ProbeLinkTest {
   private static final String REPORT = "PONG inflight=7\r\n";
   private static final long SECOND = 1_000_000;
 
-  /** A wake with a server's number probes that server. */
+  /** Probes the server whose index is the wake-up's token. */
   private static List<Action> probeOnWake(Event event) {
     return event instanceof Wake wake ? List.of(new Probe("s-" + (wake.token() + 1))) : ProxyTest.sendOnce(event);
   }
@@ -39,7 +39,7 @@
     fixture.runOnEventLoop(() -> fixture.proxy.wake(server));
   }
 
-  /** The link on which a probe of this server has come. */
+  /** Probes this server; returns the link on which the probe arrives. */
   private static LineSocket probeAndAccept(ProxyFixture fixture, int server) throws Exception {
     probe(fixture, server);
     LineSocket link = fixture.acceptAtServer(server);
@@ -53,7 +53,7 @@
     assertEquals(outcome, result.outcome());
   }
 
-  /** One was kept for each server of the fleet, whatever was set aside for them. */
+  /** Guards against keeping a link for each server of the fleet regardless of the limit. */
   @Test
   void theLongestIdleLinkIsClosedBeyondTheLimit() throws Exception {
     try (ProxyFixture fixture = newFixture(18)) {
@@ -69,13 +69,13 @@
       assertResult(fixture, 0, Outcome.SERVED);
       probeAndAccept(fixture, maxLinks).send(REPORT);
       assertResult(fixture, maxLinks, Outcome.SERVED);
-      assertNull(links.get(1).readLine(), "idle for the longest");
+      assertNull(links.get(1).readLine(), "the link idle for the longest time");
       probe(fixture, 0);
-      assertEquals("STATS", links.get(0).readLine(), "asked since");
+      assertEquals("STATS", links.get(0).readLine(), "probed more recently");
     }
   }
 
-  /** With a probe out on each link there is no place: that says nothing of the server. */
+  /** With a probe in progress on each link there is no room for another; this says nothing about the server. */
   @Test
   void aProbeWithoutAFreeLinkIsReportedAsNotSent() throws Exception {
     try (ProxyFixture fixture = newFixture(18)) {
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Whatever ends a link, its place is free again. */
+  /** However a link ends, its place in the pool is free again. */
   @Test
   void failedLinksFreeTheirPlaces() throws Exception {
     try (ProxyFixture fixture = newFixture(18)) {
@@ -116,7 +116,7 @@
     }
   }
 
-  /** The server closes the idle link, and a probe goes out before that is seen: the server was passed over for it. */
+  /** Guards against excluding a server that closed its idle link just before a probe was sent on it. */
   @Test
   void aProbeThatRacesWithTheCloseOfAnIdleLinkIsRetried() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
@@ -136,7 +136,7 @@
     }
   }
 
-  /** The other order: the end is seen first. */
+  /** The other order: the close is seen first. */
   @Test
   void aProbeAfterTheCloseOfAnIdleLinkOpensANewLink() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
@@ -151,7 +151,7 @@
     }
   }
 
-  /** A link that has brought no answer yet is no idle one; and it is made anew once, not for ever. */
+  /** Only a link that has answered before is retried after a close, and only once. */
   @Test
   void aServerThatClosesEachLinkDuringItsProbeIsReported() throws Exception {
     try (ProxyFixture fixture = newFixture(1)) {
@@ -178,7 +178,7 @@
     link.awaitCloseReceived();
   }
 
-  /** Each further probe once began the time anew, and a server that hangs under traffic was never told. */
+  /** Guards against restarting the timeout with each further probe: a hanging server was then never reported. */
   @Test
   void aHangingServerIsReportedDespiteFurtherProbes() throws Exception {
     try (ProxyFixture fixture = newFixture(1)) {
@@ -189,14 +189,14 @@
         assertEquals("STATS", link.readLine());
       }
       fixture.advanceClock(2 * SECOND / 10);
-      assertEquals(4, fixture.events.stream().filter(ProbeResult.class::isInstance).count(), "told by now");
+      assertEquals(4, fixture.events.stream().filter(ProbeResult.class::isInstance).count(), "all reported by now");
       for (int i = 0; i < 4; i++) {
         assertResult(fixture, 0, Outcome.TIMED_OUT);
       }
     }
   }
 
-  /** An answer in time leaves the next one its own time. */
+  /** An answer in time does not shorten the next probe's timeout. */
   @Test
   void eachProbeHasItsOwnTimeout() throws Exception {
     try (ProxyFixture fixture = newFixture(1)) {
--- a/proxy/src/test/java/lemondeal/proxy/ProxyFixture.java
+++ b/proxy/src/test/java/lemondeal/proxy/ProxyFixture.java
@@ -37,40 +37,40 @@
 import lemondeal.resume.ResumptionContext;
 
 /**
- * A proxy on loopback with servers, a discovery and a module that does as the test says. To have two events cross in a
- * given order: {@link #hold} the I/O thread, put both into the kernel, see that they are there, let the thread go on.
+ * A proxy on loopback with servers, a discovery endpoint and a scripted decision module. To make two events race in a
+ * fixed order, a test calls {@link #pauseEventLoop}, sends both, waits until the kernel has them, and resumes the loop.
  */
 final class ProxyFixture implements AutoCloseable {
   private static final int TIMEOUT_MS = 10_000;
   static final String SERVER = "s-1";
 
-  /** What a test may have otherwise than usual. */
+  /** What a test configures differently from the defaults. */
   static final class Options {
-    /** Goes into the settings of this kind of service, with a comma behind it. */
+    /** Inserted into the settings of this kind of service; must end in a comma. */
     String serviceSettings = "";
     int maxSockets = 1024;
     int serverCount = 1;
-    /** Clients wait so many microseconds at the longest. */
+    /** The longest time that clients wait, in microseconds. */
     long longestDeadline = 2_000_000;
     PrintStream log = System.err;
-    /** The clients' listening socket where the proxy is to share it. */
+    /** The clients' listening socket if the proxy shares it with another process; otherwise null. */
     ServerSocketChannel sharedListener;
-    /** Not null where clients of class chat can resume. */
+    /** Not null if clients of class chat can resume. */
     ResumptionContext resumption;
-    /** Decides in place of the script; it is told that lists are pushed unless {@link #config} says otherwise. */
+    /** Replaces the script; its settings say that lists are pushed unless {@link #editConfig} changes that. */
     Balancer module;
-    /** Changes the text of the configuration. */
+    /** Edits the text of the configuration. */
     UnaryOperator<String> editConfig = text -> text;
   }
 
-  /** The proxy's I/O thread, standing still. */
+  /** The proxy's event loop, blocked until the test resumes it. */
   static final class EventLoopPause implements AutoCloseable {
     private final CountDownLatch resumed = new CountDownLatch(1);
 
     private void blockUntilResumed(CountDownLatch paused) {
       paused.countDown();
       try {
-        assertTrue(resumed.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "never let go");
+        assertTrue(resumed.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the event loop was never resumed");
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -86,7 +86,7 @@
     }
   }
 
-  /** The system's time, and what the test adds to it. */
+  /** The system's clock plus an offset that the test sets. */
   private static final class AdjustableClock extends Clock {
     private volatile long offset;
 
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Tells the test what its module hears, and lets that one decide. */
+  /** Reports each event to the test and delegates the decision to the module. */
   private record RecordingBalancer(Balancer delegate, Consumer<Event> onEvent) implements Balancer {
     @Override
     public List<Action> on(long now, Event event) {
@@ -115,14 +115,14 @@
     }
   }
 
-  /** A blocking socket that speaks lines. */
+  /** A blocking socket that sends and reads lines. */
   static final class LineSocket implements AutoCloseable {
     final Socket socket;
 
     LineSocket(Socket socket) throws IOException {
       this.socket = socket;
       socket.setSoTimeout(TIMEOUT_MS);
-      // Pieces go out at once, as they are sent.
+      // Each piece is sent at once, as its own segment.
       socket.setTcpNoDelay(true);
     }
 
@@ -131,7 +131,7 @@
       return this;
     }
 
-    /** The next line without its end, or null at the end of the connection. */
+    /** Returns the next line without its CRLF, or null at the end of the connection. */
     String readLine() throws IOException {
       InputStream in = socket.getInputStream();
       StringBuilder line = new StringBuilder();
@@ -144,25 +144,25 @@
       return null;
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
     }
 
-    /** Ends this side's sending; the other direction goes on. */
+    /** Closes this side's output; the other direction stays open. */
     LineSocket endSending() throws IOException {
       socket.shutdownOutput();
       return this;
     }
 
-    /** Waits until so many bytes lie unread in the proxy's socket. */
+    /** Waits until the proxy's socket holds at least this many unread bytes. */
     LineSocket awaitUnread(int bytes) {
       KernelSockets.await(() -> KernelSockets.unreadBytes(socket.getPort(), socket.getLocalPort()) >= bytes);
       return this;
     }
 
-    /** Waits until this peer's end has reached the proxy's socket: its FIN, or a reset. */
+    /** Waits until the proxy's socket has received this side's FIN or reset. */
     LineSocket awaitCloseReceived() {
       int ownPort = socket.getLocalPort();
       int proxyPort = socket.getPort();
@@ -170,14 +170,14 @@
       return this;
     }
 
-    /** Reads on to the end of the connection, however it ends. */
+    /** Reads to the end of the connection, whether it is closed or reset. */
     void readToEnd() {
       try {
         while (readLine() != null) {
           continue;
         }
       } catch (IOException e) {
-        assertNotNull(e, "a reset is an end too");
+        assertNotNull(e, "a reset also ends the connection");
       }
     }
 
@@ -197,15 +197,15 @@
   private final List<LineSocket> connections = new ArrayList<>();
   final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   final Proxy proxy;
-  /** The script; null where another module decides. */
+  /** The scripted module; null if the options have a module of their own. */
   final ScriptedBalancer module;
 
-  /** {@code script} answers each event; it runs on the proxy's I/O thread. */
+  /** {@code script} returns the actions for each event; it runs on the proxy's event loop. */
   ProxyFixture(Function<Event, List<Action>> script) throws IOException {
     this(script, new Options());
   }
 
-  /** {@code family} goes into the settings of this kind of service, with a comma behind it. */
+  /** {@code serviceSettings} is inserted into the settings of this kind of service and must end in a comma. */
   ProxyFixture(Function<Event, List<Action>> script, String serviceSettings) throws IOException {
     this(script, optionsWith(options -> options.serviceSettings = serviceSettings));
   }
@@ -217,7 +217,7 @@
     }));
   }
 
-  /** A proxy whose clients wait so many microseconds at the longest. */
+  /** A proxy whose clients wait at most this many microseconds. */
   ProxyFixture(Function<Event, List<Action>> script, long longestDeadline) throws IOException {
     this(script, optionsWith(options -> options.longestDeadline = longestDeadline));
   }
@@ -226,7 +226,7 @@
     this(script, optionsWith(options -> options.log = log));
   }
 
-  /** A proxy that shares its clients' listening socket. */
+  /** A proxy that shares its clients' listening socket with another process. */
   ProxyFixture(Function<Event, List<Action>> script, ServerSocketChannel sharedListener) throws IOException {
     this(script, optionsWith(options -> options.sharedListener = sharedListener));
   }
@@ -236,7 +236,7 @@
     this(script, optionsWith(options -> options.resumption = resumption));
   }
 
-  /** A site with what the test wants otherwise; {@code script} counts for nothing where the setup has a module. */
+  /** A fixture with customized options; {@code script} is ignored if the options have a module. */
   static ProxyFixture of(Function<Event, List<Action>> script, Consumer<Options> customize) throws IOException {
     return new ProxyFixture(script, optionsWith(customize));
   }
@@ -281,28 +281,29 @@
          "settings":{"azs":["a"],"flavors":["m"],"familyInfo":{%s "messageAim":[60000]},
            "permissions":{"dialTimeout":500000,"cancelling":true},
            "profiles":[{"name":"chat","semantics":"idempotent","aim":1000000,"hardLimit":%d}]}}
-        """.formatted(discovery.getLocalPort(), maxSockets, String.join(",", instances), serviceSettings, options.longestDeadline)));
+        """.formatted(discovery.getLocalPort(), maxSockets, String.join(",", instances), serviceSettings,
+            options.longestDeadline)));
   }
 
-  /** The configuration with the figures of the rules, where a test has given none of its own. */
+  /** Adds default values of the rules to a configuration that has none. */
   static String withDefaultRules(String text) {
     return text.contains("\"rules\"") ? text : text.replace("\"settings\":{", "\"settings\":{\"rules\":{"
         + "\"answerSlack\":20000,\"drainGrace\":1000000,\"fallMultiple\":4,\"overloadFor\":2000000,"
         + "\"coldFrom\":0.35,\"warmWithin\":9000000},");
   }
 
-  // ---- The proxy's time and turns -------------------------------------------------------------
+  // ---- Clock and event loop -------------------------------------------------------------------
 
-  /** Returns once the I/O thread stands still, until it is let go. */
+  /** Blocks the event loop until the pause is resumed; returns once it is blocked. */
   EventLoopPause pauseEventLoop() throws InterruptedException {
     EventLoopPause pause = new EventLoopPause();
     CountDownLatch paused = new CountDownLatch(1);
     proxy.executor().execute(() -> pause.blockUntilResumed(paused));
-    assertTrue(paused.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the I/O thread never came to stand");
+    assertTrue(paused.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the event loop was never paused");
     return pause;
   }
 
-  /** Runs the task on the I/O thread; returns when it is done. */
+  /** Runs the task on the event loop; returns when it is done. */
   void runOnEventLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     proxy.executor().execute(() -> {
@@ -312,37 +313,37 @@
         done.countDown();
       }
     });
-    assertTrue(done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the I/O thread does not run");
+    assertTrue(done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the event loop does not run");
   }
 
-  /** Returns once the I/O thread has done what was queued, and looked at its sockets since. */
+  /** Returns once the event loop has run its queued tasks and has polled its sockets afterwards. */
   void awaitQueuedWork() throws InterruptedException {
     for (int i = 0; i < 3; i++) {
       runOnEventLoop(() -> { });
     }
   }
 
-  /** Moves the proxy's clock on; returns when all deadlines that have come have run. */
+  /** Advances the proxy's clock; returns when all timers that expire have run. */
   void advanceClock(long micros) throws InterruptedException {
     runOnEventLoop(() -> {
       clock.offset += micros;
       TimerWheel wheel = (TimerWheel) proxy.timers();
       wheel.advance();
-      // A deadline before all others: the timer of the thread's own is set anew by it, to the clock as it is now.
+      // A timer before all others makes the event loop reschedule its own wake-up by the advanced clock.
       wheel.after(0, () -> { });
     });
     awaitQueuedWork();
   }
 
-  /** Waits until so many connections wait in the clients' listen queue. */
+  /** Waits until at least this many connections are in the accept queue of the clients' listening socket. */
   void awaitBacklog(int connections) {
     int port = proxy.localAddress().getPort();
     KernelSockets.await(() -> KernelSockets.backlog(port) >= connections);
   }
 
-  // ---- Servers and discovery ------------------------------------------------------------------
+  // ---- Servers, discovery and clients ---------------------------------------------------------
 
-  /** The first server as discovery would list it. */
+  /** The first server's entry in discovery's list. */
   String instanceJson(String lifecycle) {
     return instanceJson(0, lifecycle);
   }
@@ -352,14 +353,15 @@
         + "\",\"zone\":\"a\",\"machineType\":\"m\",\"lifecycle\":\"" + lifecycle + "\"}";
   }
 
-  /** The id of a server, counted from 0. */
+  /** The id of the server with this index, counted from 0. */
   String serverId(int index) {
     return "s-" + (index + 1);
   }
 
-  /** Has the proxy take over a configuration that names the other site's discovery. */
+  /** Reloads the proxy with a configuration that names the other fixture's discovery. */
   void switchDiscoveryTo(ProxyFixture other) throws IOException {
-    Files.writeString(configFile, configText("", 1024).replace(":" + discovery.getLocalPort(), ":" + other.discovery.getLocalPort()));
+    Files.writeString(configFile, configText("", 1024).replace(":" + discovery.getLocalPort(),
+        ":" + other.discovery.getLocalPort()));
     proxy.reconfigure(config.reread(Map.of("GW_CONFIG", configFile.toString())));
   }
 
@@ -373,7 +375,7 @@
     return connect(proxy.localAddress());
   }
 
-  /** A connection to the second address. */
+  /** A connection to the admin address. */
   LineSocket newAdminClient() throws IOException {
     return connect(proxy.adminAddress());
   }
@@ -382,7 +384,7 @@
     return track(new LineSocket(new Socket(address.getAddress(), address.getPort())));
   }
 
-  /** What the second address says under this name. */
+  /** Returns the value that the admin address reports under this name. */
   long metric(String name) throws IOException {
     LineSocket admin = newAdminClient().send("show-stat\r\n");
     for (String line = admin.readLine(); !line.equals("EOF"); line = admin.readLine()) {
@@ -390,15 +392,15 @@
         return Long.parseLong(line.substring(name.length() + 1));
       }
     }
-    throw new AssertionError("no figure " + name);
+    throw new AssertionError("no metric " + name);
   }
 
-  /** A client that has sent its first line. */
+  /** A client that has sent an OPEN line with these fields. */
   LineSocket newClient(String values) throws IOException {
     return newClient().send(String.format("OPEN %016x 7f3a9c21e0b4d655 %s\r\n", ++clientCount, values));
   }
 
-  /** The next connection that comes to the server, or to discovery. */
+  /** Accepts the next connection to the first server. */
   LineSocket acceptAtServer() throws IOException {
     return acceptAtServer(0);
   }
@@ -415,7 +417,7 @@
     return config.limits();
   }
 
-  /** From now on the server's address refuses. */
+  /** Closes the server's listening socket: further connections are refused. */
   void stopServer() throws IOException {
     stopServer(0);
   }
@@ -429,7 +431,7 @@
     return connection;
   }
 
-  /** Waits for the next event of this kind; passes over others. */
+  /** Waits for the next event of this type; discards others. */
   <T extends Event> T awaitEvent(Class<T> type) throws InterruptedException {
     Event event;
     do {
--- a/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ProxyTest.java
@@ -45,7 +45,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The proxy on real sockets, with a module that sends each request once and throttles what then fails. */
+/** The proxy on real sockets, with a module that sends each request once and refuses it if the attempt fails. */
 @Timeout(30)
 class ProxyTest {
   static final String OPEN_PREFIX = "OPEN 0000000000000001 7f3a9c21e0b4d655 ";
@@ -64,8 +64,9 @@
     return List.of();
   }
 
-  /** As {@link #sendOnce}, and with one more answer to one kind of event. */
-  private static <T extends Event> Function<Event, List<Action>> sendOnceAnd(Class<T> kind, Function<T, Action> answer) {
+  /** {@link #sendOnce} plus one more action for one type of event. */
+  private static <T extends Event> Function<Event, List<Action>> sendOnceAnd(
+      Class<T> kind, Function<T, Action> answer) {
     return event -> {
       List<Action> actions = new ArrayList<>(sendOnce(event));
       if (kind.isInstance(event)) {
@@ -75,7 +76,7 @@
     };
   }
 
-  /** A client that the server has answered UP; its first line has been read. */
+  /** Accepts the client's request at the server, answers UP and returns the server's side. */
   static LineSocket establish(ProxyFixture fixture, LineSocket client) throws IOException {
     LineSocket server = fixture.acceptAtServer();
     assertTrue(server.readLine().startsWith("OPEN "));
@@ -125,7 +126,7 @@
     }
   }
 
-  /** A server's delay once went unheard: it was measured from the answers to lines, which come at once. */
+  /** Guards against ignoring reported delays in favour of those measured from answers, which come at once. */
   @Test
   void loadLinesAreDelaysWhereServersReportDelaysOnly() throws Exception {
     String delays = "\"tellsDelay\":true,\"tellsLoad\":false,";
@@ -199,7 +200,7 @@
     }
   }
 
-  /** A client in the middle of a line was once cut off 0.8 s after the decision, though its server went on with it. */
+  /** Guards against ending a client mid-line 0.8 s after the move was decided, while its server finished the line. */
   @Test
   void aMoveWaitsForTheRestOfALine() throws Exception {
     List<String> ids = new CopyOnWriteArrayList<>();
@@ -211,7 +212,7 @@
       assertEquals("before", client.readLine());
       establish(fixture, fixture.newClient(OPEN_FIELDS)).send("LOAD 1\r\n");
       fixture.awaitEvent(LoadChanged.class);
-      // Nothing happens until then: that a pause in a line ends nothing is what is tested.
+      // Nothing must happen meanwhile: the test is that a pause within a line ends nothing.
       client.socket.setSoTimeout(1200);
       assertThrows(SocketTimeoutException.class, () -> client.socket.getInputStream().read());
       server.send("lo\r\n");
@@ -238,8 +239,8 @@
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
       LineSocket good = fixture.newClient(OPEN_FIELDS);
       LineSocket server = establish(fixture, good);
-      for (String bad : List.of("GET / HTTP/1.1\r\n", "OPEN a b c=chat,d=1\r\n", OPEN_PREFIX + "c=none,d=1\r\n", OPEN_PREFIX + "c=chat,d=x\r\n",
-          "x".repeat(5000), "\0\n")) {
+      for (String bad : List.of("GET / HTTP/1.1\r\n", "OPEN a b c=chat,d=1\r\n",
+          OPEN_PREFIX + "c=none,d=1\r\n", OPEN_PREFIX + "c=chat,d=x\r\n", "x".repeat(5000), "\0\n")) {
         assertEquals("ERR", fixture.newClient().send(bad).readLine());
       }
       server.send("still here\r\n");
@@ -247,7 +248,7 @@
     }
   }
 
-  /** A client that read slowly once overran the ring: the room asked for was that of the other direction. */
+  /** Guards against overflowing the ring buffer of a slow reader: the space of the other direction was checked. */
   @Test
   void aSlowReaderCausesBackPressureAndLosesNothing() throws Exception {
     int count = 8_000;
@@ -268,7 +269,7 @@
       flood.start();
       int lines = 0;
       BufferedReader in = new BufferedReader(new InputStreamReader(client.socket.getInputStream()));
-      // The server is stopped by the full rings before the client reads its first line.
+      // The server is blocked by the full ring buffers before the client reads its first line.
       flood.join(300);
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         lines++;
@@ -278,7 +279,7 @@
     }
   }
 
-  /** The module once heard nothing of a server that hangs until its clients were moved, 5 s later. */
+  /** Guards against reporting a hanging server to the module only when its clients are moved, 5 s later. */
   @Test
   void aGrowingSilenceIsReportedAsADelay() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -289,13 +290,14 @@
       client.send("anyone there?\r\n");
       another.send("and here?\r\n");
       double first = fixture.awaitEvent(MessageDelay.class).millis();
-      assertTrue(first >= 400 && fixture.awaitEvent(MessageDelay.class).millis() >= first + 900, "first told after " + first);
+      assertTrue(first >= 400 && fixture.awaitEvent(MessageDelay.class).millis() >= first + 900,
+          "first report after " + first);
       server.send("here\r\n");
       assertEquals("here", client.readLine());
     }
   }
 
-  /** In a large fleet a proxy may hold one connection at a server: nobody else would tell of its silence. */
+  /** In a large fleet a proxy may have only one connection to a server, which alone can report its silence. */
   @Test
   void theOnlyConnectionOfAServerReportsThatItWaits() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -307,7 +309,7 @@
     }
   }
 
-  /** One connection that fell quiet once had half of the clients sent away from a server that served them all. */
+  /** Guards against one quiet connection making the proxy move half of the clients from a healthy server. */
   @Test
   void aQuietConnectionIsNotTakenForASilentServer() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
@@ -319,7 +321,7 @@
       long startNanos = System.nanoTime();
       while (System.nanoTime() - startNanos < 3 * fixture.limits().slowAnswerDelay() * 1000) {
         active.send("hello\r\n");
-        // Part of a line is a sign of life too.
+        // Part of a line also counts as activity.
         server.send("hel");
         server.readLine();
         server.send("lo\r\n");
@@ -334,11 +336,12 @@
     }
   }
 
-  /** The word on a silence may move the very client that waits: its timer once ran on and failed. */
+  /** Guards against a leftover timer: the report of a silence may move the waiting client, whose timer then failed. */
   @Test
   void aClientMovedForSilenceHasNoTimerLeft() throws Exception {
     ByteArrayOutputStream log = new ByteArrayOutputStream();
-    try (ProxyFixture fixture = new ProxyFixture(sendOnceAnd(MessageDelay.class, e -> new Move(e.id())), new PrintStream(log, true))) {
+    try (ProxyFixture fixture = new ProxyFixture(
+        sendOnceAnd(MessageDelay.class, e -> new Move(e.id())), new PrintStream(log, true))) {
       LineSocket another = fixture.newClient(OPEN_FIELDS);
       establish(fixture, another);
       LineSocket client = fixture.newClient(OPEN_FIELDS);
@@ -348,7 +351,7 @@
       assertEquals("MOVE", client.readLine());
       fixture.awaitEvent(Ended.class);
       LineSocket other = fixture.newClient("c=chat,d=1900");
-      assertEquals("BUSY 250", other.readLine(), "the time that the timer would have taken has passed");
+      assertEquals("BUSY 250", other.readLine(), "the leftover timer would have run by now");
       assertFalse(log.toString().contains("failed"), log.toString());
     }
   }
@@ -365,15 +368,15 @@
   }
 
   /**
-   * The time to connect once ran out while the proxy itself stood still, as a starting one does on part of a core:
-   * servers were taken for dead, and clients were sent on from one to the next.
+   * Guards against connect timeouts that expire while the proxy itself is paused, as during a start on part of a core:
+   * servers were taken for dead, and clients were sent from one to the next.
    */
   @Test
   void aPauseOfTheProxyIsNotTakenForADeadServer() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(event -> {
       if (event instanceof Arrived e) {
         Send send = new Send(e.request().id(), ProxyFixture.SERVER, 0);
-        // The second can't be sent, and the word on it comes before anything is read.
+        // The second cannot be sent; this is reported before anything is read.
         return List.of(send, send);
       }
       return event instanceof Ended e && e.outcome() == Outcome.NOT_SENT ? blockEventLoop() : sendOnce(event);
@@ -383,7 +386,7 @@
   }
 
   private static List<Action> blockEventLoop() {
-    // There is no event to wait for: time passing with nothing read is what is tested.
+    // There is no event to wait for: the test needs time to pass with nothing read.
     assertDoesNotThrow(() -> Thread.sleep(700));
     return List.of();
   }
@@ -408,7 +411,8 @@
     try (ProxyFixture fixture = new ProxyFixture(e -> e instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
       LineSocket discovery = fixture.acceptAtDiscovery();
       assertEquals("GET /api/targets?stream=1&index=0 HTTP/1.1", discovery.readLine());
-      String change = "{\"generation\":2,\"reset\":false,\"instances\":[" + fixture.instanceJson("terminating") + "]}\n";
+      String change =
+          "{\"generation\":2,\"reset\":false,\"instances\":[" + fixture.instanceJson("terminating") + "]}\n";
       discovery.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
           + Integer.toHexString(change.length()) + "\r\n" + change + "\r\n");
       assertEquals(ListKind.SAVED, fixture.awaitEvent(ServerList.class).kind());
@@ -418,10 +422,11 @@
     }
   }
 
-  /** The old address's end is no failure of discovery, and what was asked there is asked anew. */
+  /** Closing the old address counts as no discovery failure, and its pending calls are repeated at the new address. */
   @Test
   void aReloadSwitchesDiscoveryAndReportsNoFailure() throws Exception {
-    try (ProxyFixture fixture = new ProxyFixture(e -> e instanceof Start ? List.of(new Subscribe(true), new FetchList()) : List.of());
+    try (ProxyFixture fixture = new ProxyFixture(
+            e -> e instanceof Start ? List.of(new Subscribe(true), new FetchList()) : List.of());
         ProxyFixture otherFixture = new ProxyFixture(ProxyTest::sendOnce)) {
       LineSocket client = fixture.newClient(OPEN_FIELDS + ",at=" + ProxyFixture.SERVER);
       LineSocket server = establish(fixture, client);
@@ -439,7 +444,7 @@
     }
   }
 
-  /** Guards against a discovery that was cut off: the watch stays open and brings nothing. */
+  /** Guards against a discovery that has lost its connection: the watch stays open and silent. */
   @Test
   void aSilentWatchHasFailed() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(e -> e instanceof Start ? List.of(new Subscribe(true)) : List.of())) {
@@ -449,7 +454,7 @@
     }
   }
 
-  /** All clients once came again together, and waited for each other's set-ups at the other proxies. */
+  /** Guards against moving all clients at once: they reconnect together and wait for each other at other proxies. */
   @Test
   void aStopMovesClientsOneAfterTheOther() throws Exception {
     int count = 20;
@@ -470,7 +475,8 @@
       long spread = System.nanoTime() - startNanos - first;
       assertTrue(spread > fixture.limits().drainMoveTime() * 1000 / 2, "all within " + spread / 1_000_000 + " ms");
       stop.join();
-      assertTrue(System.nanoTime() - startNanos < (fixture.limits().drainTimeout() + 200_000) * 1000, "the stop took too long");
+      assertTrue(System.nanoTime() - startNanos < (fixture.limits().drainTimeout() + 200_000) * 1000,
+          "the stop took too long");
     }
   }
 
--- a/proxy/src/test/java/lemondeal/proxy/RaceSteps.java
+++ b/proxy/src/test/java/lemondeal/proxy/RaceSteps.java
@@ -13,12 +13,12 @@
 import lemondeal.proxy.ProxyFixture.EventLoopPause;
 import lemondeal.proxy.ProxyFixture.LineSocket;
 
-/** Moves by which two events meet at a site in a given order. */
+/** Steps by which tests make two events reach the proxy in a fixed order. */
 final class RaceSteps {
-  /** As the system's table of sockets has it. */
+  /** The state SYN_SENT in /proc/net/tcp. */
   private static final String SYN_SENT = "02";
 
-  /** How a side leaves. */
+  /** How a side closes its connection. */
   enum CloseKind {
     FIN {
       @Override
@@ -35,19 +35,19 @@
 
     abstract void close(LineSocket connection) throws IOException;
 
-    /** Returns when the end has reached the proxy's socket. */
+    /** Closes the connection; returns when the FIN or reset has reached the proxy's socket. */
     void closeAndAwaitReceived(LineSocket connection) throws IOException {
       close(connection);
       connection.awaitCloseReceived();
     }
   }
 
-  /** A place in a module's script at which the I/O thread stands still until the test lets it go. */
+  /** A point in a module's script that blocks the event loop until the test opens the gate. */
   static final class Gate {
     private final CountDownLatch reached = new CountDownLatch(1);
     private final CountDownLatch open = new CountDownLatch(1);
 
-    /** For the I/O thread; stands still the first time alone. */
+    /** Called on the event loop; blocks until the gate is open, which it then remains. */
     void block() {
       reached.countDown();
       await(open);
@@ -63,7 +63,7 @@
 
     private static void await(CountDownLatch latch) {
       try {
-        assertTrue(latch.await(10, TimeUnit.SECONDS), "never came");
+        assertTrue(latch.await(10, TimeUnit.SECONDS), "timed out at the gate");
       } catch (InterruptedException e) {
         throw new IllegalStateException(e);
       }
@@ -76,7 +76,7 @@
 
   private RaceSteps() {}
 
-  /** Has deadlines run out before anything is read of what the step puts into the kernel. */
+  /** Expires timers after the step has sent its bytes and before the proxy reads any of them. */
   static void expireTimersBeforeReading(ProxyFixture fixture, long micros, Step step) throws Exception {
     Thread clockThread = new Thread(() -> {
       try {
@@ -87,7 +87,7 @@
     });
     try (EventLoopPause pause = fixture.pauseEventLoop()) {
       clockThread.start();
-      // It waits for the I/O thread by then, which has the jump before it as the next thing to do.
+      // The thread now waits for the event loop, whose next task is to advance the clock.
       KernelSockets.await(() -> clockThread.getState() == Thread.State.TIMED_WAITING);
       step.run();
       pause.resume();
@@ -96,47 +96,48 @@
     fixture.awaitQueuedWork();
   }
 
-  /** The port of the site's server, counted from 0. */
+  /** The port of the fixture's server with this index, counted from 0. */
   static int serverPort(ProxyFixture fixture, int server) {
     return Integer.parseInt(fixture.instanceJson(server, "in_service").replaceAll(".*127\\.0\\.0\\.1:(\\d+).*", "$1"));
   }
 
-  /** Connections that came to the server and were not looked at. */
+  /** Connections in the server's accept queue. */
   static int serverBacklog(ProxyFixture fixture, int server) {
     return KernelSockets.backlog(serverPort(fixture, server));
   }
 
   /**
-   * Whether a reset has ended this peer's socket: the system knows it no more then, while one that saw an end in order
-   * stands until it is closed here. Reading does not tell: an end that came before hides the reset.
+   * Whether this connection was reset: the kernel then no longer lists its socket, while a socket that received a FIN
+   * stays listed until the test closes it. Reading cannot show this, since a FIN received earlier hides the reset.
    */
   static boolean isReset(LineSocket connection) {
     return socketStates(connection.socket.getLocalPort(), connection.socket.getPort()).isEmpty();
   }
 
-  /** Returns when the proxy has closed its side of a connection that this peer had closed before. */
+  /** Returns when the proxy has closed its side of a connection that the test has closed before. */
   static void awaitClosedByProxy(LineSocket connection) {
     KernelSockets.await(() -> socketStates(connection.socket.getPort(), connection.socket.getLocalPort()).isEmpty());
   }
 
-  /** A client whose connection the proxy has accepted, and that says nothing. */
+  /** A client whose connection the proxy has accepted and that sends nothing. */
   static LineSocket idleClient(ProxyFixture fixture) throws IOException {
     LineSocket client = fixture.newClient();
     KernelSockets.await(() -> KernelSockets.backlog(fixture.proxy.localAddress().getPort()) == 0);
     return client;
   }
 
-  /** Returns when the proxy has read all that this peer sent. */
+  /** Returns when the proxy has read all bytes sent on this connection. */
   static void awaitReadByProxy(LineSocket connection) {
-    KernelSockets.await(() -> KernelSockets.unreadBytes(connection.socket.getPort(), connection.socket.getLocalPort()) == 0);
+    KernelSockets.await(
+        () -> KernelSockets.unreadBytes(connection.socket.getPort(), connection.socket.getLocalPort()) == 0);
   }
 
-  /** Sockets whose connection to this port has not come up. */
+  /** Sockets that are still connecting to this port. */
   static long countConnecting(int port) {
     return socketStates(-1, port).stream().filter(SYN_SENT::equals).count();
   }
 
-  /** States of the sockets between these ports, from any local one where that is -1. */
+  /** The states of the sockets between these ports; a local port of -1 matches any. */
   private static List<String> socketStates(int local, int remote) {
     List<String> states = new ArrayList<>();
     try {
--- a/proxy/src/test/java/lemondeal/proxy/ReadinessTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReadinessTest.java
@@ -20,18 +20,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A process that starts again with the list it had, whatever discovery does just then: by the proxy's clock. */
+/** A restarted process with a configured server list becomes ready in time, whatever discovery does meanwhile. */
 @Timeout(60)
 class ReadinessTest {
   private static final long SECOND = 1_000_000;
-  /** Nine in ten restarted processes are to be ready by then. */
+  /** Nine in ten restarted processes must be ready within this time. */
   private static final long READY_WITHIN = 10 * SECOND;
   private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private static final String LIST = "{\"generation\":2,\"reset\":true,\"instances\":[{\"instanceId\":\"s-1\","
       + "\"hostPort\":\"127.0.0.1:9\",\"zone\":\"a\",\"machineType\":\"m\",\"lifecycle\":\"in_service\"}]}\n";
 
-  /** How discovery meets those that call it. */
+  /** How discovery reacts to calls. */
   enum DiscoveryBehaviour {
     ANSWERS, NOTHING_NEW, DOWN, BACKLOG_FULL, SILENT, SILENT_AFTER_HEAD, UNAVAILABLE, GARBAGE, CUT_OFF, RESETS
   }
@@ -50,7 +50,7 @@
     return resource;
   }
 
-  /** The port of a discovery that behaves so; {@code list} is what it has to tell. */
+  /** Starts a discovery with this behaviour and server list; returns its port. */
   private int startDiscovery(DiscoveryBehaviour behaviour, String list) throws IOException {
     if (behaviour == DiscoveryBehaviour.DOWN) {
       // Bound and not listening.
@@ -61,7 +61,7 @@
     ServerSocket socket = track(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
     int port = socket.getLocalPort();
     if (behaviour == DiscoveryBehaviour.BACKLOG_FULL) {
-      // With its queue full the system drops whatever else would connect.
+      // With the accept queue full the kernel drops further connection attempts.
       for (int i = 0; i < 2; i++) {
         track(new Socket(InetAddress.getLoopbackAddress(), port));
       }
@@ -95,7 +95,8 @@
     }
   }
 
-  private ProxyFixture newFixture(boolean pushed, int discovery, ServerSocketChannel sharedListener, boolean hasConfiguredList) throws IOException {
+  private ProxyFixture newFixture(boolean pushed, int discovery, ServerSocketChannel sharedListener,
+      boolean hasConfiguredList) throws IOException {
     return track(ProxyFixture.of(null, options -> {
       options.module = new DecisionModule();
       options.sharedListener = sharedListener;
@@ -112,7 +113,7 @@
     return fixture.newAdminClient().send("ready\r\n").readLine().equals("200 yes");
   }
 
-  /** How long by the proxy's clock until it is ready: more than what is allowed is told as just that. */
+  /** The time by the proxy's clock until it is ready; stops measuring just beyond the allowed time. */
   private static long timeUntilReady(ProxyFixture fixture) throws Exception {
     long elapsed = 0;
     while (elapsed <= READY_WITHIN && !isReady(fixture)) {
@@ -124,13 +125,13 @@
 
   @ParameterizedTest
   @EnumSource(DiscoveryBehaviour.class)
-  void becomesReadyWhereListsArePushed(DiscoveryBehaviour behaviour) throws Exception {
+  void becomesReadyInPushMode(DiscoveryBehaviour behaviour) throws Exception {
     assertBecomesReady(behaviour, true);
   }
 
   @ParameterizedTest
   @EnumSource(DiscoveryBehaviour.class)
-  void becomesReadyWhereListsAreRequested(DiscoveryBehaviour behaviour) throws Exception {
+  void becomesReadyInPollMode(DiscoveryBehaviour behaviour) throws Exception {
     assertBecomesReady(behaviour, false);
   }
 
@@ -146,23 +147,25 @@
   @ParameterizedTest
   @EnumSource(DiscoveryBehaviour.class)
   void aSuccessorAcceptsOnceItIsReady(DiscoveryBehaviour behaviour) throws Exception {
-    ServerSocketChannel sharedListener = track(Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
+    ServerSocketChannel sharedListener =
+        track(Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     ProxyFixture fixture = newFixture(true, startDiscovery(behaviour, LIST), sharedListener, true);
     LineSocket client = fixture.newClient().send("PING\r\n");
     assertTrue(timeUntilReady(fixture) <= READY_WITHIN, behaviour.toString());
     assertEquals("PONG", client.readLine());
   }
 
-  /** With no list at all there is nothing to serve with: a successor says so, and leaves the clients to the other. */
+  /** Without any list a successor has no server to use: it is not ready and leaves clients to the other process. */
   @ParameterizedTest
   @CsvSource({"true, DOWN", "false, DOWN", "true, SILENT", "false, SILENT"})
   void withoutAnyListItIsNotReady(boolean pushed, DiscoveryBehaviour behaviour) throws Exception {
-    ServerSocketChannel sharedListener = track(Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
+    ServerSocketChannel sharedListener =
+        track(Listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     ProxyFixture fixture = newFixture(pushed, startDiscovery(behaviour, ""), sharedListener, false);
     LineSocket client = fixture.newClient().send("PING\r\n");
     assertTrue(timeUntilReady(fixture) > READY_WITHIN);
     fixture.awaitQueuedWork();
-    assertEquals(1, KernelSockets.backlog(fixture.proxy.localAddress().getPort()), "left in the queue");
+    assertEquals(1, KernelSockets.backlog(fixture.proxy.localAddress().getPort()), "left in the accept queue");
     client.close();
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/RecordedSessionTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/RecordedSessionTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Without an operator's file every byte is as it always was, whatever words the two sides use. */
+/** Without an operator's file the bytes on the wire stay as recorded, whatever lines the two sides send. */
 @Timeout(30)
 class RecordedSessionTest {
 
--- a/proxy/src/test/java/lemondeal/proxy/ReloadListsTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReloadListsTest.java
@@ -22,14 +22,14 @@
 import lemondeal.Balancer.WakeAfter;
 import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings replaced under a running proxy: what discovery tells, and who is asked for it. */
+/** Settings replaced in a running proxy: which server lists each module gets, and which discovery is called. */
 @Timeout(30)
 class ReloadListsTest extends ReloadTestBase {
-  /** A module without a request left hears nothing any more, and what it asked for comes to nobody. */
+  /** A module without remaining requests gets no more events, and what it has requested is discarded. */
   @Test
   void theOldModuleIsDroppedWithItsLastRequest() throws Exception {
     Function<Event, List<Action>> script = event -> event instanceof Arrived
@@ -58,7 +58,7 @@
     return list.entries().get(0);
   }
 
-  /** A drain is for both modules to know, each in the terms of its own settings. */
+  /** Both modules must learn of a drain, each with zone and model indices of its own settings. */
   @Test
   void listsGoToBothModulesInEachOnesIndices() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -67,7 +67,7 @@
       fixture.awaitEvent(ServerList.class);
       reload(fixture, ReloadTestBase::withOtherSettings);
       ServerEntry first = onlyEntry(nextEvent(0, ServerList.class));
-      assertEquals(1, first.zone(), "the second zone of the new settings, before discovery has told anything");
+      assertEquals(1, first.zone(), "the second zone of the new settings, before discovery has delivered a list");
       assertEquals(2, first.model());
       String unknown = fixture.instanceJson("in_service").replace("s-1", "s-9").replace("\"a\"", "\"b\"");
       new DiscoveryWatch(fixture).sendList(5, fixture.instanceJson("terminating"), unknown);
@@ -75,15 +75,16 @@
       ServerList oldModuleList = fixture.awaitEvent(ServerList.class);
       assertEquals(ListKind.FULL, oldModuleList.kind());
       assertEquals(List.of(1, 0), newModuleList.entries().stream().map(ServerEntry::zone).toList());
-      assertEquals(List.of(0, 1), oldModuleList.entries().stream().map(ServerEntry::zone).toList(), "b comes after all it knows");
+      assertEquals(List.of(0, 1), oldModuleList.entries().stream().map(ServerEntry::zone).toList(),
+          "zone b gets the next free index");
       assertEquals(List.of(2, 2), newModuleList.entries().stream().map(ServerEntry::model).toList());
       assertEquals(List.of(0, 0), oldModuleList.entries().stream().map(ServerEntry::model).toList());
     }
   }
 
-  /** The new settings' module asks; what the old one asks for, later, is not heard any more. */
+  /** The new settings' module subscribes; a later subscription of the old one is ignored. */
   @Test
-  void aReloadMaySwitchFromPushToSubscribe() throws Exception {
+  void aReloadMaySwitchFromPushToPoll() throws Exception {
     Function<Event, List<Action>> script = event -> event instanceof Wake ? List.of(new Subscribe(true))
         : event instanceof Arrived ? List.of(new WakeAfter(1_000_000, 1))
         : event instanceof Start s && s.settings().mustSubscribe() ? List.of(new WakeAfter(2_000_000, 1)) : List.of();
@@ -100,11 +101,11 @@
       fixture.advanceClock(1_000_000);
       nextEvent(0, Wake.class);
       assertEquals("GET /api/targets?stream=1&index=1 HTTP/1.1", fixture.acceptAtDiscovery().readLine(),
-          "not the old one's, from 4");
+          "not the old module's call, which would continue from 4");
     }
   }
 
-  /** Discovery is asked one proxy after another: until this one has its turn, the watch of before tells both. */
+  /** Discovery answers one proxy after another: until this proxy's turn the old watch serves both modules. */
   @Test
   void theOldWatchContinuesUntilTheNewOneDelivers() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -129,7 +130,7 @@
     }
   }
 
-  /** Another discovery is asked at once where the proxy has to ask: nothing is heard of it before. */
+  /** In poll mode a new discovery is called at once, since nothing is known from it yet. */
   @Test
   void aNewDiscoveryIsCalledAtOnceAndTheOldOneNoLonger() throws Exception {
     try (ProxyFixture fixture = newFixture(event -> List.of());
@@ -140,7 +141,8 @@
       newDiscovery.setSoTimeout(10_000);
       reload(fixture, original -> original.replace("\"settings\":{",
           "\"settings\":{\"membershipMode\":\"subscribe\",\"rules\":{\"askEvery\":10000000},")
-          .replaceAll("\"discovery\":\"127.0.0.1:\\d+\"", "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort() + "\""));
+          .replaceAll("\"discovery\":\"127.0.0.1:\\d+\"",
+              "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort() + "\""));
       try (LineSocket call = new LineSocket(newDiscovery.accept())) {
         assertEquals("GET /api/targets?stream=1&index=1 HTTP/1.1", call.readLine());
         oldWatch.connection.readToEnd();
@@ -156,8 +158,8 @@
   }
 
   /**
-   * Discovery works through its calls one after another, and all proxies read their configuration anew at once: when the
-   * module asks for what has been asked for on its behalf, the call that waits for its turn is not made anew.
+   * Discovery handles calls one after another, and all proxies reload at the same time: when the module subscribes to
+   * what was already requested for it, the pending call must not be replaced, or it would lose its place in the queue.
    */
   @Test
   void theNewModulesSubscriptionUsesThePendingCall() throws Exception {
@@ -168,20 +170,21 @@
       fixture.awaitEvent(ServerList.class);
       reload(fixture, original -> original.replace("\"settings\":{",
           "\"settings\":{\"membershipMode\":\"subscribe\",\"rules\":{\"askEvery\":10000000},")
-          .replaceAll("\"discovery\":\"127.0.0.1:\\d+\"", "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort() + "\""));
+          .replaceAll("\"discovery\":\"127.0.0.1:\\d+\"",
+              "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort() + "\""));
       try (LineSocket call = new LineSocket(newDiscovery.accept())) {
         DiscoveryWatchTest.answerOk(call);
         fixture.advanceClock(150_000);
         nextEvent(0, Wake.class);
         fixture.awaitQueuedWork();
-        assertEquals(0, KernelSockets.backlog(newDiscovery.getLocalPort()), "asked twice");
+        assertEquals(0, KernelSockets.backlog(newDiscovery.getLocalPort()), "called twice");
         DiscoveryWatchTest.sendChunk(call, DiscoveryWatchTest.listJson(fixture, 9, true, "in_service"));
         awaitList(0, ListKind.FULL);
       }
     }
   }
 
-  /** The new configuration brings its own list: servers that the old discovery told of are nobody's to ask. */
+  /** The new configuration has its own list: servers known from the old discovery are no longer used. */
   @Test
   void aNewConfiguredListReplacesTheCurrentOne() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -194,8 +197,8 @@
   }
 
   /**
-   * The file's list may be older than what discovery has told since: a server that was told to drain drains on, one that
-   * was told as gone is not brought back, unless it has started anew.
+   * The file's list may be older than discovery's: a server announced as draining keeps draining, and one announced as
+   * gone is not restored, unless it has restarted since.
    */
   @ParameterizedTest
   @CsvSource({"terminating, 0, DRAINING", "terminating, 5000, READY", "terminated, 0, ", "terminated, 5000, READY"})
@@ -207,11 +210,12 @@
       reload(fixture, original -> withOtherSettings(original).replace("\"lifecycle\":\"in_service\"",
           "\"startedAtMs\":" + startedAtMillis + ",\"weight\":2,\"lifecycle\":\"in_service\""));
       ServerList list = nextEvent(0, ServerList.class);
-      assertEquals(state == null ? List.of() : List.of(state), list.entries().stream().map(ServerEntry::state).toList());
+      assertEquals(state == null ? List.of() : List.of(state),
+          list.entries().stream().map(ServerEntry::state).toList());
     }
   }
 
-  /** A list that can't be read refuses the whole configuration in one line; the settings in force go on. */
+  /** An unreadable list rejects the whole configuration with one log line; the current settings stay. */
   @Test
   void anUnreadableListKeepsTheOldSettings() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
--- a/proxy/src/test/java/lemondeal/proxy/ReloadRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReloadRaceTest.java
@@ -26,10 +26,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Settings replaced under a running proxy: what came before ends by the old ones, all else goes by the new. */
+/** Settings replaced in a running proxy: earlier requests end under the old settings, later ones use the new. */
 @Timeout(30)
 class ReloadRaceTest extends ReloadTestBase {
-  /** The UP lies in the kernel when the new settings come: its request belongs to the module that sent it. */
+  /** The UP is in the kernel when the new settings come: its request stays with the module that sent it. */
   @Test
   void anActiveRequestEndsUnderItsOriginalSettings() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -49,11 +49,12 @@
       assertEquals("BYE", client.readLine());
       assertEquals(Outcome.SERVED, fixture.awaitEvent(Ended.class).outcome());
       fixture.awaitQueuedWork();
-      assertFalse(contains(eventsByModule.get(0), Established.class) || contains(eventsByModule.get(0), Ended.class), eventsByModule::toString);
+      assertFalse(contains(eventsByModule.get(0), Established.class) || contains(eventsByModule.get(0), Ended.class),
+          eventsByModule::toString);
     }
   }
 
-  /** The server's answer lies in the kernel and is read first, then the new settings come. */
+  /** The server's answer is read before the new settings come. */
   @Test
   void aRequestThatEndedBeforeTheReloadLeavesNothing() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -83,11 +84,11 @@
       assertFalse(contains(fixture.events, Arrived.class), fixture.events::toString);
       assertEquals(1, fixture.metric("served.feed"));
       assertEquals(2, fixture.metric("in_flight"));
-      assertThrows(AssertionError.class, () -> fixture.metric("served.chat"), "nothing is told of the class before");
+      assertThrows(AssertionError.class, () -> fixture.metric("served.chat"), "the removed class is not reported");
     }
   }
 
-  /** A class that both name goes on in the figures, and is the one that its request counts in. */
+  /** The metrics of a class in both settings continue, and its earlier requests still count for it. */
   @Test
   void metricsOfAClassThatStaysContinue() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -106,7 +107,7 @@
     }
   }
 
-  /** The connection came before, its first line is read after the new settings have come. */
+  /** The connection was accepted before the reload, and its first line is read afterwards. */
   @Test
   void aFirstLineReadAfterTheReloadUsesTheNewSettings() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -129,7 +130,7 @@
     }
   }
 
-  /** It is read before: the module that was in force has it, and its client is owed its answer in the old time. */
+  /** The line is read before the reload: the old module has the request, and its old deadline applies. */
   @Test
   void aFirstLineReadBeforeTheReloadUsesTheOldSettings() throws Exception {
     try (ProxyFixture fixture = newFixture(event -> List.of())) {
@@ -137,17 +138,18 @@
       fixture.awaitEvent(Arrived.class);
       reload(fixture, ReloadTestBase::withOtherSettings);
       fixture.advanceClock(5_000_000);
-      assertEquals("ERR", client.readLine(), "overdue by its own deadline");
+      assertEquals("ERR", client.readLine(), "answered at its original deadline");
       assertFalse(contains(eventsByModule.get(0), Arrived.class), eventsByModule::toString);
     }
   }
 
-  /** The real module: a request that may be repeated is harmless to try again, also when its class no longer is. */
+  /** With the real module: a request that may be repeated is safe to retry even if the new settings forbid it. */
   @Test
   void theOriginalSettingsDecideWhatMayBeRepeated() throws Exception {
     try (ProxyFixture fixture = ProxyFixture.of(event -> List.of(), options -> {
       options.module = new DecisionModule();
-      options.editConfig = original -> initialConfig = original.replace("\"cancelling\":true", "\"cancelling\":true,\"tryLimit\":3");
+      options.editConfig = original ->
+          initialConfig = original.replace("\"cancelling\":true", "\"cancelling\":true,\"tryLimit\":3");
     })) {
       fixture.proxy.setModuleFactory(DecisionModule::new);
       new DiscoveryWatch(fixture).sendList(2, fixture.instanceJson("in_service"));
@@ -173,7 +175,7 @@
     return List.of();
   }
 
-  /** Both were asked for by the module of the old settings, and come when the new ones are in force. */
+  /** The old module requested both, and they come when the new settings are in force. */
   @Test
   void aProbeResultAndAWakeUpGoToTheModuleThatRequestedThem() throws Exception {
     try (ProxyFixture fixture = newFixture(ReloadRaceTest::probeAndWake)) {
@@ -188,11 +190,12 @@
       assertEquals(Outcome.SERVED, fixture.awaitEvent(ProbeResult.class).outcome());
       fixture.advanceClock(1_000_000);
       assertEquals(7, fixture.awaitEvent(Wake.class).token());
-      assertFalse(contains(eventsByModule.get(0), ProbeResult.class) || contains(eventsByModule.get(0), Wake.class), eventsByModule::toString);
+      assertFalse(contains(eventsByModule.get(0), ProbeResult.class) || contains(eventsByModule.get(0), Wake.class),
+          eventsByModule::toString);
     }
   }
 
-  /** What only the next start can change changes nothing, and neither does a file that says the same. */
+  /** Neither an unchanged file nor changes that need a restart create a new module. */
   @Test
   void unchangedSettingsCreateNoNewModule() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -204,7 +207,7 @@
     }
   }
 
-  /** Where modules can't be made anew, as with an operator's own file, that is said and nothing is mixed. */
+  /** Without a module factory, as with an operator's own file, the proxy logs this and keeps all old settings. */
   @Test
   void withoutAModuleFactorySettingsWaitForTheNextStart() throws Exception {
     try (ProxyFixture fixture = ProxyFixture.of(ProxyTest::sendOnce, options -> {
@@ -218,7 +221,7 @@
     }
   }
 
-  /** The order to stop, given and taken: nobody new is served any more. */
+  /** Requests a stop and waits until it is in effect: no new client is served from then on. */
   private static Thread startStop(ProxyFixture fixture) throws Exception {
     Thread stop = new Thread(() -> {
       try {
@@ -229,7 +232,7 @@
     });
     AtomicBoolean ready = new AtomicBoolean();
     fixture.runOnEventLoop(() -> ready.set(fixture.proxy.isReady()));
-    assertTrue(ready.get(), "serving before the order");
+    assertTrue(ready.get(), "serving before the stop");
     stop.start();
     while (ready.get()) {
       fixture.runOnEventLoop(() -> ready.set(fixture.proxy.isReady()));
@@ -237,7 +240,7 @@
     return stop;
   }
 
-  /** SIGKILL comes so long after the longest deadline of the settings in force, which are shorter now. */
+  /** SIGKILL follows a fixed time after the longest deadline of the current settings, which is shorter now. */
   @Test
   void aStopUsesTheTimesOfTheCurrentSettings() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -247,7 +250,7 @@
       ProxyTest.establish(fixture, client).send("half a li");
       reload(fixture, original -> original.replace("5000000", "1000000"));
       Thread stop = startStop(fixture);
-      // The server hangs in its line; its client is moved half a second before the end, 1.5 s after the order.
+      // The server hangs mid-line; its client is moved half a second before the end, which is 1.5 s after the stop.
       fixture.advanceClock(1_010_000);
       assertTrue(contains(fixture.events, Ended.class), fixture.events::toString);
       assertEquals("MOVE", client.readLine());
@@ -256,7 +259,7 @@
     }
   }
 
-  /** The settings in force stay to the end: a generation begun now would have no client. */
+  /** The current settings stay to the end: a new generation would never get a client. */
   @Test
   void aReloadDuringAStopCreatesNoModule() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -271,7 +274,7 @@
     }
   }
 
-  /** Several changes one after another, with a request of each under way. */
+  /** Several reloads one after another, each with an active request. */
   @Test
   void eachReloadHasItsOwnRequests() throws Exception {
     try (ProxyFixture fixture = newFixture(ProxyTest::sendOnce)) {
@@ -293,7 +296,7 @@
       fixture.awaitEvent(Established.class);
       for (int i = 0; i < 3; i++) {
         nextEvent(i, Established.class);
-        assertFalse(contains(eventsByModule.get(i), Established.class), "one each");
+        assertFalse(contains(eventsByModule.get(i), Established.class), "one for each module");
       }
     }
   }
--- a/proxy/src/test/java/lemondeal/proxy/ReloadTestBase.java
+++ b/proxy/src/test/java/lemondeal/proxy/ReloadTestBase.java
@@ -24,7 +24,7 @@
 import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A site whose settings are replaced under it, and what each module hears that was made for them. */
+/** Base of tests that replace the settings of a running proxy and record the events of each new module. */
 abstract class ReloadTestBase {
   static final String CHAT_FIELDS = "c=chat,d=5000";
   static final String FEED_FIELDS = "c=feed,d=5000";
@@ -32,9 +32,9 @@
   @TempDir
   Path folder;
 
-  /** The text that the site was started with. */
+  /** The configuration that the proxy was started with. */
   String initialConfig;
-  /** What each module heard that was made for settings read anew. */
+  /** The events of each module that a reload has created, in order of creation. */
   final List<BlockingQueue<Event>> eventsByModule = new ArrayList<>();
   final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
   final PrintStream log = new PrintStream(new ByteArrayOutputStream()) {
@@ -44,7 +44,7 @@
     }
   };
 
-  /** A site whose modules all go by this script. */
+  /** A fixture whose modules all use this script. */
   ProxyFixture newFixture(Function<Event, List<Action>> script, UnaryOperator<String> editConfig) throws IOException {
     ProxyFixture fixture = ProxyFixture.of(script, options -> {
       options.log = log;
@@ -66,9 +66,10 @@
     return newFixture(script, UnaryOperator.identity());
   }
 
-  /** Hands the proxy the configuration with these changes; it is taken over in its next turn. */
+  /** Submits the edited configuration; the proxy applies it in the event loop's next turn. */
   void reconfigure(ProxyFixture fixture, UnaryOperator<String> editConfig) throws IOException {
-    Path file = Files.writeString(folder.resolve("config.json"), ProxyFixture.withDefaultRules(editConfig.apply(initialConfig)));
+    Path file = Files.writeString(folder.resolve("config.json"),
+        ProxyFixture.withDefaultRules(editConfig.apply(initialConfig)));
     fixture.proxy.reconfigure(Config.read(Map.of("GW_CONFIG", file.toString())));
   }
 
@@ -77,9 +78,10 @@
     fixture.awaitQueuedWork();
   }
 
-  /** Another customer's settings: another class, other zones and kinds of machines, another effect and deadline. */
+  /** Another customer's settings: a different class, effect and deadline, and other zones and machine types. */
   static String withOtherSettings(String configText) {
-    return configText.replace("\"chat\"", "\"feed\"").replace("idempotent", "at_most_once").replace("5000000", "3000000")
+    return configText.replace("\"chat\"", "\"feed\"").replace("idempotent", "at_most_once")
+        .replace("5000000", "3000000")
         .replace("\"azs\":[\"a\"]", "\"azs\":[\"b\",\"a\"]")
         .replace("\"flavors\":[\"m\"]", "\"flavors\":[\"n\",\"o\",\"m\"]");
   }
@@ -88,7 +90,7 @@
     Event event;
     do {
       event = eventsByModule.get(module).poll(10, TimeUnit.SECONDS);
-      assertNotNull(event, "no " + type.getSimpleName() + " came to module " + module);
+      assertNotNull(event, "no " + type.getSimpleName() + " reached module " + module);
     } while (!type.isInstance(event));
     return type.cast(event);
   }
@@ -106,7 +108,7 @@
     fixture.events.clear();
   }
 
-  /** The next watch that the proxy opens. */
+  /** The server side of the proxy's next discovery watch. */
   static final class DiscoveryWatch {
     final LineSocket connection;
 
--- a/proxy/src/test/java/lemondeal/proxy/RepeatedAttemptTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/RepeatedAttemptTest.java
@@ -25,11 +25,11 @@
 import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
 
-/** Repeats on real connections, decided by the program's own module. */
+/** Repeated attempts on real connections, decided by the program's own module. */
 class RepeatedAttemptTest {
   private static final String OPEN_FIELDS = "c=chat,d=2000";
 
-  /** The decision module, and what it sent. */
+  /** The decision module, with its Send actions recorded. */
   private static final class RecordingModule implements Balancer {
     private final DecisionModule delegate = new DecisionModule();
     private final BlockingQueue<Send> sends = new LinkedBlockingQueue<>();
@@ -50,17 +50,17 @@
       return delegate.serverSummary(now);
     }
 
-    /** The server that the next attempt goes to, counted from 0. */
+    /** The index of the server that the next attempt goes to, counted from 0. */
     int nextServer() throws InterruptedException {
       Send send = sends.poll(10, TimeUnit.SECONDS);
-      assertNotNull(send, "nothing was sent");
+      assertNotNull(send, "no attempt was sent");
       return Integer.parseInt(send.server().substring(2)) - 1;
     }
   }
 
   private final RecordingModule module = new RecordingModule();
 
-  /** Two servers and one class of this effect, written as in the settings. */
+  /** Two servers and one class with this effect, given in the syntax of the settings. */
   private ProxyFixture newFixture(String effect) throws IOException, InterruptedException {
     ProxyFixture fixture = ProxyFixture.of(event -> List.of(), options -> {
       options.serverCount = 2;
@@ -69,7 +69,7 @@
           .replace("\"aim\":1000000", "\"aim\":100000")
           .replace("\"cancelling\":true", "\"cancelling\":true,\"tryLimit\":3");
     });
-    // The list from before must do: both servers are ready.
+    // Discovery fails, so the configured list is used: both servers are ready.
     fixture.acceptAtDiscovery().close();
     assertEquals(ListKind.SAVED, fixture.awaitEvent(ServerList.class).kind());
     return fixture;
@@ -77,10 +77,11 @@
 
   private static final String SAFE = "\"semantics\":\"idempotent\"";
   private static final String KEYED = "\"semantics\":\"deduplicated\",\"group\":\"all\",\"dedupWindow\":500000";
-  private static final String KEYED_IN_ZONE = "\"semantics\":\"deduplicated\",\"group\":\"zone\",\"dedupWindow\":500000";
+  private static final String KEYED_IN_ZONE =
+      "\"semantics\":\"deduplicated\",\"group\":\"zone\",\"dedupWindow\":500000";
   private static final String ONCE = "\"semantics\":\"at_most_once\"";
 
-  /** The first attempt's line is read by its server, which then resets the connection so much later. */
+  /** The first attempt's line is read by its server, which resets the connection after this delay. */
   private int resetAfterTheLine(ProxyFixture fixture, long delay) throws IOException, InterruptedException {
     int first = module.nextServer();
     LineSocket server = fixture.acceptAtServer(first);
@@ -112,12 +113,12 @@
     try (ProxyFixture fixture = newFixture(ONCE)) {
       LineSocket client = fixture.newClient(OPEN_FIELDS);
       resetAfterTheLine(fixture, 0);
-      assertTrue(client.readLine().startsWith("ERR"), "no word on whether it ran");
+      assertTrue(client.readLine().startsWith("ERR"), "it may have run, so the client gets no throttle");
       assertNull(module.sends.poll());
     }
   }
 
-  /** The window counts from the first attempt that may have run. Where all drop repeats, the client may come again. */
+  /** The window counts from the first attempt that may have run. If all servers deduplicate, the client may retry. */
   @Test
   void nothingIsRepeatedOnceTheWindowIsOver() throws Exception {
     for (String effect : List.of(KEYED, KEYED_IN_ZONE)) {
@@ -130,11 +131,11 @@
     }
   }
 
-  /** The first server answers when its attempt has been given up and another is out: that answer is nobody's. */
+  /** The first server answers after its attempt has timed out and another has begun: that answer is ignored. */
   @Test
   void aFirstAnswerAfterItsRepeatIsIgnored() throws Exception {
     try (ProxyFixture fixture = newFixture(SAFE)) {
-      // One that came up at once: set-ups are not slow in general.
+      // A client that came up at once, so that set-ups do not count as slow in general.
       LineSocket earlierClient = fixture.newClient(OPEN_FIELDS);
       LineSocket healthy = fixture.acceptAtServer(module.nextServer());
       assertTrue(healthy.readLine().startsWith("OPEN "));
@@ -155,7 +156,7 @@
     }
   }
 
-  /** In one round: the server's reset, after which its request may be repeated, and the client's. */
+  /** The server's reset, after which the request may be repeated, and the client's arrive in one turn. */
   @Test
   void noAttemptBeginsForAClientThatLeftAsItsAttemptWasReset() throws Exception {
     for (boolean clientFirst : new boolean[] {true, false}) {
@@ -173,7 +174,7 @@
         }
         fixture.awaitEvent(ClientGone.class);
         fixture.awaitQueuedWork();
-        // The next that the other server hears is a later client's line.
+        // The next line that the other server receives must be a later client's.
         module.sends.clear();
         fixture.newClient(OPEN_FIELDS + ",g=marker");
         int second = module.nextServer();
--- a/proxy/src/test/java/lemondeal/proxy/ResumeTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ResumeTest.java
@@ -36,12 +36,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What docs/RESUME-WIRE.md specifies, on real sockets. */
+/** The resume protocol of docs/RESUME-WIRE.md on real sockets. */
 @Timeout(30)
 class ResumeTest {
   private static final String RESUME_FIELDS = "c=chat,d=2000,g=g1,resume=1";
 
-  /** Claims that are answered when the test says so; what is given back is noted. */
+  /** Claims that are answered when the test says so; returned claims are recorded. */
   private static final class ManualClaims implements ClaimService {
     final BlockingQueue<Consumer<ClaimAnswer>> pendingAnswers = new LinkedBlockingQueue<>();
     final BlockingQueue<Claim> returnedClaims = new LinkedBlockingQueue<>();
@@ -84,18 +84,19 @@
     return new ResumptionContext(settings(4, 100, 2000), keys("k1"), claims, "n0", System::currentTimeMillis);
   }
 
-  private static ProxyFixture site(ClaimService claims) throws IOException {
+  private static ProxyFixture newFixture(ClaimService claims) throws IOException {
     return new ProxyFixture(ProxyTest::sendOnce, resumption(claims));
   }
 
-  /** A client with its server's side, and the token that it was given. */
+  /** A client, its server's side, the token that the client was given, and the OPEN line that the server got. */
   private record Session(LineSocket client, LineSocket server, String token, String openLine) {}
 
-  private static Session openSession(ProxyFixture site) throws IOException {
-    return acceptAndAnswerUp(site, site.newClient(RESUME_FIELDS), "0", "RESUME new ");
+  private static Session openSession(ProxyFixture fixture) throws IOException {
+    return acceptAndAnswerUp(fixture, fixture.newClient(RESUME_FIELDS), "0", "RESUME new ");
   }
 
-  private static Session acceptAndAnswerUp(ProxyFixture fixture, LineSocket client, String resumed, String expected) throws IOException {
+  private static Session acceptAndAnswerUp(ProxyFixture fixture, LineSocket client, String resumed, String expected)
+      throws IOException {
     LineSocket server = fixture.acceptAtServer();
     String openLine = server.readLine();
     server.send("UP r1 resumed=" + resumed + "\r\n");
@@ -113,7 +114,7 @@
     return openLine.replaceAll(".*[ ,]" + name + "=([^,]*).*", "$1");
   }
 
-  /** The next line that is no checkpoint. */
+  /** The next line that is not a TOKEN checkpoint. */
   private static String nextDataLine(LineSocket client) throws IOException {
     String line = client.readLine();
     return line != null && line.startsWith("TOKEN ") ? nextDataLine(client) : line;
@@ -121,7 +122,7 @@
 
   @Test
   void aServersMoveCarriesATokenThatResumesElsewhere() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       Session first = openSession(fixture);
       assertTrue(first.openLine().matches("OPEN \\w+ \\w+ c=chat,d=\\d+,g=g1,session=[0-9a-f]{32},epoch=16,have=0"),
           first.openLine());
@@ -140,14 +141,15 @@
       assertEquals("32", fieldValue(second.openLine(), "epoch"));
       assertEquals("2", fieldValue(second.openLine(), "have"));
       assertFalse(second.openLine().contains("token") || second.openLine().contains("resume"), second.openLine());
-      assertEquals("ERR used", fixture.newClient(resumeWith(first.token(), 2)).readLine(), "a token of the same connection is used too");
+      assertEquals("ERR used", fixture.newClient(resumeWith(first.token(), 2)).readLine(),
+          "an earlier token of the same connection is used up as well");
     }
   }
 
-  /** Whoever has not asked, or is of another class or an open connection of before, must see what it always saw. */
+  /** Clients that did not request resumption must see exactly what they saw without it. */
   @Test
   void plainClientsPassUnchanged() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       LineSocket client = fixture.newClient("c=chat,d=2000,token=abc,got=4");
       LineSocket server = fixture.acceptAtServer();
       assertTrue(server.readLine().endsWith(",token=abc,got=4"));
@@ -160,7 +162,7 @@
 
   @Test
   void clientsLearnThatAServerCannotResume() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       Session first = openSession(fixture);
       for (String openFields : List.of(RESUME_FIELDS, resumeWith(first.token(), 0))) {
         LineSocket client = fixture.newClient(openFields);
@@ -174,10 +176,10 @@
     }
   }
 
-  /** A server that lacks what another one acknowledged would lose lines: it must not be passed on as up. */
+  /** A server that lacks lines acknowledged by another server would lose them: its UP must not be passed on. */
   @Test
   void aServerThatLacksAcknowledgedLinesHasFailed() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       Session first = openSession(fixture);
       first.client().send("order 1\r\n");
       first.server().readLine();
@@ -190,14 +192,15 @@
       server.readLine();
       server.send("UP r2 resumed=0\r\n");
       assertEquals("BUSY 250", client.readLine());
-      // Given back: the token is good still.
-      acceptAndAnswerUp(fixture, fixture.newClient(resumeWith(token.substring("TOKEN ".length()), 0)), "1", "RESUME at 1 ");
+      // The claim was returned: the token is still valid.
+      acceptAndAnswerUp(fixture, fixture.newClient(resumeWith(token.substring("TOKEN ".length()), 0)), "1",
+          "RESUME at 1 ");
     }
   }
 
   @Test
   void eachBadTokenGetsItsAnswer() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       String token = openSession(fixture).token();
       assertEquals("ERR token", fixture.newClient(resumeWith("rubbish", 0)).readLine());
       assertEquals("ERR token", fixture.newClient(resumeWith(token.substring(0, token.length() - 2), 0)).readLine());
@@ -205,7 +208,8 @@
       assertEquals("ERR got", fixture.newClient(RESUME_FIELDS + ",token=" + token).readLine());
       assertEquals("ERR got", fixture.newClient(resumeWith(token, 0).replace("got=0", "got=-1")).readLine());
       assertEquals("ERR other", fixture.newClient(resumeWith(token, 0).replace("g=g1", "g=g2")).readLine());
-      acceptAndAnswerUp(fixture, fixture.newClient(resumeWith(token.replaceFirst("k1", "k0"), 0)), "0", "RESUME anew key ");
+      acceptAndAnswerUp(fixture, fixture.newClient(resumeWith(token.replaceFirst("k1", "k0"), 0)), "0",
+          "RESUME anew key ");
       acceptAndAnswerUp(fixture, fixture.newClient(resumeWith("9.what.ever.later", 0)), "0", "RESUME anew version ");
       acceptAndAnswerUp(fixture, fixture.newClient(resumeWith(token, 0)), "0", "RESUME at 0 ");
       assertEquals(0, fixture.metric("failed.chat") - 6);
@@ -226,25 +230,26 @@
     }
   }
 
-  /** A silent store is no reason to keep a client waiting, and none to lose its token. */
+  /** A store that does not answer must neither keep a client waiting nor cost it its token. */
   @Test
   void aSilentStoreThrottlesAtOnceAndALateGrantIsReturned() throws Exception {
     ManualClaims claims = new ManualClaims();
-    ResumptionContext resumption = new ResumptionContext(settings(4, 100, 50), keys("k1"), claims, "n0", System::currentTimeMillis);
+    ResumptionContext resumption =
+        new ResumptionContext(settings(4, 100, 50), keys("k1"), claims, "n0", System::currentTimeMillis);
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, resumption)) {
       String token = openSession(fixture).token();
       assertEquals("BUSY 500", fixture.newClient(resumeWith(token, 0)).readLine());
       claims.pendingAnswers.poll(10, TimeUnit.SECONDS).accept(new ClaimAnswer.Granted(32));
       assertEquals(16, claims.returnedClaims.poll(10, TimeUnit.SECONDS).epoch());
       assertEquals(1, fixture.metric("resume.busy"));
-      assertEquals(1, fixture.metric("in_flight"), "only the first connection is held");
+      assertEquals(1, fixture.metric("in_flight"), "only the first connection has a slot");
     }
   }
 
   @Test
   void aClaimAnsweredAfterTheClientLeftIsReturned() throws Exception {
     ManualClaims claims = new ManualClaims();
-    try (ProxyFixture fixture = site(claims)) {
+    try (ProxyFixture fixture = newFixture(claims)) {
       Session first = openSession(fixture);
       fixture.awaitEvent(Established.class);
       LineSocket leaver = fixture.newClient(resumeWith(first.token(), 0));
@@ -256,15 +261,15 @@
       }
       answer.accept(new ClaimAnswer.Granted(32));
       assertEquals(16, claims.returnedClaims.poll(10, TimeUnit.SECONDS).epoch());
-      assertTrue(fixture.events.stream().noneMatch(Arrived.class::isInstance), "the module never heard of it");
+      assertTrue(fixture.events.stream().noneMatch(Arrived.class::isInstance), "the module must not see the request");
     }
   }
 
-  /** Over its deadline a client is owed an answer, whatever the store does. */
+  /** A client must be answered at its deadline, whatever the store does. */
   @Test
   void aClaimDoesNotOutlastTheDeadline() throws Exception {
     ManualClaims claims = new ManualClaims();
-    try (ProxyFixture fixture = site(claims)) {
+    try (ProxyFixture fixture = newFixture(claims)) {
       String token = openSession(fixture).token();
       assertEquals("ERR", fixture.newClient(resumeWith(token, 0).replace("d=2000", "d=60")).readLine());
       claims.pendingAnswers.poll(10, TimeUnit.SECONDS).accept(new ClaimAnswer.Granted(32));
@@ -272,14 +277,15 @@
     }
   }
 
-  /** Each attempt has an epoch of its own; when all have failed the token is good again. */
+  /** Each attempt has its own epoch; when all have failed the token is valid again. */
   @Test
   void aClaimIsReturnedWhenAllAttemptsFail() throws Exception {
     Function<Event, List<Action>> sendTwice = event -> {
       if (event instanceof Ended e && !e.requestFinished() && e.attempt() == 0) {
         return List.of(new Send(e.id(), ProxyFixture.SERVER, 0));
       }
-      return event instanceof Ended e && !e.requestFinished() ? List.of(new Refuse(e.id(), 40_000)) : ProxyTest.sendOnce(event);
+      return event instanceof Ended e && !e.requestFinished() ? List.of(new Refuse(e.id(), 40_000))
+          : ProxyTest.sendOnce(event);
     };
     try (ProxyFixture fixture = new ProxyFixture(sendTwice, resumption(inMemory()))) {
       String token = openSession(fixture).token();
@@ -295,10 +301,10 @@
     }
   }
 
-  /** Two with one token at once: while one is under way the other is throttled, and never sent. */
+  /** Two clients with one token at once: while one is in progress the other is throttled and never sent. */
   @Test
   void theSameTokenTwiceAtOnceIsOneAttempt() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       String token = openSession(fixture).token();
       LineSocket first = fixture.newClient(resumeWith(token, 0));
       LineSocket server = fixture.acceptAtServer();
@@ -311,10 +317,10 @@
     }
   }
 
-  /** What the client would have to keep must not grow without end, and it is told so. */
+  /** The client's buffer of unacknowledged lines must be bounded: resumption ends, and the client is told so. */
   @Test
   void aServerThatAcknowledgesNothingEndsTheSession() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       Session session = openSession(fixture);
       session.client().send("1\r\n2\r\n3\r\n4\r\n");
       for (int i = 1; i <= 4; i++) {
@@ -329,10 +335,10 @@
     }
   }
 
-  /** A session that ends inside a server's line: what had come of the line was kept back, and once got lost. */
+  /** Guards against losing the withheld first part of a server's line when the session ends within that line. */
   @Test
   void aSessionThatEndsMidLineLosesNothingOfTheLine() throws Exception {
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       Session session = openSession(fixture);
       session.server().send("whole\r\nhalf a li");
       assertEquals("whole", nextDataLine(session.client()));
@@ -345,11 +351,13 @@
 
   @Test
   void aSessionBeyondTheLimitIsAnsweredFull() throws Exception {
-    ResumptionContext resumptionForOne = new ResumptionContext(settings(4, 1, 2000), keys("k1"), inMemory(), "n0", System::currentTimeMillis);
+    ResumptionContext resumptionForOne =
+        new ResumptionContext(settings(4, 1, 2000), keys("k1"), inMemory(), "n0", System::currentTimeMillis);
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, resumptionForOne)) {
       Session first = openSession(fixture);
       assertEquals("", acceptAndAnswerUp(fixture, fixture.newClient(RESUME_FIELDS), "0", "RESUME off full").token());
-      assertEquals("-", acceptAndAnswerUp(fixture, fixture.newClient(resumeWith(first.token(), 0)), "0", "RESUME at 0 ").token());
+      assertEquals("-", acceptAndAnswerUp(fixture, fixture.newClient(resumeWith(first.token(), 0)), "0",
+          "RESUME at 0 ").token());
       first.client().close();
       while (fixture.metric("resume.held") > 0) {
         Thread.onSpinWait();
@@ -358,7 +366,7 @@
     }
   }
 
-  /** A move that comes in the middle of a server's line: the line is not passed on, and not counted. */
+  /** At a move in the middle of a server's line that line is neither passed on nor counted. */
   @Test
   void aMoveInsideALineDropsTheHalfLine() throws Exception {
     Function<Event, List<Action>> moving = event -> event instanceof lemondeal.Balancer.LoadChanged e
@@ -377,11 +385,11 @@
     }
   }
 
-  /** Cut at any byte, both ways, the lines are whole and the counts right. */
+  /** However the byte stream is split, lines stay whole and the counts are right. */
   @Test
   void linesInAnyPiecesAreCountedCorrectly() throws Exception {
     Random random = new Random(31);
-    try (ProxyFixture fixture = site(inMemory())) {
+    try (ProxyFixture fixture = newFixture(inMemory())) {
       for (int round = 0; round < 12; round++) {
         Session session = openSession(fixture);
         StringBuilder text = new StringBuilder();
--- a/proxy/src/test/java/lemondeal/proxy/RuleViolationTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/RuleViolationTest.java
@@ -21,23 +21,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whatever a module orders, no rule of the protocol is broken, and each order that would have is counted. */
+/** Whatever a module decides, no rule of the protocol is violated, and each decision that would have is counted. */
 class RuleViolationTest {
   private static final String OPEN_FIELDS = "c=chat,d=3000";
   private static final long REPEAT_DELAY = 300_000;
 
   private static ProxyFixture newFixture(Function<Event, List<Action>> script, String semantics) throws Exception {
-    return ProxyFixture.of(script, options -> options.editConfig = text -> ProxyFixture.withDefaultRules(text.replace("\"semantics\":\"idempotent\"",
-        "\"semantics\":\"" + semantics + "\",\"group\":\"all\",\"dedupWindow\":200000")));
+    return ProxyFixture.of(script, options -> options.editConfig = text -> ProxyFixture.withDefaultRules(
+        text.replace("\"semantics\":\"idempotent\"",
+            "\"semantics\":\"" + semantics + "\",\"group\":\"all\",\"dedupWindow\":200000")));
   }
 
-  /** Sends, and sends again to the same server a while after the attempt has ended; fails what can't be sent then. */
+  /** Sends, sends again to the same server some time after the attempt has ended, and fails what cannot be sent. */
   private static List<Action> sendAgainLater(Event event) {
     if (event instanceof Arrived e) {
       return List.of(new Send(e.request().id(), ProxyFixture.SERVER, 0));
     }
     if (event instanceof Ended e && !e.requestFinished()) {
-      return e.attempt() == 0 ? List.of(new WakeAfter(REPEAT_DELAY, Long.parseLong(e.id(), 16))) : List.of(new Fail(e.id()));
+      return e.attempt() == 0 ? List.of(new WakeAfter(REPEAT_DELAY, Long.parseLong(e.id(), 16)))
+          : List.of(new Fail(e.id()));
     }
     if (event instanceof Wake e) {
       return List.of(new Send(Long.toHexString(e.token()), ProxyFixture.SERVER, 0));
@@ -115,14 +117,15 @@
   }
 
   /**
-   * A proxy may be held up for 0.15 s before it reads that the server drains, and for 0.15 s between its last look at the
+   * A proxy may pause for 0.15 s before it reads that the server drains, and for 0.15 s between its last reading of the
    * clock and the write: the grace has to cover both.
    */
   @ParameterizedTest
   @CsvSource({"0, 1", "30000000, 1", "59750000, 0"})
   void aSendToADrainingServerLeavesTimeForProcessPauses(long elapsed, long attempts) throws Exception {
-    // A minute's grace, so that it does not matter how long the test itself takes.
-    try (ProxyFixture fixture = ProxyFixture.of(RuleViolationTest::sendOnceOrFail, options -> options.editConfig = text ->
+    // A grace of one minute, so that the duration of the test itself does not matter.
+    try (ProxyFixture fixture = ProxyFixture.of(RuleViolationTest::sendOnceOrFail, options ->
+        options.editConfig = text ->
         ProxyFixture.withDefaultRules(text).replace("\"drainGrace\":1000000", "\"drainGrace\":60000000"))) {
       LineSocket watch = DiscoveryWatchTest.answerOk(fixture.acceptAtDiscovery());
       DiscoveryWatchTest.sendChunk(watch, DiscoveryWatchTest.listJson(fixture, 2, false, "terminating"));
--- a/proxy/src/test/java/lemondeal/proxy/ServerListRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ServerListRaceTest.java
@@ -30,18 +30,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Where a list, or its end, crosses another event. */
+/** Server lists, or the end of their connection, that race with other events. */
 class ServerListRaceTest {
   private static final long SECOND = 1_000_000;
   private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   private static final String WATCH_REQUEST = "GET /api/targets?stream=1&index=";
 
-  /** Lists are asked for: on the module's word, with the saved list and after each failure. */
-  private static ProxyFixture subscribingFixture(Function<Event, List<Action>> script) throws IOException {
-    return ProxyFixture.of(script, options -> options.editConfig = ServerListRaceTest::subscribeConfig);
+  /** A proxy in poll mode: lists are requested when its module subscribes, see {@link #resubscribe}. */
+  private static ProxyFixture pollingFixture(Function<Event, List<Action>> script) throws IOException {
+    return ProxyFixture.of(script, options -> options.editConfig = ServerListRaceTest::pollConfig);
   }
 
-  private static String subscribeConfig(String config) {
+  private static String pollConfig(String config) {
     return pushConfig(config).replace("\"settings\":{", "\"settings\":{\"membershipMode\":\"subscribe\",");
   }
 
@@ -58,7 +58,7 @@
     return List.of();
   }
 
-  /** The call's first line; the rest of the call is read, too. */
+  /** Reads the whole request; returns its first line. */
   private static String readRequest(LineSocket connection) throws IOException {
     String requestLine = connection.readLine();
     while (!connection.readLine().isEmpty()) {
@@ -82,7 +82,7 @@
         + "]}\n";
   }
 
-  /** Sends, and returns when the proxy has read it. */
+  /** Sends the text; returns when the proxy has read it. */
   private static void sendAndAwaitRead(ProxyFixture fixture, LineSocket connection, String text) throws Exception {
     try (ProxyFixture.EventLoopPause pause = fixture.pauseEventLoop()) {
       connection.send(text).awaitUnread(text.length());
@@ -97,7 +97,7 @@
     return list;
   }
 
-  /** Whether a failure has been told by now, by the proxy's clock. */
+  /** Whether the module has been told of a failure so far. */
   private static boolean hasReportedFailure(ProxyFixture fixture) {
     return fixture.events.stream().anyMatch(e -> e instanceof ServerList l && l.kind() == ListKind.FAILED);
   }
@@ -108,12 +108,13 @@
 
   // ---- Silence -------------------------------------------------------------------------------
 
-  /** Whatever it brought before it fell silent, and however it goes on without a whole line. */
+  /** Whatever part of a response it sent before it fell silent. */
   @ParameterizedTest
-  @ValueSource(strings = {"", "HTTP/1.1 2", RESPONSE_HEAD, RESPONSE_HEAD + "40\r\n", RESPONSE_HEAD + "40\r\n{\"generation\":2,\"re",
-      RESPONSE_HEAD + "1\r\n\n\r\n", RESPONSE_HEAD + "1\r\n\n\r\n" + "40\r\n{\"generation\":2,\"re", RESPONSE_HEAD + "2\r\n{\n\r\n"})
+  @ValueSource(strings = {"", "HTTP/1.1 2", RESPONSE_HEAD, RESPONSE_HEAD + "40\r\n",
+      RESPONSE_HEAD + "40\r\n{\"generation\":2,\"re", RESPONSE_HEAD + "1\r\n\n\r\n",
+      RESPONSE_HEAD + "1\r\n\n\r\n" + "40\r\n{\"generation\":2,\"re", RESPONSE_HEAD + "2\r\n{\n\r\n"})
   void aSilentWatchIsReopened(String partialResponse) throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = fixture.acceptAtDiscovery();
       readRequest(watch);
@@ -126,11 +127,12 @@
     }
   }
 
-  /** A byte now and then once kept it alive for ever. What it may bring counts 6 s after its last whole line. */
+  /** Guards against single bytes keeping a watch alive: a missed change counts as known 6 s after the last line. */
   @ParameterizedTest
-  @ValueSource(strings = {"HTTP/1.1 200 OK\r\nA: ", RESPONSE_HEAD + "7f\r\n", RESPONSE_HEAD + "1\r\n\n\r\n7f\r\n{\"a\":\""})
+  @ValueSource(strings = {"HTTP/1.1 200 OK\r\nA: ", RESPONSE_HEAD + "7f\r\n",
+      RESPONSE_HEAD + "1\r\n\n\r\n7f\r\n{\"a\":\""})
   void aWatchThatSendsSingleBytesIsReopenedInTime(String partialResponse) throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = fixture.acceptAtDiscovery();
       readRequest(watch);
@@ -147,10 +149,10 @@
     }
   }
 
-  /** Its end of patience must not be put off by what comes in the last moment and is no line. */
+  /** The timeout must not be extended by bytes that arrive in the last moment and complete no line. */
   @Test
   void aByteInTheLastMomentDoesNotExtendTheTimeout() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = acceptWatch(fixture, 1);
       sendAndAwaitRead(fixture, watch, "1\r\n\n\r\n");
@@ -164,7 +166,7 @@
 
   @Test
   void aWholeLineInTheLastMomentKeepsTheWatch() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = acceptWatch(fixture, 1);
       sendAndAwaitRead(fixture, watch, "1\r\n\n\r\n");
@@ -177,7 +179,7 @@
       }
       assertEquals(ServerState.DRAINING, firstState(awaitList(fixture, ListKind.CHANGES)));
       fixture.advanceClock(fixture.limits().pauseAllowance() + fixture.limits().timerTick());
-      assertTrue(fixture.events.isEmpty(), "kept");
+      assertTrue(fixture.events.isEmpty(), "the watch stays open");
       sendAndAwaitRead(fixture, watch, chunk(listJson(3, false, fixture.instanceJson("terminated"))));
       assertEquals(3, awaitList(fixture, ListKind.CHANGES).version());
     }
@@ -185,10 +187,10 @@
 
   // ---- Ends ----------------------------------------------------------------------------------
 
-  /** The drain is in the kernel as the reset comes behind it. */
+  /** The drain is in the kernel when the reset follows it. */
   @Test
   void aDrainFollowedByAResetIsReported() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = acceptWatch(fixture, 1);
       sendAndAwaitRead(fixture, watch, "1\r\n\n\r\n");
@@ -205,13 +207,14 @@
     }
   }
 
-  /** The reset comes first: the drain is what the next watch brings, from the version held. */
+  /** The reset comes first: the next watch continues from the current version and delivers the drain. */
   @Test
   void aDrainAfterAResetIsReadByTheNextWatch() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = acceptWatch(fixture, 1);
-      sendAndAwaitRead(fixture, watch, chunk(listJson(2, true, fixture.instanceJson("in_service"))) + "ff\r\n{\"generation\":3,\"res");
+      sendAndAwaitRead(fixture, watch,
+          chunk(listJson(2, true, fixture.instanceJson("in_service"))) + "ff\r\n{\"generation\":3,\"res");
       awaitList(fixture, ListKind.FULL);
       watch.reset();
       awaitList(fixture, ListKind.FAILED);
@@ -220,10 +223,10 @@
     }
   }
 
-  /** It lies in the kernel as the call is given up: nobody's, and the next call goes on from the version held. */
+  /** An answer in the kernel when its call times out is ignored; the next call continues from the current version. */
   @Test
   void anAnswerAfterItsCallTimedOutIsIgnored() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket lateWatch = acceptWatch(fixture, 1);
       fixture.advanceClock(36 * SECOND / 10);
@@ -240,10 +243,10 @@
     }
   }
 
-  /** The same with the I/O thread held before the deadline alone: what waited to be read was in time. */
+  /** The same with the event loop paused only before the deadline: an answer that waited to be read was in time. */
   @Test
   void anAnswerReceivedInTimeAndReadLateIsUsed() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket lateWatch = acceptWatch(fixture, 1);
       String list = chunk(listJson(9, true, fixture.instanceJson("in_service")));
@@ -256,7 +259,7 @@
     }
   }
 
-  /** Returns when the task waits for the I/O thread, which stands still. */
+  /** Runs the task on its own thread; returns when it waits for the paused event loop. */
   private static void runUntilBlocked(Task task) throws InterruptedException {
     Thread thread = new Thread(() -> {
       try {
@@ -280,51 +283,56 @@
         ? List.of(new Subscribe(true), new FetchList()) : List.of();
   }
 
-  private static void acceptBothCalls(ProxyFixture fixture, Consumer<LineSocket> watch, Consumer<LineSocket> fetch) throws IOException {
+  private static void acceptBothCalls(ProxyFixture fixture, Consumer<LineSocket> watch, Consumer<LineSocket> fetch)
+      throws IOException {
     for (int i = 0; i < 2; i++) {
       LineSocket connection = fixture.acceptAtDiscovery();
       (readRequest(connection).startsWith(WATCH_REQUEST) ? watch : fetch).accept(connection);
     }
   }
 
-  /** A whole list that was asked for beside the watch, and is older than what the watch has told since. */
+  /** A full list, requested beside the watch, that is older than what the watch has delivered since. */
   @Test
   void anOlderFullListDoesNotUndoADrain() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::subscribeAndFetch)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::subscribeAndFetch)) {
       LineSocket[] calls = new LineSocket[2];
       acceptBothCalls(fixture, connection -> calls[0] = connection, connection -> calls[1] = connection);
       awaitList(fixture, ListKind.SAVED);
-      sendAndAwaitRead(fixture, calls[0], RESPONSE_HEAD + chunk(listJson(7, false, fixture.instanceJson("terminating"))));
+      sendAndAwaitRead(fixture, calls[0],
+          RESPONSE_HEAD + chunk(listJson(7, false, fixture.instanceJson("terminating"))));
       assertEquals(ServerState.DRAINING, firstState(awaitList(fixture, ListKind.CHANGES)));
       String oldList = listJson(5, true, fixture.instanceJson("in_service"));
-      sendAndAwaitRead(fixture, calls[1], "HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList);
-      assertTrue(fixture.events.isEmpty(), "it was told");
+      sendAndAwaitRead(fixture, calls[1],
+          "HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList);
+      assertTrue(fixture.events.isEmpty(), "the older list was reported");
       sendAndAwaitRead(fixture, calls[0], chunk(listJson(8, false, fixture.instanceJson("terminated"))));
       assertEquals(8, awaitList(fixture, ListKind.CHANGES).version());
     }
   }
 
-  /** The other way round: the watch's line is the older one. */
+  /** The reverse: the watch's line is the older one. */
   @Test
   void anOlderChangeDoesNotUndoAFullList() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::subscribeAndFetch)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::subscribeAndFetch)) {
       LineSocket[] calls = new LineSocket[2];
       acceptBothCalls(fixture, connection -> calls[0] = connection, connection -> calls[1] = connection);
       awaitList(fixture, ListKind.SAVED);
       String fullList = listJson(7, true, fixture.instanceJson("terminating"));
-      sendAndAwaitRead(fixture, calls[1], "HTTP/1.1 200 OK\r\nContent-Length: " + fullList.length() + "\r\n\r\n" + fullList);
+      sendAndAwaitRead(fixture, calls[1],
+          "HTTP/1.1 200 OK\r\nContent-Length: " + fullList.length() + "\r\n\r\n" + fullList);
       assertEquals(ServerState.DRAINING, firstState(awaitList(fixture, ListKind.FULL)));
-      sendAndAwaitRead(fixture, calls[0], RESPONSE_HEAD + chunk(listJson(6, false, fixture.instanceJson("in_service"))));
-      assertTrue(fixture.events.isEmpty(), "it was told");
+      sendAndAwaitRead(fixture, calls[0],
+          RESPONSE_HEAD + chunk(listJson(6, false, fixture.instanceJson("in_service"))));
+      assertTrue(fixture.events.isEmpty(), "the older list was reported");
       sendAndAwaitRead(fixture, calls[0], chunk(listJson(8, false, fixture.instanceJson("terminated"))));
       assertEquals(8, awaitList(fixture, ListKind.CHANGES).version());
     }
   }
 
-  /** A whole list that can't be read once ended the sound watch beside it. */
+  /** Guards against an unreadable full list ending the healthy watch beside it. */
   @Test
   void anUnreadableFullListKeepsTheWatch() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::subscribeAndFetch)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::subscribeAndFetch)) {
       LineSocket[] calls = new LineSocket[2];
       acceptBothCalls(fixture, connection -> calls[0] = connection, connection -> calls[1] = connection);
       awaitList(fixture, ListKind.SAVED);
@@ -337,10 +345,10 @@
     }
   }
 
-  /** It restarted, counts its versions anew and says so with the whole list. */
+  /** A restarted discovery counts its versions from the start and shows this with a full list. */
   @Test
   void aRestartedDiscoveryIsAccepted() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = acceptWatch(fixture, 1);
       sendAndAwaitRead(fixture, watch, chunk(listJson(41, true, fixture.instanceJson("in_service"))));
@@ -355,10 +363,10 @@
     }
   }
 
-  /** Changes can't be from before the version that they go on from: what is held stays, and the list is asked for. */
+  /** Changes older than their base version are invalid: the current list stays, and discovery is called again. */
   @Test
   void changesOlderThanTheWatchAreRejected() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = acceptWatch(fixture, 1);
       sendAndAwaitRead(fixture, watch, chunk(listJson(41, true, fixture.instanceJson("terminating"))));
@@ -371,11 +379,11 @@
 
   // ---- Size ----------------------------------------------------------------------------------
 
-  /** It never ends: bounded by the line, the object or the headers, and the list held stays. */
+  /** An endless answer is limited by the size of its line, object or headers; the current list stays. */
   @ParameterizedTest
   @ValueSource(strings = {"line", "object", "headers"})
   void anEndlessAnswerIsAborted(String endlessPart) throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = fixture.acceptAtDiscovery();
       readRequest(watch);
@@ -388,7 +396,7 @@
               : "H" + i + ": " + piece + "\r\n");
         }
       } catch (IOException e) {
-        // The proxy has ended it.
+        // The proxy has closed the connection.
       }
       awaitList(fixture, ListKind.FAILED);
       assertEquals(WATCH_REQUEST + "1 HTTP/1.1", readRequest(fixture.acceptAtDiscovery()));
@@ -397,7 +405,7 @@
 
   @Test
   void anEmptyFullListIsAccepted() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe)) {
       awaitList(fixture, ListKind.SAVED);
       sendAndAwaitRead(fixture, acceptWatch(fixture, 1), chunk(listJson(2, true)));
       assertTrue(awaitList(fixture, ListKind.FULL).entries().isEmpty());
@@ -406,13 +414,14 @@
 
   // ---- Another address -----------------------------------------------------------------------
 
-  /** The module's own turn to ask once tore down the call that the new address had just been given. */
+  /** Guards against the module's next subscription closing the call that was just made to the new address. */
   @Test
   void aNewAddressIsCalledOnce() throws Exception {
     Function<Event, List<Action>> script = event -> event instanceof Wake ? List.of(new Subscribe(true))
         : event instanceof ServerList l && l.kind() == ListKind.SAVED ? List.of(new Subscribe(true))
         : event instanceof ServerList l && l.kind() == ListKind.FAILED ? List.of(new WakeAfter(SECOND, 7)) : List.of();
-    try (ProxyFixture fixture = subscribingFixture(script); ProxyFixture otherFixture = subscribingFixture(ServerListRaceTest::noActions)) {
+    try (ProxyFixture fixture = pollingFixture(script);
+        ProxyFixture otherFixture = pollingFixture(ServerListRaceTest::noActions)) {
       awaitList(fixture, ListKind.SAVED);
       fixture.acceptAtDiscovery().reset();
       awaitList(fixture, ListKind.FAILED);
@@ -425,10 +434,11 @@
     }
   }
 
-  /** A list half read when the address moves: nothing of it counts, and the new one is asked from the version held. */
+  /** A list half read when the address changes is dropped; the new address is called from the current version. */
   @Test
   void aListHalfReadAtTheOldAddressIsDropped() throws Exception {
-    try (ProxyFixture fixture = subscribingFixture(ServerListRaceTest::resubscribe); ProxyFixture otherFixture = subscribingFixture(ServerListRaceTest::noActions)) {
+    try (ProxyFixture fixture = pollingFixture(ServerListRaceTest::resubscribe);
+        ProxyFixture otherFixture = pollingFixture(ServerListRaceTest::noActions)) {
       awaitList(fixture, ListKind.SAVED);
       LineSocket watch = acceptWatch(fixture, 1);
       String line = chunk(listJson(9, true, fixture.instanceJson("in_service")));
@@ -447,7 +457,7 @@
 
   // ---- Down and back -------------------------------------------------------------------------
 
-  /** It refuses for long; as it is there again it is called within a second, in whichever of its pauses it was. */
+  /** After a long outage discovery is called within a second of its return, at whatever point of the backoff. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void discoveryIsCalledWithinASecondOfItsReturn(boolean pushed) throws Exception {
@@ -457,8 +467,8 @@
     }
     try (ProxyFixture fixture = ProxyFixture.of(null, options -> {
       options.module = new DecisionModule();
-      options.editConfig = text -> (pushed ? pushConfig(text) : subscribeConfig(text)).replaceFirst("\"discovery\":\"[^\"]*\"",
-          "\"discovery\":\"127.0.0.1:" + port + "\"");
+      options.editConfig = text -> (pushed ? pushConfig(text) : pollConfig(text))
+          .replaceFirst("\"discovery\":\"[^\"]*\"", "\"discovery\":\"127.0.0.1:" + port + "\"");
     })) {
       awaitList(fixture, ListKind.SAVED);
       for (int i = 0; i < 300; i++) {
@@ -482,37 +492,38 @@
     }
   }
 
-  /** All that went by before the start may count: a process that asks does so within half of the grace. */
+  /** The drain grace may have begun before the start: a polling process calls within half of the grace. */
   @Test
-  void aSubscribingProcessHasItsListWithinTheDrainGrace() throws Exception {
+  void aPollingProcessHasItsListWithinTheDrainGrace() throws Exception {
     int[] port = new int[1];
     try (ProxyFixture fixture = ProxyFixture.of(null, options -> {
       options.module = new DecisionModule();
       options.editConfig = text -> {
         port[0] = Integer.parseInt(text.replaceFirst("(?s).*\"discovery\":\"127.0.0.1:(\\d+)\".*", "$1"));
-        return subscribeConfig(text).replace("\"membershipMode\"", "\"balancers\":100,\"membershipMode\"")
+        return pollConfig(text).replace("\"membershipMode\"", "\"balancers\":100,\"membershipMode\"")
             .replace("\"seed\":\"1\"", "\"seed\":\"2\"");
       };
     })) {
       awaitList(fixture, ListKind.SAVED);
       fixture.advanceClock(SECOND / 2 + 2 * fixture.limits().timerTick());
-      assertEquals(1, KernelSockets.backlog(port[0]), "called by now, by the proxy's clock");
+      assertEquals(1, KernelSockets.backlog(port[0]), "discovery must have been called by now");
       acceptWatch(fixture, 1).send(chunk(listJson(2, false, fixture.instanceJson("terminating"))));
       assertEquals(ServerState.DRAINING, firstState(awaitList(fixture, ListKind.CHANGES)));
     }
   }
 
-  // ---- Addresses under way -------------------------------------------------------------------
+  // ---- Changed server addresses --------------------------------------------------------------
 
   private static List<Action> sendOnceOrFail(Event event) {
     return event instanceof Arrived arrived ? List.of(new Send(arrived.request().id(), ProxyFixture.SERVER, 0))
         : event instanceof Ended ended && !ended.requestFinished() ? List.of(new Fail(ended.id())) : List.of();
   }
 
-  /** One instance, another address: open connections stay where they are, new ones go there. */
+  /** When an instance changes its address, open connections stay and new ones go to the new address. */
   @Test
   void anInstanceThatMovedKeepsItsClientsAndGetsNewOnesAtItsNewAddress() throws Exception {
-    try (ProxyFixture fixture = ProxyFixture.of(ServerListRaceTest::sendOnceOrFail, options -> options.serverCount = 2)) {
+    try (ProxyFixture fixture = ProxyFixture.of(ServerListRaceTest::sendOnceOrFail,
+        options -> options.serverCount = 2)) {
       LineSocket watch = acceptWatch(fixture, 1);
       sendAndAwaitRead(fixture, watch, "1\r\n\n\r\n");
       LineSocket client = fixture.newClient("c=chat,d=2000");
@@ -520,7 +531,8 @@
       before.readLine();
       before.send("UP r1\r\n");
       assertEquals("UP r1", client.readLine());
-      sendAndAwaitRead(fixture, watch, chunk(listJson(2, false, fixture.instanceJson(1, "in_service").replace("s-2", ProxyFixture.SERVER))));
+      sendAndAwaitRead(fixture, watch,
+          chunk(listJson(2, false, fixture.instanceJson(1, "in_service").replace("s-2", ProxyFixture.SERVER))));
       LineSocket later = fixture.newClient("c=chat,d=2000");
       LineSocket after = fixture.acceptAtServer(1);
       after.readLine();
@@ -531,7 +543,7 @@
     }
   }
 
-  /** The server left the list as its execution was decided: no connection, and the client gets its answer. */
+  /** The server left the list as its attempt was decided: no connection is made, and the client is answered. */
   @Test
   void aServerThatLeftTheListIsNotDialled() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ServerListRaceTest::sendOnceOrFail)) {
