--- a/proxy/src/test/java/lemondeal/proxy/ShutdownRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ShutdownRaceTest.java
@@ -33,10 +33,10 @@
 import lemondeal.Balancer.WakeAfter;
 import lemondeal.config.Limits;
 import lemondeal.log.PlainLog;
-import lemondeal.net.TaskGuard;
 import lemondeal.net.Link;
 import lemondeal.net.Listener;
 import lemondeal.net.Net;
+import lemondeal.net.TaskGuard;
 import lemondeal.proxy.ProxyFixture.EventLoopPause;
 import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
@@ -45,11 +45,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The order to stop beside what else comes in the same instant, in the one order and in the other. */
+/** Stop requests that race with other events, in either order. */
 @Timeout(60)
 class ShutdownRaceTest {
-  /** The time for a first line is longer than a stop with this deadline. */
   private static final int READ_BUFFER_CHARS = 1 << 20;
+  /** A stop with this deadline is shorter than the timeout for a first line. */
   private static final long SHORT_DEADLINE = 800_000;
   private static final long TICK = 10_000;
   private static final long JOIN_TIMEOUT_MS = 5_000;
@@ -102,7 +102,7 @@
     }
   }
 
-  /** With no request inside, the stop was once over before those had their time whose first line was on its way. */
+  /** Guards against a stop without active requests that ends while first lines may still arrive. */
   @Test
   void theStopWaitsForFirstLinesUntilItsTimeIsOver() throws Exception {
     try (ProxyFixture fixture = newFixture(3_000_000)) {
@@ -116,13 +116,13 @@
       fixture.advanceClock(fixture.limits().lingerTimeout() + 5 * TICK);
       slow.send("at,d=2000\r\n");
       assertEquals("BUSY 1000", slow.readLine());
-      assertTrue(stop.isAlive(), "the process would be gone");
+      assertTrue(stop.isAlive(), "the process would have exited");
       fixture.advanceClock(fixture.limits().drainTimeout());
       stop.join();
     }
   }
 
-  /** The process once ended over it, and the system reset the connection. */
+  /** Guards against exiting with an unread line, for which the kernel resets the connection. */
   @Test
   void anUnreadLineAtTheEndIsAnswered() throws Exception {
     try (ProxyFixture fixture = newFixture(SHORT_DEADLINE)) {
@@ -134,9 +134,10 @@
       fixture.awaitQueuedWork();
       EventLoopPause pause = fixture.pauseEventLoop();
       idleClient.send("OPEN 00000000000000aa k c=chat,d=2000\r\n").awaitUnread(30);
-      try (EventLoopPause endPause = EventLoopTasks.advanceClockWhilePaused(fixture, pause, fixture.limits().drainTimeout() + TICK)) {
+      try (EventLoopPause endPause = EventLoopTasks.advanceClockWhilePaused(fixture, pause,
+          fixture.limits().drainTimeout() + TICK)) {
         stop.join();
-        // From here on the process is gone.
+        // From here on the process would have exited.
         assertEquals("BUSY 1000", idleClient.readLine());
         assertNull(idleClient.readLine());
         assertNull(silent.readLine());
@@ -145,9 +146,9 @@
     }
   }
 
-  // ---- The queue -----------------------------------------------------------------------------
+  // ---- The accept queue ----------------------------------------------------------------------
 
-  /** Slots are taken, and many connections say nothing: still all are let in, within the descriptors, and answered. */
+  /** With all slots taken and many silent connections, the whole backlog is accepted within the limits and answered. */
   @Test
   void theBacklogIsAnsweredWhenAllSlotsAreTaken() throws Exception {
     try (ProxyFixture fixture = ProxyFixture.of(ProxyTest::sendOnce, options -> options.maxSockets = 256)) {
@@ -182,7 +183,7 @@
     }
   }
 
-  /** Whoever came again as soon as it was turned away kept the socket open, and the stop from going on. */
+  /** Guards against clients that reconnect as soon as they are refused, which keeps the socket open during the stop. */
   @Test
   void theBacklogIsAcceptedOnce() throws Exception {
     Limits limits = Limits.of(1024, 192, 500_000, 5_000_000, 2_000_000);
@@ -192,7 +193,7 @@
       Listener[] listener = new Listener[1];
       Consumer<Link> reconnect = link -> {
         link.close();
-        assertTrue(accepted.incrementAndGet() < 10_000, "there is always one more");
+        assertTrue(accepted.incrementAndGet() < 10_000, "the backlog never becomes empty");
         assertDoesNotThrow(() -> connect(listener[0].address()).close());
       };
       net.runAndWait(() -> {
@@ -212,9 +213,9 @@
     return new Socket(address.getAddress(), address.getPort());
   }
 
-  // ---- Connections that stand ----------------------------------------------------------------
+  // ---- Established connections ---------------------------------------------------------------
 
-  /** It was moved as soon as it was up, while others were served on, and came again to a proxy that turned it away. */
+  /** Guards against moving a client as soon as it comes up: it reconnected to a proxy that refused it. */
   @Test
   void aRequestThatComesUpDuringTheStopIsServed() throws Exception {
     try (ProxyFixture fixture = newFixture(3_000_000)) {
@@ -235,7 +236,7 @@
     }
   }
 
-  /** What a client writes in the instant of its MOVE is read: its connection ends, and is not reset. */
+  /** Bytes that a client writes in the instant of its MOVE are read: its connection is closed, not reset. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void bytesThatCrossTheMoveCauseNoReset(boolean inTheMiddleOfALine) throws Exception {
@@ -263,14 +264,14 @@
       for (LineSocket client : clients) {
         assertEquals("MOVE", client.readLine());
         assertNull(client.readLine());
-        assertDoesNotThrow(() -> client.send("more\r\n"), "a reset would have come");
+        assertDoesNotThrow(() -> client.send("more\r\n"), "a reset would have arrived");
       }
       fixture.advanceClock(fixture.limits().drainTimeout());
       stop.join();
     }
   }
 
-  /** A client that never reads and never closes, with all that the proxy holds for it full, keeps nobody. */
+  /** A client that never reads or closes, with all its buffers full, does not delay the stop. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aClientThatDoesNotReadDoesNotDelayTheStop(boolean readsAtLast) throws Exception {
@@ -283,7 +284,7 @@
             server.send("0123456789abcdef\r\n".repeat(1000));
           }
         } catch (IOException e) {
-          // Its connection has ended.
+          // The connection has ended.
         }
       });
       flood.start();
@@ -292,7 +293,7 @@
       fixture.awaitQueuedWork();
       fixture.advanceClock(timeToFinalAnswers(fixture));
       if (readsAtLast) {
-        // In large pieces: what the system holds may be tens of megabytes, and the proxy waits for half a second.
+        // Read in large chunks: the kernel may hold tens of megabytes, and the proxy waits for half a second only.
         BufferedReader lines = new BufferedReader(
             new InputStreamReader(client.socket.getInputStream(), StandardCharsets.ISO_8859_1), READ_BUFFER_CHARS);
         String last = "";
@@ -308,7 +309,7 @@
     }
   }
 
-  /** Returns once the proxy has turned to its sockets and left what this server sent where it was. */
+  /** Returns once the proxy no longer reads what this server sends, since its buffers are full. */
   static void awaitBuffersFull(ProxyFixture fixture, LineSocket server) throws InterruptedException {
     int before;
     int after = 0;
@@ -321,7 +322,7 @@
 
   // ---- Attempts ------------------------------------------------------------------------------
 
-  /** The module holds a request whose first attempt failed, and sends it again when it is woken. */
+  /** Sends a request again by a timer after its first attempt has failed. */
   private static List<Action> repeatLater(Event event) {
     if (event instanceof Arrived e) {
       return List.of(new Send(e.request().id(), ProxyFixture.SERVER, 0));
@@ -367,12 +368,12 @@
     }
   }
 
-  /** The answer goes first, and the wake-up that comes then sends nothing: nobody would pass its answer on. */
+  /** The final answer comes first; the later wake-up must send nothing, since nobody would pass on the answer. */
   @Test
   void aRepeatThatIsDueAfterTheFinalAnswersIsNotSent() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ShutdownRaceTest::repeatLater, SHORT_DEADLINE)) {
       LineSocket client = fixture.newClient("c=chat,d=3000");
-      // Held so that the pause begins with the stop: it is longer than what is left before the last answers.
+      // The delay before the repeat begins during the stop and is longer than the time left to the final answers.
       LineSocket server = fixture.acceptAtServer();
       Thread stop = EventLoopTasks.queueStop(fixture);
       fixture.advanceClock(timeToFinalAnswers(fixture) - 2 * TICK - 100_000);
@@ -385,19 +386,19 @@
       fixture.advanceClock(300_000);
       fixture.awaitEvent(Wake.class);
       fixture.awaitQueuedWork();
-      assertEquals(1, fixture.metric("attempts"), "none but the first");
+      assertEquals(1, fixture.metric("attempts"), "only the first attempt");
       fixture.advanceClock(fixture.limits().drainTimeout());
       stop.join();
     }
   }
 
-  /** The connection is up, and the word of it comes after the request was answered: nothing is written to it. */
+  /** A dial whose completion is seen after the request was answered: nothing is written to the connection. */
   @Test
   void aDialThatCompletesAfterTheFinalAnswersIsNotUsed() throws Exception {
     ProxyFixture[] fixtureHolder = new ProxyFixture[1];
     try (ProxyFixture fixture = new ProxyFixture(event -> {
       if (event instanceof Wake) {
-        // Queued before the dial's own word that it is up.
+        // Queued before the event loop learns that the dial has completed.
         EventLoopTasks.runUntilBlocked(() -> fixtureHolder[0].advanceClock(timeToFinalAnswers(fixtureHolder[0])));
       }
       return repeatLater(event);
@@ -412,7 +413,7 @@
       assertNull(client.readLine());
       assertNull(fixture.acceptAtServer().readLine());
       assertEquals(Outcome.CANCELLED, fixture.awaitEvent(Ended.class).outcome());
-      assertEquals(1, fixture.metric("attempts"), "none but the first");
+      assertEquals(1, fixture.metric("attempts"), "only the first attempt");
       fixture.advanceClock(fixture.limits().drainTimeout());
       stop.join();
     }
@@ -421,8 +422,8 @@
   // ---- The program ---------------------------------------------------------------------------
 
   /**
-   * A client is inside and the program has not told where it listens, since its log can't be written: the order is
-   * heard all the same. It once ended the program on the spot, until all of the start was done.
+   * Guards against a SIGTERM that kills the program while it is still starting: here a client is connected, and the
+   * start is not complete since the log, which would name the listening address, cannot be written.
    */
   @Test
   void sigtermIsHandledFromTheFirstClientOn() throws Exception {
@@ -440,14 +441,14 @@
     }
   }
 
-  /** SIGTERM again, and SIGHUP: what is owed is paid all the same. */
+  /** A second SIGTERM and a SIGHUP do not change how clients are answered. */
   @Test
   void moreSignalsChangeNothing() throws Exception {
     try (BlockedLogProgram program = BlockedLogProgram.withFullLog(folder)) {
       LineSocket client = program.newClient().send("OPEN 0000000000000001 k c=chat,d=2000,at=s-1\r\n");
       LineSocket server = program.acceptAtServer();
       server.readLine();
-      // Not before: the log has to be full for the program to begin, and then stands still until it is read.
+      // Only now: the program starts with a full log, which blocks until it is read.
       program.drainLog();
       server.send("UP r1\r\n");
       assertEquals("UP r1", client.readLine());
@@ -461,8 +462,8 @@
   }
 
   /**
-   * Whoever reads the log has stopped, as a collector does that hangs: what would be told waits or is left out, and nobody
-   * else waits for it. The server's reset has the module tell that it passes the server over.
+   * If the reader of the log hangs, log lines wait or are dropped, but no client waits for them. The server's reset
+   * makes the module log that it excludes the server.
    */
   @Test
   void anUnreadLogDelaysNoClient() throws Exception {
@@ -471,11 +472,11 @@
       LineSocket resetting = program.acceptAtServer();
       resetting.readLine();
       resetting.reset();
-      assertNotNull(firstClient.readLine(), "an answer, whichever");
+      assertNotNull(firstClient.readLine(), "any answer");
       LineSocket client = program.newClient().send("OPEN 0000000000000002 k2 c=chat,d=2000,at=s-1\r\n");
       LineSocket server = program.acceptAtServer();
       while (!server.readLine().startsWith("OPEN 0000000000000002 ")) {
-        // A repeat of the first one.
+        // A repeat of the first request.
         server = program.acceptAtServer();
       }
       server.send("UP r1\r\n");
@@ -487,9 +488,9 @@
     }
   }
 
-  // ---- Other orders --------------------------------------------------------------------------
+  // ---- Further stops and reloads -------------------------------------------------------------
 
-  /** The stop ends when nobody is left, as if the second order had not come. */
+  /** The stop ends when no client is left, as it would without the second request. */
   @Test
   void aSecondStopChangesNothing() throws Exception {
     try (ProxyFixture fixture = newFixture(3_000_000)) {
@@ -507,14 +508,14 @@
       fixture.advanceClock(fixture.limits().lingerTimeout() + TICK);
       try (EventLoopPause pause = fixture.pauseEventLoop()) {
         first.join(JOIN_TIMEOUT_MS);
-        assertFalse(first.isAlive(), "it waits for the second one's times");
+        assertFalse(first.isAlive(), "it waits for the second stop's timers");
         pause.resume();
       }
       second.join();
     }
   }
 
-  /** A configuration that moves discovery is taken over beside the stop, whichever comes first. */
+  /** A reload that changes the discovery address is applied during the stop, whichever comes first. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aReloadDuringTheStopDelaysNoAnswer(boolean reloadFirst) throws Exception {
--- a/proxy/src/test/java/lemondeal/proxy/SigtermTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/SigtermTest.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemondeal.ProgramCommands;
 import lemondeal.Balancer.Action;
 import lemondeal.Balancer.Arrived;
 import lemondeal.Balancer.Event;
 import lemondeal.Balancer.LoadChanged;
+import lemondeal.ProgramCommands;
 import lemondeal.config.Limits;
 import lemondeal.proxy.ProxyFixture.LineSocket;
 import org.junit.jupiter.api.Test;
@@ -32,14 +32,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What holds after SIGTERM, for connections that stay open. Whatever is owed must be read once the stop is over. */
+/** Guarantees after SIGTERM for open connections. All final answers must have been sent when the stop is over. */
 @Timeout(60)
 class SigtermTest {
   private static final long SECOND = 1_000_000;
-  /** Before this, SIGKILL never comes; the longest deadline counts as {@link #LONGEST_COUNTED} at most. */
+  /** SIGKILL comes no earlier than this after the deadline, of which {@link #MAX_COUNTED_DEADLINE} at most counts. */
   private static final long KILL_AFTER_DEADLINE = 700_000;
   private static final long MAX_COUNTED_DEADLINE = 3 * SECOND;
-  /** New connections come for so long at most. */
+  /** New connections arrive for at most this long after SIGTERM. */
   private static final long ARRIVAL_PERIOD = 400_000;
 
   @TempDir
@@ -51,7 +51,7 @@
     return stop;
   }
 
-  /** Once this returns, each of these must have what it is owed: the process would be gone. */
+  /** Stops the proxy; each of these clients must then have its final answer, since the process would have exited. */
   private static void stopAndLimitReads(ProxyFixture fixture, LineSocket... clients) throws Exception {
     startStop(fixture).join();
     for (LineSocket client : clients) {
@@ -97,7 +97,7 @@
     }
   }
 
-  /** They were reset when the socket closed, though the machine had accepted them and taken their lines. */
+  /** Guards against resetting clients in the accept queue when the socket closes, although their lines had arrived. */
   @Test
   void clientsInTheBacklogAtTheCloseAreAnswered() throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
@@ -119,7 +119,7 @@
       for (int i = 0; i < 40; i++) {
         clients.add(fixture.newClient("c=chat,d=2000"));
       }
-      // The program stands still until the time to close the socket is over: that is what is tested.
+      // The event loop must stay blocked until after the time at which the socket should be closed.
       Thread.sleep(fixture.limits().drainAcceptTime() / 1000 + 50);
       allConnected.countDown();
       for (LineSocket client : clients) {
@@ -129,7 +129,7 @@
     }
   }
 
-  /** With a deadline beyond the time that the process has, the request was once cut off without an answer. */
+  /** Guards against ending a request without an answer if its deadline is beyond the process's remaining time. */
   @ParameterizedTest
   @ValueSource(longs = {800_000, 9_000_000})
   void aRequestAtAServerThatHangsIsAnsweredOnce(long deadline) throws Exception {
@@ -143,7 +143,7 @@
     }
   }
 
-  /** The same for one that the module lets lie, and for a connection that was open before and is not up yet. */
+  /** The same for a request that the module does not send, and for an adoption that has not come up yet. */
   @Test
   void unsentRequestsAreAnsweredToo() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(event -> List.of(), 9 * SECOND)) {
@@ -157,7 +157,7 @@
     }
   }
 
-  /** Half a line had been passed on, and so the client was cut off without MOVE when the process ended. */
+  /** Guards against ending a client without MOVE at process exit because half a line had been passed on. */
   @ParameterizedTest
   @ValueSource(longs = {800_000, 9_000_000})
   void aClientOfAServerThatHangsInTheMiddleOfALineIsMoved(long deadline) throws Exception {
@@ -181,7 +181,7 @@
       LineSocket other = fixture.newClient("c=chat,d=2000");
       establish(fixture, other);
       Thread stop = startStop(fixture);
-      // All are moved in the same steps: this one's turn is over, or nearly so.
+      // All are moved in the same steps, so the first client's step has come or is about to.
       assertEquals("MOVE", other.readLine());
       server.send("f\r\n");
       assertEquals("half", client.readLine());
@@ -190,7 +190,7 @@
     }
   }
 
-  /** The program as it is started, with all of that at once: it ends by itself, and tells that all went well. */
+  /** The whole program with all of these cases at once: it exits by itself with code 0. */
   @Test
   void theProgramEndsByItselfWithAllAnswered() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
--- a/proxy/src/test/java/lemondeal/proxy/SilentServerTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/SilentServerTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A connection that brings nothing back is moved within 7 s of its falling silent, whenever the client's next line came. */
+/** A connection whose server is silent is moved within 7 s, whenever the client sent its next line. */
 @Timeout(60)
 class SilentServerTest {
   private static final long SECOND = 1_000_000;
   private static final long CLIENT_INTERVAL = 2 * SECOND;
   private static final long MOVE_LIMIT = 7 * SECOND;
-  /** A proxy on part of a core may stand still for so long. */
+  /** How long a proxy on part of a core may pause. */
   private static final long MAX_PROCESS_PAUSE = SECOND / 2;
-  /** Lines that a flood writes in one go. */
+  /** How many lines a flood writes at once. */
   private static final int LINES_PER_WRITE = 1_000;
 
   @ParameterizedTest
@@ -39,14 +39,14 @@
       assertEquals("one", server.readLine());
       server.send("one\r\n" + partialLine);
       assertEquals("one", client.readLine());
-      // From here on it is silent, and nobody can know before the client's next line.
+      // From here on the server is silent, which cannot be detected before the client's next line.
       fixture.advanceClock(CLIENT_INTERVAL);
       client.send("two\r\n");
       assertEquals("two", server.readLine());
       for (long elapsed = CLIENT_INTERVAL; elapsed < MOVE_LIMIT - MAX_PROCESS_PAUSE; elapsed += SECOND / 10) {
         fixture.advanceClock(SECOND / 10);
       }
-      assertTrue(fixture.events.stream().anyMatch(Ended.class::isInstance), "it is still left waiting");
+      assertTrue(fixture.events.stream().anyMatch(Ended.class::isInstance), "the client is still waiting");
       assertEquals("MOVE", client.readLine());
     }
   }
@@ -68,8 +68,8 @@
   }
 
   /**
-   * All that there is room for towards the client is full, since it doesn't read: the server's answer stands in a socket
-   * from which nothing is read, and its being late is no fault of the server's. Once the client has read all, silence counts.
+   * Guards against blaming a server for a client that does not read: all buffers towards the client are full, so the
+   * server's answer waits unread in its socket. Once the client has read everything, the server's silence counts again.
    */
   @Test
   void aClientThatDoesNotReadDoesNotMakeItsServerSuspect() throws Exception {
@@ -85,13 +85,13 @@
         fixture.advanceClock(SECOND / 10);
       }
       assertTrue(fixture.events.stream().noneMatch(Unanswered.class::isInstance), "the server is not suspected");
-      assertTrue(fixture.events.stream().noneMatch(Ended.class::isInstance), "the connection stands");
+      assertTrue(fixture.events.stream().noneMatch(Ended.class::isInstance), "the connection stays open");
       flood.interrupt();
       AtomicLong linesRead = new AtomicLong();
       FutureTask<String> last = new FutureTask<>(() -> lastLine(client, linesRead));
       new Thread(last).start();
       flood.join();
-      // Each line that is still to come would count as an answer to the next one.
+      // Each line that is still to arrive would count as an answer to the next line.
       KernelSockets.await(() -> linesRead.get() == linesSent.get());
       client.send("two\r\n");
       assertEquals("two", server.readLine());
@@ -110,7 +110,7 @@
           linesSent.addAndGet(LINES_PER_WRITE);
         }
       } catch (IOException e) {
-        // Its connection has ended.
+        // The connection has ended.
       }
     });
     flood.start();
--- a/proxy/src/test/java/lemondeal/proxy/SlotTableTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/SlotTableTest.java
@@ -12,7 +12,7 @@
 class SlotTableTest {
   private final SlotTable<String> table = new SlotTable<>(2);
 
-  /** Guards against a handle kept too long reaching the slot's next holder. */
+  /** Guards against a stale handle reaching the slot's next holder. */
   @Test
   void aStaleHandleFindsNothing() {
     long first = table.add("first");
--- a/proxy/src/test/java/lemondeal/proxy/StartTimesTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/StartTimesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts of servers, told by a wall clock that is stepped, on a clock that is not. */
+/** Conversion of servers' start times from a wall clock that may be stepped to a monotonic clock. */
 class StartTimesTest {
   private static final long SECOND = 1_000_000;
   private static final long HOUR = 3_600 * SECOND;
@@ -21,7 +21,7 @@
   private long clockOffset;
   private final StartTimes startTimes = new StartTimes(() -> now, () -> now + clockOffset);
 
-  /** The start that is told in the wall clock as it stands at this moment. */
+  /** The wall clock's present time. */
   private long wallTimeNow() {
     return now + clockOffset;
   }
@@ -62,7 +62,7 @@
     assertEquals(expected, toLocalClock("s", wallStart));
   }
 
-  /** It is told after the step, by the clock of before. */
+  /** The start is reported after the step, by the wall clock from before it. */
   @ParameterizedTest
   @ValueSource(longs = {2 * SECOND, -2 * SECOND, HOUR, -HOUR})
   void aStartJustBeforeAStepHasItsTrueAge(long stepMicros) {
@@ -86,14 +86,14 @@
     }
   }
 
-  /** Between two looks a step may have come at any moment: the server is taken for as young as it may be. */
+  /** The step may have happened at any time between two samples: the server counts as as young as possible. */
   @Test
   void ofTwoPossibleStartsTheLaterOneIsTaken() {
     advance(10 * SECOND, false);
     long wallStart = wallTimeNow();
     stepWallClock(-5 * SECOND);
     advance(6 * SECOND, true);
-    assertEquals(wallStart + 5 * SECOND, toLocalClock("s", wallStart), "stamped after the step");
+    assertEquals(wallStart + 5 * SECOND, toLocalClock("s", wallStart), "counted as started after the step");
   }
 
   @Test
@@ -101,7 +101,7 @@
     assertEquals(now, toLocalClock("s", now + HOUR));
   }
 
-  /** Clocks that are set right little by little are not stepped. */
+  /** A clock that is slewed gradually is not stepped. */
   @Test
   void driftIsFollowed() {
     for (int i = 0; i < 1_000; i++) {
@@ -111,7 +111,7 @@
     assertEquals(now, toLocalClock("s", wallTimeNow()));
   }
 
-  /** Where each replaced server has a name of its own, starts that nobody asks for would add up for months. */
+  /** Guards against a leak: where each replaced server has a new id, unused start times would add up for months. */
   @Test
   void startsOfRemovedServersAreDropped() {
     for (int i = 0; i < 100; i++) {
@@ -121,6 +121,6 @@
     assertEquals(1, startTimes.size());
     advance(SECOND, true);
     stepWallClock(HOUR);
-    assertEquals(now - SECOND, toLocalClock("s7", now - SECOND), "kept as it was");
+    assertEquals(now - SECOND, toLocalClock("s7", now - SECOND), "the kept start is unchanged");
   }
 }
--- a/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
@@ -27,7 +27,8 @@
   private int wakeUps;
   private final ByteArrayOutputStream logBytes = new ByteArrayOutputStream();
   private final PrintStream log = new PrintStream(logBytes, true);
-  private final TimerWheel wheel = new TimerWheel(() -> now, TICK, 16, new TaskGuard(new PlainLog(log)), () -> wakeUps++);
+  private final TimerWheel wheel =
+      new TimerWheel(() -> now, TICK, 16, new TaskGuard(new PlainLog(log)), () -> wakeUps++);
   private final List<String> ran = new ArrayList<>();
 
   private void advanceTo(long time) {
@@ -37,7 +38,7 @@
     }
   }
 
-  /** Over many rounds of a small wheel: never early, never more than a tick late, in order. */
+  /** Over many rounds of a small wheel, timers run in order, never early and at most one tick late. */
   @Property(seed = "9", tries = 100)
   void deadlinesComeInOrderAndInTime(@ForAll long seed) {
     Random random = new Random(seed);
@@ -73,7 +74,7 @@
     wheel.after(200, () -> ran.add("far")).cancel();
     advanceTo(now + 300);
     assertEquals(List.of("first", "third"), ran);
-    assertEquals(Long.MAX_VALUE, wheel.untilNext(), "an empty wheel must not ask to be moved");
+    assertEquals(Long.MAX_VALUE, wheel.untilNext(), "an empty wheel must not schedule an advance");
   }
 
   @Test
@@ -87,7 +88,7 @@
     assertEquals(List.of("soon", "late", "later"), ran);
   }
 
-  /** A task that failed once kept the wheel from being moved again: every deadline of the proxy stopped. */
+  /** Guards against a failing task that keeps the wheel from advancing again: all timers of the proxy stopped. */
   @Test
   void aTaskThatFailsStopsNoOther() {
     List<String> ran = new ArrayList<>();
@@ -99,10 +100,10 @@
     now += 5 * TICK;
     wheel.advance();
     assertEquals(List.of("same tick", "later tick"), ran);
-    assertTrue(logBytes.toString(StandardCharsets.UTF_8).contains("broken task"), "what failed must be told");
+    assertTrue(logBytes.toString(StandardCharsets.UTF_8).contains("broken task"), "the failure must be logged");
   }
 
-  /** A moment without memory, or a stack that was too short, once stopped the wheel, and with it the whole process. */
+  /** Guards against out-of-memory and stack overflow errors that stop the wheel, and with it the whole process. */
   @ParameterizedTest
   @ValueSource(classes = {OutOfMemoryError.class, StackOverflowError.class, IllegalStateException.class})
   void aDeadlineThatFailsStopsNoOther(Class<? extends Throwable> failure) throws Exception {
@@ -113,7 +114,7 @@
     try {
       advanceTo(now + 100);
     } catch (VirtualMachineError e) {
-      // The test's own runner would end on it.
+      // Rethrown, this error would end the test runner.
       ran.add(e.toString());
     }
     assertEquals(List.of("same tick", "later"), ran);
--- a/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
@@ -1,7 +1,7 @@
 package lemondeal.proxy;
 
-import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
 import static lemondeal.proxy.ProxyTest.OPEN_FIELDS;
+import static lemondeal.proxy.ProxyTest.OPEN_PREFIX;
 import static lemondeal.proxy.ProxyTest.establish;
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Two proxies that accept from one listening socket, one after the other. */
+/** An upgrade: two proxies accept from one listening socket, one after the other. */
 @Timeout(60)
 class UpgradeTest {
 
@@ -33,26 +33,28 @@
     return stop;
   }
 
-  /** Clients accepted before there is a list would wait here, while the other process could serve them. */
+  /** Clients accepted before there is a server list would wait here while the other process could serve them. */
   @Test
   void acceptsNothingBeforeItHasAList() throws Exception {
-    try (ServerSocketChannel listener = newListener(); ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener)) {
+    try (ServerSocketChannel listener = newListener();
+        ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener)) {
       fixture.module.standing = new ServerSummary(false, 0, 0);
       LineSocket client = fixture.newClient().send("PING\r\n");
       assertEquals("400 no", fixture.newAdminClient().send("ready\r\n").readLine());
       fixture.module.standing = new ServerSummary(false, 1, 0);
-      assertEquals("PONG", client.readLine(), "the list from before must do after a while");
+      assertEquals("PONG", client.readLine(), "the configured list is used after a while");
       assertEquals("200 yes", fixture.newAdminClient().send("ready\r\n").readLine());
     }
   }
 
-  /** Those whose line was still on its way were once told BUSY, or met a process that had left. */
+  /** Guards against answering BUSY to clients whose first line was still in transit, or exiting before it arrives. */
   @Test
   void acceptedClientsAreServedAndThenMoved() throws Exception {
-    try (ServerSocketChannel listener = newListener(); ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener)) {
+    try (ServerSocketChannel listener = newListener();
+        ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener)) {
       LineSocket established = fixture.newClient(OPEN_FIELDS);
       establish(fixture, established);
-      // A PONG tells that the connection has been accepted.
+      // A PONG shows that the connection has been accepted.
       LineSocket late = fixture.newClient().send("PING\r\n");
       assertEquals("PONG", late.readLine());
       Thread stop = startStop(fixture);
@@ -65,10 +67,11 @@
     }
   }
 
-  /** From the order to stop on, whatever waits in the queue is the other process's. */
+  /** From the stop request on, connections in the accept queue are left to the other process. */
   @Test
   void theSuccessorAcceptsAllLaterClients() throws Exception {
-    try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = new ProxyFixture(ProxyTest::sendOnce, listener)) {
+    try (ServerSocketChannel listener = newListener();
+        ProxyFixture predecessor = new ProxyFixture(ProxyTest::sendOnce, listener)) {
       establish(predecessor, predecessor.newClient(OPEN_FIELDS));
       Thread stop = startStop(predecessor);
       while (!predecessor.newAdminClient().send("ready\r\n").readLine().equals("400 no")) {
