--- a/proxy/src/test/java/lemondeal/proxy/DescriptorExhaustionTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DescriptorExhaustionTest.java
@@ -156,7 +156,7 @@
             "the program's own descriptors: " + program.nonSocketDescriptors());
         List<LineSocket> established = establishClients(program, limits);
         try (ConnectionFlood flood = new ConnectionFlood(program)) {
-          // Each of these is a connection that the program has handled during the flood.
+          // Throttled meanwhile: each is a connection that the program has handled during the flood.
           for (int i = 0; i < 20; i++) {
             assertThrottled(program, i);
           }
--- a/proxy/src/test/java/lemondeal/proxy/ListenerHandoverRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ListenerHandoverRaceTest.java
@@ -113,7 +113,7 @@
       List<LineSocket> clients = new ArrayList<>();
       try (EventLoopPause predecessorPause = predecessor.pauseEventLoop();
           EventLoopPause successorPause = successor.pauseEventLoop()) {
-        // More than one process accepts in one turn.
+        // More connections than one process accepts in one turn.
         for (int i = 0; i < predecessor.limits().acceptsPerTurn() + 10; i++) {
           clients.add(predecessor.newClient("c=chat,d=9000"));
         }
--- a/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/LoadLinesTest.java
@@ -18,7 +18,7 @@
 class LoadLinesTest {
   private static final String LOADS_AND_DELAYS = "\"tellsDelay\":true,\"tellsLoad\":true,";
 
-  /** Guards against taking all delays for loads where servers report both: delays then never moved a client away. */
+  /** Guards against taking all delays for loads where servers report both: no client was kept or moved then. */
   @Test
   void aValueFarBelowTheUsualLoadIsADelay() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, LOADS_AND_DELAYS)) {
--- a/proxy/src/test/java/lemondeal/proxy/ServerListRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ServerListRaceTest.java
@@ -185,7 +185,7 @@
     }
   }
 
-  // ---- Ends ----------------------------------------------------------------------------------
+  // ---- Connection ends -----------------------------------------------------------------------
 
   /** The drain is in the kernel when the reset follows it. */
   @Test
@@ -412,7 +412,7 @@
     }
   }
 
-  // ---- Another address -----------------------------------------------------------------------
+  // ---- Changed discovery address -------------------------------------------------------------
 
   /** Guards against the module's next subscription closing the call that was just made to the new address. */
   @Test
@@ -455,7 +455,7 @@
     }
   }
 
-  // ---- Down and back -------------------------------------------------------------------------
+  // ---- Outages of discovery ------------------------------------------------------------------
 
   /** After a long outage discovery is called within a second of its return, at whatever point of the backoff. */
   @ParameterizedTest
