--- a/proxy/src/main/java/lemondeal/cli/CheckConfig.java
+++ b/proxy/src/main/java/lemondeal/cli/CheckConfig.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code check-config}: finds what a start would find, without a start. */
+/** {@code check-config}: checks the operator's file as a start would, without starting the proxy. */
 @Command(name = "check-config", mixinStandardHelpOptions = true,
-    description = "Check an operator's file and the key file that it names; tell every fault with its place.")
+    description = "Check an operator's file and the key file that it names; report every fault with its location.")
 final class CheckConfig implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "FILE", defaultValue = "${env:GW_OPERATOR_CONFIG}",
-      description = "The file; $GW_OPERATOR_CONFIG where it is not given.")
+      description = "The file; defaults to $GW_OPERATOR_CONFIG.")
   private Path file;
 
   @Spec
@@ -27,7 +27,7 @@
     if (operator.resume() != null) {
       KeyFile.read(operator.resume().keyFile());
     }
-    spec.commandLine().getOut().println(file + ": can be used");
+    spec.commandLine().getOut().println(file + ": valid");
     return CommandLine.ExitCode.OK;
   }
 }
--- a/proxy/src/main/java/lemondeal/cli/CompilePolicy.java
+++ b/proxy/src/main/java/lemondeal/cli/CompilePolicy.java
@@ -15,14 +15,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code compile-policy}: a failover policy to its plan, or why it cannot hold. */
+/** {@code compile-policy}: compiles a failover policy to a plan, or reports why it is infeasible. */
 @Command(name = "compile-policy", mixinStandardHelpOptions = true,
-    description = "Check a failover policy against every failure that it promises to survive, and write its plan.")
+    description = "Check a failover policy against every failure that it must survive, and write its plan.")
 final class CompilePolicy implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "FILE", description = "The policy (YAML).")
   private Path file;
 
-  @Option(names = "--out", paramLabel = "PLAN", description = "Where the plan goes; without it the policy is only checked.")
+  @Option(names = "--out", paramLabel = "PLAN",
+      description = "The file to write the plan to; without it the policy is only checked.")
   private Path out;
 
   @Spec
@@ -34,7 +35,7 @@
     if (out != null) {
       Files.write(out, PlanCodec.encode(plan));
     }
-    spec.commandLine().getOut().println(file + ": holds in " + plan.cases().size() + " cases; version "
+    spec.commandLine().getOut().println(file + ": feasible in " + plan.cases().size() + " cases; version "
         + plan.version() + " of " + plan.fleet() + ", digest " + PlanCodec.digest(plan));
     return CommandLine.ExitCode.OK;
   }
--- a/proxy/src/main/java/lemondeal/cli/KeysCommand.java
+++ b/proxy/src/main/java/lemondeal/cli/KeysCommand.java
@@ -18,11 +18,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code keys}: makes and rotates the keys of resume tokens. Shows ids and ages, never a secret. */
+/** {@code keys}: creates and rotates the keys of resume tokens. Shows ids and creation times, never a secret. */
 @Command(name = "keys", mixinStandardHelpOptions = true,
-    description = "Make and rotate the keys of resume tokens. Proxies take a changed file over on SIGHUP.")
+    description = "Create and rotate the keys of resume tokens. Proxies reload a changed file on SIGHUP.")
 final class KeysCommand implements Runnable {
-  private static final DateTimeFormatter ID_FORMAT = DateTimeFormatter.ofPattern("'k'yyyyMMddHHmmss").withZone(ZoneOffset.UTC);
+  private static final DateTimeFormatter ID_FORMAT =
+      DateTimeFormatter.ofPattern("'k'yyyyMMddHHmmss").withZone(ZoneOffset.UTC);
   private static final String FILE_DESCRIPTION = "The key file.";
 
   @Spec
@@ -41,11 +42,12 @@
     return given != null ? given : ID_FORMAT.format(Instant.now());
   }
 
-  @Command(name = "make", mixinStandardHelpOptions = true, description = "Make a file with one new key.")
+  @Command(name = "make", mixinStandardHelpOptions = true, description = "Create a key file with one new key.")
   void make(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
-      @Option(names = "--id", description = "The key's id; the time where it is not given.") String id) throws IOException {
+      @Option(names = "--id", description = "The key's id; defaults to the current time.") String id)
+      throws IOException {
     if (Files.exists(file)) {
-      throw new IllegalArgumentException(file + " is there already; 'keys rotate' puts a new key into it");
+      throw new IllegalArgumentException(file + " already exists; use 'keys rotate' to add a new key");
     }
     Key key = KeyFile.newKey(newId(id));
     write(file, new KeyRing(key.id(), List.of(key)));
@@ -54,29 +56,31 @@
   @Command(name = "add", mixinStandardHelpOptions = true,
       description = "Add a new key that is accepted but not used yet: the first step where several proxies share keys.")
   void add(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
-      @Option(names = "--id", description = "The key's id; the time where it is not given.") String id) throws IOException {
+      @Option(names = "--id", description = "The key's id; defaults to the current time.") String id)
+      throws IOException {
     write(file, KeyFile.read(file).withKey(KeyFile.newKey(newId(id))));
   }
 
   @Command(name = "use", mixinStandardHelpOptions = true,
-      description = "Make tokens with this key from now on: the second step, once all proxies accept it.")
+      description = "Sign new tokens with this key: the second step, once all proxies accept it.")
   void use(@Parameters(index = "0", paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
       @Parameters(index = "1", paramLabel = "ID", description = "The key's id.") String id) throws IOException {
     write(file, KeyFile.read(file).withPresentKey(id));
   }
 
   @Command(name = "drop", mixinStandardHelpOptions = true,
-      description = "Accept this key no more: the last step, once the tokens made with it have expired.")
+      description = "Remove this key: the last step, once the tokens signed with it have expired.")
   void drop(@Parameters(index = "0", paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
       @Parameters(index = "1", paramLabel = "ID", description = "The key's id.") String id) throws IOException {
     write(file, KeyFile.read(file).withoutKey(id));
   }
 
   @Command(name = "rotate", mixinStandardHelpOptions = true,
-      description = "Add a new key and use it at once, and keep the latest others: for a single proxy.")
+      description = "Add a new key, use it at once, and keep only the latest previous keys: for a single proxy.")
   void rotate(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file,
-      @Option(names = "--id", description = "The key's id; the time where it is not given.") String id,
-      @Option(names = "--keep", defaultValue = "2", description = "How many others stay accepted (${DEFAULT-VALUE}).")
+      @Option(names = "--id", description = "The key's id; defaults to the current time.") String id,
+      @Option(names = "--keep", defaultValue = "2",
+          description = "How many previous keys stay accepted (default: ${DEFAULT-VALUE}).")
       int keep) throws IOException {
     Key key = KeyFile.newKey(newId(id));
     KeyRing ring = KeyFile.read(file).withKey(key).withPresentKey(key.id());
@@ -86,7 +90,8 @@
     write(file, ring);
   }
 
-  @Command(name = "list", mixinStandardHelpOptions = true, description = "List ids, times and which key is the present one.")
+  @Command(name = "list", mixinStandardHelpOptions = true,
+      description = "List ids, creation times and which key is the present one.")
   void list(@Parameters(paramLabel = "FILE", description = FILE_DESCRIPTION) Path file) {
     KeyRing ring = KeyFile.read(file);
     for (Key key : ring.keys()) {
--- a/proxy/src/main/java/lemondeal/cli/Lemondeal.java
+++ b/proxy/src/main/java/lemondeal/cli/Lemondeal.java
@@ -12,18 +12,18 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line. Exit codes: 0 done, 1 failed, 2 bad use or bad input. */
+/** The command line. Exit codes: 0 done, 1 failed, 2 usage error or invalid input. */
 @Command(name = "lemondeal", mixinStandardHelpOptions = true, versionProvider = Lemondeal.Version.class,
-    description = "A proxy for long-lived connections, and the commands that go with it.",
+    description = "A proxy for long-lived connections, and its tools.",
     exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {"0:done", "1:failed", "2:bad use or bad input, told in a line for each fault"},
+    exitCodeList = {"0:done", "1:failed", "2:usage error or invalid input, one line for each fault"},
     subcommands = {Lemondeal.ServeCommand.class, Lemondeal.BenchlinkCommand.class, CheckConfig.class, KeysCommand.class,
         TokenCommand.class, CompilePolicy.class, AutoComplete.GenerateCompletion.class, CommandLine.HelpCommand.class})
 public final class Lemondeal implements Runnable {
   @Spec
   private CommandSpec spec;
 
-  /** Runs the command; the program is to end with what comes back, unless that is {@link Main#GOES_ON}. */
+  /** Runs the command and returns the exit code of the program, or {@link Main#KEEP_RUNNING} if it must not exit. */
   public static int run(String[] args) {
     CommandLine commandLine = new CommandLine(new Lemondeal());
     commandLine.setParameterExceptionHandler(Lemondeal::usageError);
@@ -31,11 +31,11 @@
     return commandLine.execute(args);
   }
 
-  /** One clear line; the usage is there for whoever asks with --help. */
+  /** Prints one line instead of the whole usage text, which --help shows. */
   private static int usageError(ParameterException e, String[] args) {
     CommandLine command = e.getCommandLine();
-    command.getErr().println("lemondeal: " + e.getMessage().replace('\n', ' ') + " ('" + command.getCommandSpec().qualifiedName()
-        + " --help' tells more)");
+    command.getErr().println("lemondeal: " + e.getMessage().replace('\n', ' ') + " (see '"
+        + command.getCommandSpec().qualifiedName() + " --help')");
     return CommandLine.ExitCode.USAGE;
   }
 
@@ -43,7 +43,8 @@
     for (String line : String.valueOf(e.getMessage()).split("\n")) {
       command.getErr().println("lemondeal: " + line);
     }
-    boolean invalidInput = e instanceof lemondeal.operator.InvalidFileException || e instanceof IllegalArgumentException;
+    boolean invalidInput =
+        e instanceof lemondeal.operator.InvalidFileException || e instanceof IllegalArgumentException;
     return invalidInput ? CommandLine.ExitCode.USAGE : CommandLine.ExitCode.SOFTWARE;
   }
 
@@ -61,11 +62,11 @@
     }
   }
 
-  /** {@code serve}, with what the bare word in {@code Main} does not take. */
+  /** {@code serve} with options; {@code Main} handles it without options itself. */
   @Command(name = "serve", mixinStandardHelpOptions = true, description = "Run one proxy until SIGTERM.")
   static final class ServeCommand implements java.util.concurrent.Callable<Integer> {
     @Option(names = "--config", paramLabel = "FILE", defaultValue = "${env:GW_OPERATOR_CONFIG}",
-        description = "The operator's own file (YAML); $GW_OPERATOR_CONFIG where it is not given.")
+        description = "The operator's file (YAML); defaults to $GW_OPERATOR_CONFIG.")
     private Path file;
 
     @Override
@@ -78,7 +79,7 @@
 
   /** {@code benchlink}. */
   @Command(name = "benchlink", mixinStandardHelpOptions = true,
-      description = "Host the decision module on the simulator's wire, on standard input and output.")
+      description = "Run the decision module for the simulator, over standard input and output.")
   static final class BenchlinkCommand implements java.util.concurrent.Callable<Integer> {
     @Override
     public Integer call() throws java.io.IOException {
--- a/proxy/src/main/java/lemondeal/cli/TokenCommand.java
+++ b/proxy/src/main/java/lemondeal/cli/TokenCommand.java
@@ -18,9 +18,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code token}: shows what a token says. It comes on standard input, since arguments are seen by all users. */
+/** {@code token}: shows the content of a token. Reads it from standard input, since all users can see arguments. */
 @Command(name = "token", mixinStandardHelpOptions = true,
-    description = "Check the resume token on standard input and show what it says.")
+    description = "Check the resume token on standard input and show its content.")
 final class TokenCommand implements Callable<Integer> {
   @Option(names = "--keys", required = true, paramLabel = "FILE", description = "The key file.")
   private Path keys;
@@ -46,8 +46,8 @@
       out.println("expires     " + Instant.ofEpochMilli(token.expiresAt()));
       return CommandLine.ExitCode.OK;
     } catch (TokenException e) {
-      spec.commandLine().getErr().println("lemondeal: standard input: " + e.getMessage() + "; allowed: a token made with "
-          + "a key of " + keys);
+      spec.commandLine().getErr().println("lemondeal: standard input: " + e.getMessage()
+          + "; allowed: a token signed with a key of " + keys);
       return CommandLine.ExitCode.USAGE;
     }
   }
--- a/proxy/src/main/java/lemondeal/failover/CaseSolver.java
+++ b/proxy/src/main/java/lemondeal/failover/CaseSolver.java
@@ -5,13 +5,16 @@
 import lemondeal.failover.PolicyModel.Helper;
 
 /**
- * Finds for one case the flows that move least from given ones. First what is lost alone is placed anew, all else left
- * where it is: nothing can move less. Where that does not fit, all may move, the least of it that helps. Among flows
- * that move alike those of earlier steps are taken, and within a step those that fill the zones most evenly by their
- * weights.
+ * Finds the flows of one case that move the least load from given baseline flows. It first reassigns only the load of
+ * failed zones and leaves all other load in place, which is the minimum. Where that is infeasible, all load may move,
+ * and the moved load is minimized. Among solutions that move the same amount, earlier steps are preferred, and within a
+ * step the solution that fills the zones most evenly by their weights.
  */
 final class CaseSolver {
-  /** An earlier step goes before any evenness: an exchange of loads touches each zone twice at most, 64 zones. */
+  /**
+   * Outweighs any gain in evenness, so that earlier steps are always preferred: an exchange of loads involves each of
+   * at most 64 zones at most twice.
+   */
   private static final double STEP_COST = 1000;
 
   private final PolicyModel model;
@@ -20,10 +23,10 @@
   private final double[][] baseline;
   private final double tolerance;
 
-  /** A load of the program: what of the origin's demand goes to the zone. */
+  /** A variable of the linear program: the part of the origin's demand that the zone serves. */
   private record FlowVariable(int origin, int zone, int variable) {}
 
-  /** @param before the load by origin and zone from which as little as possible is to move */
+  /** @param baseline the load by origin and zone from which as little as possible should move */
   CaseSolver(PolicyModel model, FlowBounds bounds, boolean[] failed, double[][] baseline) {
     this.model = model;
     this.bounds = bounds;
@@ -32,7 +35,7 @@
     tolerance = model.tolerance();
   }
 
-  /** The load by origin and zone, or null where the demand does not fit. Rows that stay are those of {@code before}. */
+  /** The load by origin and zone, or null if infeasible. Unchanged rows are the same arrays as in the baseline. */
   double[][] solve() {
     double[][] flows = reassignLost();
     return flows != null ? flows : minimizeMovedLoad();
@@ -68,7 +71,8 @@
     return assign(flows, lostLoads, freeCapacity, zoneCrossingLeft, regionCrossingLeft);
   }
 
-  private double[][] assign(double[][] flows, double[] lostLoads, double[] freeCapacity, double zoneCrossingLeft, double regionCrossingLeft) {
+  private double[][] assign(double[][] flows, double[] lostLoads, double[] freeCapacity, double zoneCrossingLeft,
+      double regionCrossingLeft) {
     LinearProgram program = new LinearProgram(model.totalDemand());
     List<FlowVariable> movedFlows = new ArrayList<>();
     for (int origin = 0; origin < model.zoneCount(); origin++) {
@@ -95,13 +99,15 @@
     return flows;
   }
 
-  /** Variables of what moves from an origin to each zone that may serve it now. */
-  private List<FlowVariable> addMoveVariables(LinearProgram program, int origin, boolean balanceWithinStep, double stepCost) {
+  /** Adds a variable for the load that moves from the origin to each of its available helpers. */
+  private List<FlowVariable> addMoveVariables(LinearProgram program, int origin, boolean balanceWithinStep,
+      double stepCost) {
     List<FlowVariable> moveFlows = new ArrayList<>();
     List<Helper> helpers = availableHelpers(origin);
     double[] minWeightByStep = new double[8];
     helpers.forEach(helper -> minWeightByStep[helper.step()] =
-        minWeightByStep[helper.step()] == 0 ? helper.weight() : Math.min(minWeightByStep[helper.step()], helper.weight()));
+        minWeightByStep[helper.step()] == 0 ? helper.weight()
+        : Math.min(minWeightByStep[helper.step()], helper.weight()));
     int[] peakVariableByStep = new int[8];
     for (Helper helper : helpers) {
       int variable = program.variable(stepCost > 0 ? helper.step() * stepCost : 1);
@@ -122,7 +128,8 @@
         .filter(helper -> !failed[helper.zone()] && bounds.usableCapacity()[helper.zone()] > 0).toList();
   }
 
-  private void addBounds(LinearProgram program, List<FlowVariable> flows, double[] capacity, double zoneCrossingLimit, double regionCrossingLimit) {
+  private void addBounds(LinearProgram program, List<FlowVariable> flows, double[] capacity, double zoneCrossingLimit,
+      double regionCrossingLimit) {
     LinearProgram.Constraint[] zoneLoads = new LinearProgram.Constraint[model.zoneCount()];
     LinearProgram.Constraint zoneCrossings = bounds.maxCrossZoneShare() < 1 ? program.constraint() : null;
     LinearProgram.Constraint regionCrossings = bounds.maxCrossRegionShare() < 1 ? program.constraint() : null;
@@ -167,7 +174,7 @@
     return row;
   }
 
-  /** Two programs: how little must move, and then with no more than that the earliest and most even steps. */
+  /** Solves twice: for the minimal moved load, then with that limit for the earliest steps and the most even fill. */
   private double[][] minimizeMovedLoad() {
     GlobalProgram minimalMove = new GlobalProgram(false);
     double[] values = minimalMove.program.solve();
@@ -183,7 +190,7 @@
     return refinedValues == null ? minimalMove.flows(values) : refined.flows(refinedValues);
   }
 
-  /** The program in which every origin may move. */
+  /** The linear program in which the load of every origin may move. */
   private final class GlobalProgram {
     private final LinearProgram program = new LinearProgram(model.totalDemand());
     private final List<FlowVariable> keptFlows = new ArrayList<>();
@@ -199,7 +206,8 @@
       List<FlowVariable> allFlows = new ArrayList<>(keptFlows);
       allFlows.addAll(movedFlows);
       double totalDemand = model.totalDemand();
-      addBounds(program, allFlows, bounds.usableCapacity(), bounds.maxCrossZoneShare() * totalDemand, bounds.maxCrossRegionShare() * totalDemand);
+      addBounds(program, allFlows, bounds.usableCapacity(), bounds.maxCrossZoneShare() * totalDemand,
+          bounds.maxCrossRegionShare() * totalDemand);
     }
 
     private void addOrigin(int origin, boolean refine, boolean[] overloaded) {
--- a/proxy/src/main/java/lemondeal/failover/CertificateFinder.java
+++ b/proxy/src/main/java/lemondeal/failover/CertificateFinder.java
@@ -5,17 +5,21 @@
 import lemondeal.failover.PolicyModel.Helper;
 
 /**
- * Finds the strongest {@link Cut} of a case: the largest flow is solved for, and what each of its bounds would be worth
- * is the certificate. Only the worth of zones and crossings is believed; with it each origin counts as far as every
- * zone that may serve it does, so that the certificate holds even where the solver was not exact. The other way round,
- * as a least cover of all pairs, the same took seconds a case, since the solver makes an artificial variable of each
+ * Finds the strongest {@link InfeasibilityCertificate} of a case: the dual values of the maximum flow's bounds. Only
+ * the dual values of zones and crossings are taken from the solver. The weight of an origin is the smallest that its
+ * helpers allow, so that the certificate is valid even where the solver is inexact. Solving the dual directly, as a
+ * minimum cover of all origin-zone pairs, took seconds a case, since the solver adds an artificial variable for each
  * pair.
  */
 final class CertificateFinder {
-  /** On top of each bound, also of 0, so that it is worth something only where it says something. */
+  /**
+   * Added to each bound, as a share of the total demand, also where the bound is 0: a bound that does not limit the
+   * flow then gets the dual value 0.
+   */
   private static final double BOUND_PENALTY = 1e-9;
+  /** The same, large enough to prefer certificates that count fewer zones. */
   private static final double SPARSITY_PENALTY = 1e-5;
-  /** Shares below are a solver's noise. */
+  /** Smaller deviations from an integer are numerical noise of the solver. */
   private static final double NOISE = 1e-6;
 
   private final PolicyModel model;
@@ -30,19 +34,19 @@
     zoneCount = model.zoneCount();
   }
 
-  /** The strongest certificate; its shortfall is 0 where the case fits. */
+  /** The certificate with the largest shortfall, which is 0 for a feasible case. */
   static InfeasibilityCertificate strongest(PolicyModel model, FlowBounds bounds, boolean[] failed) {
     return new CertificateFinder(model, bounds, failed).certificate(BOUND_PENALTY);
   }
 
-  /** The shortest certificate, for people: of those that say about the same the one that counts the fewest zones. */
+  /** The certificate for messages: of those with about the same shortfall, the one that counts the fewest zones. */
   static InfeasibilityCertificate sparsest(PolicyModel model, FlowBounds bounds, boolean[] failed) {
     CertificateFinder finder = new CertificateFinder(model, bounds, failed);
     InfeasibilityCertificate sparsest = finder.certificate(SPARSITY_PENALTY);
     return sparsest.shortfall(model, bounds) > model.tolerance() ? sparsest : finder.certificate(BOUND_PENALTY);
   }
 
-  /** @param each what is added to the bound of each zone and crossing, as a share of the whole demand */
+  /** @param penalty what is added to the bound of each zone and crossing, as a share of the total demand */
   private InfeasibilityCertificate certificate(double penalty) {
     double totalDemand = model.totalDemand();
     LinearProgram program = new LinearProgram(totalDemand);
@@ -72,7 +76,7 @@
     regionCrossings.atMost((bounds.maxCrossRegionShare() + penalty) * totalDemand);
     double[] dualValues = program.dualValues();
     if (dualValues == null) {
-      throw new IllegalStateException("the solver found no largest flow, though every flow is bounded");
+      throw new IllegalStateException("the solver found no maximum flow although every flow is bounded");
     }
     return fromDualValues(dualValues);
   }
@@ -82,7 +86,7 @@
         : model.zone(origin).helpers().stream().filter(helper -> !failed[helper.zone()]).toList();
   }
 
-  /** @param worth of zones, of what crosses zones and of what crosses regions, then of origins, which is passed over */
+  /** @param dualValues of the zones, of zone crossings and of region crossings, then of origins, which are ignored */
   private InfeasibilityCertificate fromDualValues(double[] dualValues) {
     double[] zoneShares = new double[zoneCount];
     Arrays.setAll(zoneShares, zone -> withoutNoise(dualValues[zone]));
--- a/proxy/src/main/java/lemondeal/failover/FailureCase.java
+++ b/proxy/src/main/java/lemondeal/failover/FailureCase.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Zones that are down at the same time.
+ * A set of zones that are down at the same time.
  *
- * @param failed their numbers, growing; none in the normal case
- * @param region the region that these zones are, or empty
- * @param place the promise that names the case first
+ * @param failed the indexes of the zones, ascending; empty in the normal case
+ * @param region the name of the region if these are all of its zones, or empty
+ * @param location where the file has the first requirement with this case
  */
 public record FailureCase(List<Integer> failed, String region, SourceLocation location) {
   boolean[] mask(int zones) {
@@ -16,7 +16,7 @@
     return mask;
   }
 
-  /** As a sentence begins: "if hobart fails". */
+  /** The condition as the beginning of a sentence: "if hobart fails". */
   String describe(PolicyModel model) {
     if (failed.isEmpty()) {
       return "in the normal case";
--- a/proxy/src/main/java/lemondeal/failover/FailureCaseEnumerator.java
+++ b/proxy/src/main/java/lemondeal/failover/FailureCaseEnumerator.java
@@ -12,12 +12,12 @@
 import lemondeal.operator.InvalidFileException;
 
 /**
- * Spreads the promises out into cases, each once, the smallest first. A part of a promised failure is no harder than
- * the whole, but zones seldom fail in one instant, so that a plan must say what holds meanwhile: with "any k" come all
- * of fewer zones, with a region or named zones each of them alone.
+ * Expands the survival requirements into failure cases, without duplicates, the smallest first. A subset of a failure
+ * is no harder to survive than the whole, but zones seldom fail at the same instant, so that the plan also needs cases
+ * for the time in between: "any k" adds all smaller sets of zones, a region or a list of zones adds each zone alone.
  */
 final class FailureCaseEnumerator {
-  /** More would be a plan that no proxy should have to hold: any 3 of 40 zones are 10,701. */
+  /** Limits the size of the plan that each proxy holds in memory; any 3 of 40 zones are 10,701 cases. */
   static final int MAX_CASES = 12_000;
 
   private static final Comparator<List<Integer>> SMALLEST_FIRST = Comparator.<List<Integer>>comparingInt(List::size)
@@ -42,7 +42,10 @@
     }
   }
 
-  /** The normal case and then all that is promised; throws {@link FileFaults} for promises about nothing. */
+  /**
+   * The normal case and then all required ones; throws {@link InvalidFileException} for requirements with unknown zones
+   * or too many cases.
+   */
   static FailureCases enumerate(PolicySource source, PolicyModel model) {
     FailureCaseEnumerator enumerator = new FailureCaseEnumerator(model);
     enumerator.addCase(List.of(), "", source.fileLocation());
@@ -80,7 +83,8 @@
     List<Integer> zones = requirement.zones().isEmpty() ? new ArrayList<>(new TreeSet<>(zoneIndexes.values()))
         : namedZones(requirement);
     if (requirement.count() > zones.size()) {
-      faults.add(requirement.location().fault("survive.any: " + requirement.count() + " of " + zones.size() + " zones"));
+      faults.add(requirement.location()
+          .fault("survive.any: " + requirement.count() + " of " + zones.size() + " zones"));
     } else if (subsetCount(zones.size(), requirement.count()) > MAX_CASES) {
       faults.add(tooManyCases(requirement.location()));
     } else {
@@ -119,12 +123,13 @@
     return new ArrayList<>(zones);
   }
 
-  /** Where promises overlap, the one that stands first in the file is told; the region's name is kept in any case. */
+  /** Where requirements overlap, the case names the first in the file; the name of a region is kept in any case. */
   private void addCase(List<Integer> failed, String region, SourceLocation location) {
     FailureCase previous = cases.get(failed);
     boolean firstInFile = previous == null || location.line() < previous.location().line();
     String name = previous == null || previous.region().isEmpty() ? region : previous.region();
-    cases.put(List.copyOf(failed), new FailureCase(List.copyOf(failed), name, firstInFile ? location : previous.location()));
+    cases.put(List.copyOf(failed),
+        new FailureCase(List.copyOf(failed), name, firstInFile ? location : previous.location()));
     if (cases.size() > MAX_CASES + 1 && faults.isEmpty()) {
       faults.add(tooManyCases(location));
     }
--- a/proxy/src/main/java/lemondeal/failover/FailureCases.java
+++ b/proxy/src/main/java/lemondeal/failover/FailureCases.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The third stage: every case that the plan must answer.
+ * The third stage of the compiler: all cases that the plan covers.
  *
- * @param all the normal case, then by the number of failed zones, then by these
+ * @param all the normal case, then sorted by the number of failed zones and by their indexes
  */
 public record FailureCases(List<FailureCase> all) {
   FailureCase normalCase() {
--- a/proxy/src/main/java/lemondeal/failover/FlowBounds.java
+++ b/proxy/src/main/java/lemondeal/failover/FlowBounds.java
@@ -1,11 +1,11 @@
 package lemondeal.failover;
 
 /**
- * The bounds that a flow must keep, apart from who may serve whom: what the least change changes.
+ * The numeric bounds of a flow, which {@link LeastChange} varies; which zones may serve an origin is not part of them.
  *
- * @param usable what each zone may bear
- * @param zoneShare the largest share of the whole demand that may cross zones
- * @param regionShare the same of regions
+ * @param usableCapacity the largest load of each zone
+ * @param maxCrossZoneShare the largest share of the total demand that may be served outside its zone
+ * @param maxCrossRegionShare the largest share of the total demand that may be served outside its region
  */
 record FlowBounds(double[] usableCapacity, double maxCrossZoneShare, double maxCrossRegionShare) {
   static FlowBounds of(PolicyModel model) {
--- a/proxy/src/main/java/lemondeal/failover/InfeasibilityReport.java
+++ b/proxy/src/main/java/lemondeal/failover/InfeasibilityReport.java
@@ -8,20 +8,21 @@
 import lemondeal.operator.Fault;
 
 /**
- * Says why a policy cannot hold: the smallest case, its sums, what binds, and the least change of each kind that makes
- * all cases hold. The sums are those of a certificate, so that an operator can add them up.
+ * Explains why a policy is infeasible: the smallest infeasible case, its sums, the binding limits, and the smallest
+ * change of each kind that makes all cases feasible. The sums come from a certificate, so that an operator can check
+ * them.
  */
 final class InfeasibilityReport {
   private final PolicyModel model;
   private final List<FailureCase> infeasible;
 
-  /** @param broken the cases that do not hold, the smallest first */
+  /** @param infeasible the infeasible cases, the smallest first */
   InfeasibilityReport(PolicyModel model, List<FailureCase> infeasible) {
     this.model = model;
     this.infeasible = infeasible;
   }
 
-  /** One for the case and one for each change that would do. */
+  /** One fault for the case and one for each sufficient change. */
   List<Fault> faults() {
     List<Fault> faults = new ArrayList<>();
     faults.add(smallestCaseFault());
@@ -48,12 +49,14 @@
     InfeasibilityCertificate certificate = CertificateFinder.sparsest(model, bounds, failed);
     List<Integer> origins = InfeasibilityCertificate.nonZero(certificate.originShares());
     double demand = origins.stream().mapToDouble(model::demand).sum();
-    List<Integer> zones = certificate.countsCrossings() ? helpers(origins, failed) : InfeasibilityCertificate.nonZero(certificate.zoneShares());
-    String available = zones.isEmpty() ? "nobody may help: 0" : zoneNames(zones) + (zones.size() == 1 ? " bears " : " bear ")
-        + MessageText.decimal(demand - certificate.shortfall(model, bounds));
+    List<Integer> zones = certificate.countsCrossings() ? helpers(origins, failed)
+        : InfeasibilityCertificate.nonZero(certificate.zoneShares());
+    String available = zones.isEmpty() ? "no zone may serve: 0"
+        : zoneNames(zones) + (zones.size() == 1 ? " serves " : " serve ")
+            + MessageText.decimal(demand - certificate.shortfall(model, bounds));
     String text = failure.describe(model) + ", " + available + " of " + MessageText.decimal(demand) + " (the demand of "
         + zoneNames(origins) + ")" + bindingBounds(certificate);
-    String remark = infeasible.size() == 1 ? "" : "; the smallest of " + infeasible.size() + " cases that do not hold";
+    String remark = infeasible.size() == 1 ? "" : "; the smallest of " + infeasible.size() + " infeasible cases";
     return failure.location().fault(text + remark);
   }
 
@@ -69,12 +72,13 @@
   private String bindingBounds(InfeasibilityCertificate certificate) {
     List<String> bounds = new ArrayList<>();
     for (int zone : InfeasibilityCertificate.nonZero(certificate.zoneShares())) {
-      bounds.add("capacity of " + model.zone(zone).name() + " (" + MessageText.decimal(model.usableCapacity()[zone]) + " usable of "
-          + MessageText.decimal(model.zone(zone).capacity()) + ", line " + model.zone(zone).capacityLocation().line() + ")");
+      bounds.add("capacity of " + model.zone(zone).name() + " (" + MessageText.decimal(model.usableCapacity()[zone])
+          + " usable of " + MessageText.decimal(model.zone(zone).capacity()) + ", line "
+          + model.zone(zone).capacityLocation().line() + ")");
     }
     if (certificate.zoneCrossingShare() > 0) {
-      bounds.add("cross.zones (" + MessageText.decimal(model.maxCrossZoneShare()) + ", line " + model.boundLocations().maxCrossZoneShare().line()
-          + ")");
+      bounds.add("cross.zones (" + MessageText.decimal(model.maxCrossZoneShare()) + ", line "
+          + model.boundLocations().maxCrossZoneShare().line() + ")");
     }
     if (certificate.regionCrossingShare() > 0) {
       bounds.add("cross.regions (" + MessageText.decimal(model.maxCrossRegionShare()) + ", line "
@@ -89,17 +93,21 @@
     for (int zone = 0; zone < model.zoneCount(); zone++) {
       if (change.addedCapacity()[zone] > 0) {
         PolicyModel.Zone modelZone = model.zone(zone);
-        parts.add("zones." + modelZone.name() + ".capacity " + describeChange(modelZone.capacity(), modelZone.capacity() + change.addedCapacity()[zone]));
+        parts.add("zones." + modelZone.name() + ".capacity "
+            + describeChange(modelZone.capacity(), modelZone.capacity() + change.addedCapacity()[zone]));
         locations.add(modelZone.capacityLocation());
       }
     }
     addChange(parts, locations, "headroom", model.headroom(), change.headroom(), model.boundLocations().headroom());
-    addChange(parts, locations, "cross.zones", model.maxCrossZoneShare(), change.maxCrossZoneShare(), model.boundLocations().maxCrossZoneShare());
-    addChange(parts, locations, "cross.regions", model.maxCrossRegionShare(), change.maxCrossRegionShare(), model.boundLocations().maxCrossRegionShare());
+    addChange(parts, locations, "cross.zones", model.maxCrossZoneShare(), change.maxCrossZoneShare(),
+        model.boundLocations().maxCrossZoneShare());
+    addChange(parts, locations, "cross.regions", model.maxCrossRegionShare(), change.maxCrossRegionShare(),
+        model.boundLocations().maxCrossRegionShare());
     return locations.get(0).fault(parts.stream().collect(Collectors.joining(", ")));
   }
 
-  private static void addChange(List<String> parts, List<SourceLocation> locations, String name, double current, double proposed, SourceLocation location) {
+  private static void addChange(List<String> parts, List<SourceLocation> locations, String name, double current,
+      double proposed, SourceLocation location) {
     if (current != proposed) {
       parts.add(name + " " + describeChange(current, proposed));
       locations.add(location);
@@ -110,7 +118,7 @@
     return MessageText.decimal(proposed) + " instead of " + MessageText.decimal(current);
   }
 
-  /** Some origin has nobody left who may serve it, whatever the bounds: the first such case tells it. */
+  /** Asks for another helper of an origin that no zone may serve in some case, whatever the bounds. */
   private Fault missingHelperFault() {
     for (FailureCase failure : infeasible) {
       boolean[] failed = failure.mask(model.zoneCount());
@@ -121,6 +129,6 @@
         }
       }
     }
-    return infeasible.get(0).location().fault("none of capacity, headroom and crossing alone");
+    return infeasible.get(0).location().fault("no change of capacity, headroom or crossing limits is sufficient");
   }
 }
--- a/proxy/src/main/java/lemondeal/failover/LeastChange.java
+++ b/proxy/src/main/java/lemondeal/failover/LeastChange.java
@@ -7,26 +7,26 @@
 import java.util.function.Supplier;
 
 /**
- * The least change with which all cases hold, of one kind or of all. Certificates of the broken cases are gathered
- * until the least change that satisfies them all leaves no case broken (cutting planes): it is then the least, since no
- * smaller one satisfies even these. Only cases that are broken as things stand are looked at, as a change never breaks
- * another.
+ * Finds the smallest change of the policy that makes all cases feasible, by a cutting-plane method: it collects
+ * certificates of infeasible cases and computes the smallest change that satisfies all of them, until no case is
+ * infeasible. The result is minimal, since no smaller change satisfies even the collected certificates. Only the cases
+ * that are infeasible without a change are considered, as no change here makes another case infeasible.
  */
 final class LeastChange {
   private static final int MAX_ROUNDS = 200;
   private static final int MAX_NEW_CERTIFICATES = 64;
-  /** What the whole demand is in the programs here. */
+  /** The total demand as the linear programs of this class see it. */
   private static final double SCALED_DEMAND = 1000;
-  /** Shares and headroom are told in steps of a ten-thousandth. */
+  /** Shares and headroom are reported in steps of one ten-thousandth. */
   private static final double SHARE_STEPS = 10_000;
 
   /**
-   * A change.
+   * A change of the policy's bounds.
    *
-   * @param capacity what each zone's capacity grows by
+   * @param addedCapacity the increase of each zone's capacity
    * @param headroom the new headroom
-   * @param zoneShare the new share that may cross zones
-   * @param regionShare the same of regions
+   * @param maxCrossZoneShare the new limit on the share of the demand that crosses zones
+   * @param maxCrossRegionShare the new limit on the share that crosses regions
    */
   record Change(double[] addedCapacity, double headroom, double maxCrossZoneShare, double maxCrossRegionShare) {}
 
@@ -39,22 +39,22 @@
     this.infeasibleCases = infeasible.stream().map(failure -> failure.mask(model.zoneCount())).toList();
   }
 
-  /** More capacity, the sum of it as little as can be; empty where none would do. */
+  /** The smallest total increase of capacity; empty where no increase is sufficient. */
   Optional<Change> moreCapacity() {
     return solveByCuttingPlanes(() -> cheapestGrowth(true, false));
   }
 
-  /** More that may cross. */
+  /** The smallest increase of the crossing limits; empty where no increase is sufficient. */
   Optional<Change> moreCrossing() {
     return solveByCuttingPlanes(() -> cheapestGrowth(false, true));
   }
 
-  /** Both; empty only where somebody has nobody left to serve it. */
+  /** More capacity and more crossing; empty only where an origin has no helper left in some case. */
   Optional<Change> moreCapacityAndCrossing() {
     return solveByCuttingPlanes(() -> cheapestGrowth(true, true));
   }
 
-  /** Less headroom. */
+  /** The smallest reduction of the headroom; empty where no reduction is sufficient. */
   Optional<Change> lessHeadroom() {
     return solveByCuttingPlanes(this::highestHeadroom);
   }
@@ -74,7 +74,8 @@
   }
 
   private Change unchanged() {
-    return new Change(new double[model.zoneCount()], model.headroom(), model.maxCrossZoneShare(), model.maxCrossRegionShare());
+    return new Change(new double[model.zoneCount()], model.headroom(), model.maxCrossZoneShare(),
+        model.maxCrossRegionShare());
   }
 
   private FlowBounds boundsAfter(Change change) {
@@ -85,7 +86,7 @@
     return new FlowBounds(usable, change.maxCrossZoneShare(), change.maxCrossRegionShare());
   }
 
-  /** Adds certificates of cases that are broken under these terms; whether there was one. */
+  /** Adds certificates of cases that are infeasible within these bounds; returns whether there was one. */
   private boolean addCertificates(FlowBounds bounds) {
     int countBefore = certificates.size();
     for (boolean[] failed : infeasibleCases) {
@@ -101,9 +102,8 @@
   }
 
   /**
-   * The cheapest growth that satisfies all certificates, or null where none does. Solved the other way round, as what
-   * the certificates can ask for at these prices: that has a start that fits, and the growth is what its bounds are
-   * worth.
+   * The smallest increase that satisfies all certificates, or null where none does. Solved as the dual program, whose
+   * feasible starting point is all zeros; the increases are the dual values of its constraints.
    */
   private Change cheapestGrowth(boolean growCapacity, boolean growCrossing) {
     int zoneCount = model.zoneCount();
@@ -113,7 +113,8 @@
     Arrays.setAll(prices, i -> program.constraint());
     FlowBounds currentBounds = boundsAfter(unchanged());
     for (InfeasibilityCertificate certificate : certificates) {
-      if (!(growCapacity && !InfeasibilityCertificate.nonZero(certificate.zoneShares()).isEmpty()) && !(growCrossing && certificate.countsCrossings())) {
+      if (!(growCapacity && !InfeasibilityCertificate.nonZero(certificate.zoneShares()).isEmpty())
+          && !(growCrossing && certificate.countsCrossings())) {
         return null;
       }
       int variable = program.variable(-certificate.shortfall(model, currentBounds) / scaledUnit);
@@ -125,11 +126,11 @@
         prices[zoneCount + 1].addTerm(variable, certificate.regionCrossingShare());
       }
     }
-    // No share grows above 1.
+    // A share cannot exceed 1.
     prices[zoneCount].addTerm(program.variable((1 - model.maxCrossZoneShare()) * SCALED_DEMAND), -1);
     prices[zoneCount + 1].addTerm(program.variable((1 - model.maxCrossRegionShare()) * SCALED_DEMAND), -1);
     for (int i = 0; i < prices.length; i++) {
-      // Where it does not matter, the zone that stands first by name.
+      // Breaks ties in favor of the zone that is first by name.
       prices[i].atMost(i < zoneCount ? 1 + i * 1e-6 : 1);
     }
     double[] growth = program.dualValues();
@@ -144,7 +145,8 @@
       double steps = (growth[zone] - Math.min(capacityStep() / 20, model.tolerance() / 2)) / capacityStep();
       capacity[zone] = Math.max(0, Math.ceil(steps)) * capacityStep();
     }
-    return new Change(capacity, model.headroom(), raisedShare(model.maxCrossZoneShare(), growth[zoneCount] / totalDemand),
+    return new Change(capacity, model.headroom(),
+        raisedShare(model.maxCrossZoneShare(), growth[zoneCount] / totalDemand),
         raisedShare(model.maxCrossRegionShare(), growth[zoneCount + 1] / totalDemand));
   }
 
@@ -152,7 +154,7 @@
     return increase < 1e-9 ? share : Math.ceil((share + increase - 1e-9) * SHARE_STEPS) / SHARE_STEPS;
   }
 
-  /** In which steps capacities are told: a thousandth, or a millionth of the demand's order of magnitude. */
+  /** The step in which capacities are reported: 0.001, or a millionth of the demand's order of magnitude if larger. */
   double capacityStep() {
     return Math.max(0.001, Math.pow(10, Math.ceil(Math.log10(model.totalDemand())) - 6));
   }
@@ -160,15 +162,18 @@
   /** The highest headroom that satisfies all certificates, or null where none does. */
   private Change highestHeadroom() {
     double headroom = model.headroom();
-    FlowBounds boundsWithoutCapacity = new FlowBounds(new double[model.zoneCount()], model.maxCrossZoneShare(), model.maxCrossRegionShare());
+    FlowBounds boundsWithoutCapacity =
+        new FlowBounds(new double[model.zoneCount()], model.maxCrossZoneShare(), model.maxCrossRegionShare());
     for (InfeasibilityCertificate certificate : certificates) {
       double countedCapacity = 0;
       for (int zone = 0; zone < model.zoneCount(); zone++) {
         countedCapacity += model.zone(zone).capacity() * certificate.zoneShares()[zone];
       }
-      headroom = Math.min(headroom, countedCapacity <= 0 ? -1 : 1 - certificate.shortfall(model, boundsWithoutCapacity) / countedCapacity);
+      headroom = Math.min(headroom,
+          countedCapacity <= 0 ? -1 : 1 - certificate.shortfall(model, boundsWithoutCapacity) / countedCapacity);
     }
     double roundedHeadroom = Math.floor((headroom + 1e-9) * SHARE_STEPS) / SHARE_STEPS;
-    return roundedHeadroom < 0 ? null : new Change(new double[model.zoneCount()], roundedHeadroom, model.maxCrossZoneShare(), model.maxCrossRegionShare());
+    return roundedHeadroom < 0 ? null : new Change(new double[model.zoneCount()], roundedHeadroom,
+        model.maxCrossZoneShare(), model.maxCrossRegionShare());
   }
 }
--- a/proxy/src/main/java/lemondeal/failover/LinearProgram.java
+++ b/proxy/src/main/java/lemondeal/failover/LinearProgram.java
@@ -10,16 +10,16 @@
 import org.ojalgo.structure.Access1D;
 
 /**
- * One linear program, to be minimised: the only class that knows the library. Variables are at least 0. Loads go in and
- * come out in the policy's unit and are scaled in between, since the solver's tolerances are absolute ones. The
- * library's modelling classes are passed by: their decimal arithmetic took four fifths of the time.
+ * A linear program to be minimized; the only class that uses the solver library (ojAlgo). Variables are at least 0.
+ * Loads are passed and returned in the policy's unit and are scaled for the solver, since its tolerances are absolute.
+ * The library's modelling classes are not used, as their decimal arithmetic took four fifths of the time.
  */
 final class LinearProgram {
-  /** What the whole demand is to the solver: its tolerance then lies far under {@link PolicyModel#noise}. */
+  /** The reference load as the solver sees it; its tolerance is then far below {@link PolicyModel#tolerance}. */
   private static final double SCALED_REFERENCE = 1000;
 
   static {
-    // It would print what it thinks of the machine; and sums must not depend on how many cores share them.
+    // Suppresses ojAlgo's message about the hardware. One thread makes sums independent of the number of cores.
     System.setProperty("shut.up.ojAlgo", "true");
     OjAlgoUtils.limitThreadsTo(1);
   }
@@ -28,12 +28,12 @@
   private final List<double[]> variables = new ArrayList<>();
   private final List<Constraint> constraints = new ArrayList<>();
 
-  /** @param whole what counts as a large load here; the solver sees it as 1000 */
+  /** @param referenceLoad the order of magnitude of the loads; it is scaled to 1000 for the solver */
   LinearProgram(double referenceLoad) {
     scale = referenceLoad > 0 ? SCALED_REFERENCE / referenceLoad : 1;
   }
 
-  /** A variable that costs so much a unit; returns its number. */
+  /** Adds a variable with this cost per unit; returns its index. */
   int variable(double cost) {
     return variable(cost, Double.POSITIVE_INFINITY);
   }
@@ -43,7 +43,7 @@
     return variables.size() - 1;
   }
 
-  /** A sum of variables that is bounded from above; or equal. */
+  /** A weighted sum of variables that has an upper bound or a fixed value. */
   final class Constraint {
     private final List<double[]> terms = new ArrayList<>();
     private boolean equality;
@@ -69,7 +69,7 @@
     return constraints.get(constraints.size() - 1);
   }
 
-  /** The variables' values, or null where no values fit. */
+  /** The values of the variables, or null if the program is infeasible. */
   double[] solve() {
     Optimisation.Result result = run();
     if (!result.getState().isFeasible()) {
@@ -81,8 +81,8 @@
   }
 
   /**
-   * What one more unit of each row's bound would save, for a program without equations that all zeros satisfy; null
-   * where nothing bounds it.
+   * The dual value of each constraint: what one more unit of its bound would save. For programs without equations that
+   * all zeros satisfy; null if the program is unbounded.
    */
   double[] dualValues() {
     double[] values = new double[constraints.size()];
--- a/proxy/src/main/java/lemondeal/failover/Measurements.java
+++ b/proxy/src/main/java/lemondeal/failover/Measurements.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * What was measured, by zone, in the policy's unit; read only where the policy says {@code measured}, and there only
- * above the floor.
+ * Measured demand and capacity by zone name, in the policy's unit. A value is used only where the policy has
+ * {@code measured: true}, and only if it is above the floor.
  */
 public record Measurements(Map<String, Double> demand, Map<String, Double> capacity) {
-  /** Nothing was measured: the floors hold. */
+  /** No measurements: the floors apply. */
   public static final Measurements NONE = new Measurements(Map.of(), Map.of());
 
   public Measurements {
--- a/proxy/src/main/java/lemondeal/failover/Plan.java
+++ b/proxy/src/main/java/lemondeal/failover/Plan.java
@@ -7,22 +7,24 @@
 import java.util.TreeMap;
 
 /**
- * The last stage: for each case and origin the weights by zone, in whole ten-thousandths. What proxies place by.
+ * The last stage of the compiler: for each case and origin the weights by zone, in integer ten-thousandths. Proxies
+ * distribute clients by it.
  *
  * @param headroom the share of each capacity that the plan keeps free
- * @param zones sorted by name; elsewhere a zone is its place in this list
+ * @param priorityClasses the classes that are served first, in order of priority
+ * @param zones sorted by name; elsewhere a zone is its index in this list
  * @param cases the normal case first
  */
 public record Plan(String fleet, long version, double headroom, List<String> priorityClasses, List<Zone> zones,
     List<Case> cases) {
-  /** The weights of an origin sum to this. */
+  /** The sum of the weights of an origin. */
   public static final int FULL_WEIGHT = 10_000;
 
   /**
-   * A zone as the plan reckons with it.
+   * A zone with the numbers that the plan was compiled with.
    *
-   * @param demandMilli thousandths of the policy's unit
-   * @param capacityMilli the same, headroom included
+   * @param demandMilli in thousandths of the policy's unit
+   * @param capacityMilli in thousandths of the policy's unit, including the headroom
    */
   public record Zone(String name, String region, long demandMilli, long capacityMilli) {}
 
@@ -30,10 +32,10 @@
   public record Weight(int zone, int weight) {}
 
   /**
-   * What holds while exactly these zones are down.
+   * The weights to use while exactly these zones are down.
    *
-   * @param failed growing
-   * @param origins for each zone as origin who serves it, sorted by zone; empty where nobody can
+   * @param failed the indexes of the zones, ascending
+   * @param origins for each zone as an origin the zones that serve it, sorted; empty where no zone can
    */
   public record Case(List<Integer> failed, List<List<Weight>> origins) {
     public Case {
@@ -48,7 +50,7 @@
     cases = List.copyOf(cases);
   }
 
-  /** The case of exactly these zones; empty where the policy promises nothing for it or a zone is unknown. */
+  /** The case of exactly these failed zones; empty where the plan does not cover it or a zone is unknown. */
   public Optional<Case> findCase(Iterable<String> failedNames) {
     boolean[] failed = new boolean[zones.size()];
     for (String name : failedNames) {
@@ -58,11 +60,12 @@
       }
       failed[zone] = true;
     }
-    List<Integer> failedIndexes = java.util.stream.IntStream.range(0, failed.length).filter(i -> failed[i]).boxed().toList();
+    List<Integer> failedIndexes =
+        java.util.stream.IntStream.range(0, failed.length).filter(i -> failed[i]).boxed().toList();
     return cases.stream().filter(plannedCase -> plannedCase.failed().equals(failedIndexes)).findFirst();
   }
 
-  /** The zone's place in the list, or -1. */
+  /** The zone's index, or -1. */
   public int zoneIndex(String name) {
     for (int i = 0; i < zones.size(); i++) {
       if (zones.get(i).name().equals(name)) {
@@ -72,17 +75,18 @@
     return -1;
   }
 
-  /** The weights of an origin by the names of zones; empty for an unknown one. */
+  /** The weights of an origin by zone name; empty for an unknown origin. */
   public Map<String, Integer> weights(Case plannedCase, String origin) {
     Map<String, Integer> weights = new TreeMap<>();
     int originIndex = zoneIndex(origin);
     if (originIndex >= 0) {
-      plannedCase.origins().get(originIndex).forEach(weight -> weights.put(zones.get(weight.zone()).name(), weight.weight()));
+      plannedCase.origins().get(originIndex)
+          .forEach(weight -> weights.put(zones.get(weight.zone()).name(), weight.weight()));
     }
     return weights;
   }
 
-  /** What each zone bears in a case, in thousandths of the policy's unit times {@link #WHOLE}: exact. */
+  /** The exact load of each zone in a case, in thousandths of the policy's unit times {@link #FULL_WEIGHT}. */
   public long[] loads(Case plannedCase) {
     long[] loads = new long[zones.size()];
     for (int origin = 0; origin < zones.size(); origin++) {
@@ -92,7 +96,7 @@
     return loads;
   }
 
-  /** By how much the rounding of weights may put each zone above its bound, in the unit of {@link #loads}. */
+  /** By how much each zone may exceed its bound due to the rounding of weights, in the unit of {@link #loads}. */
   long[] roundingMargin(Case plannedCase) {
     long[] margins = new long[zones.size()];
     for (int origin = 0; origin < zones.size(); origin++) {
--- a/proxy/src/main/java/lemondeal/failover/PlanBuilder.java
+++ b/proxy/src/main/java/lemondeal/failover/PlanBuilder.java
@@ -9,13 +9,13 @@
 import lemondeal.failover.PolicyModel.Helper;
 
 /**
- * Makes whole ten-thousandths of flows, so that a solver's last digits cannot show, and reckons anew with them whether
- * all bounds hold. Shares are rounded down; what is left of an origin goes one by one to where most was cut off and
- * there still is room. Where there is none anywhere (a third of a load of 1, three zones of a third) a unit stands
- * over: never more than a ten-thousandth of the demand of each origin that the zone shares with others.
+ * Rounds flows to integer ten-thousandths, so that the last digits of the solver do not show in the plan, and verifies
+ * the bounds again. Shares are rounded down; the remaining units of an origin go one by one to the zone with the
+ * largest remainder that still has free capacity. Where no zone has any (a load of 1 over three zones of a third each),
+ * a zone is overloaded by one unit: at most a ten-thousandth of the demand of each origin that it shares with others.
  */
 final class PlanBuilder {
-  /** Parts of a unit that are a solver's noise and no part. */
+  /** Deviations from an integer number of units that are numerical noise of the solver. */
   private static final double SNAP_TOLERANCE = 1e-4;
 
   private final SolvedFlows flows;
@@ -79,12 +79,16 @@
 
   private void distributeRemainder(int origin, int[] units, double[] loads, double[] freeCapacity) {
     double demand = model.demand(origin);
-    double[] remainders = IntStream.range(0, units.length).mapToDouble(zone -> exactUnits(loads[zone], demand) - units[zone]).toArray();
-    List<Integer> zonesByRemainder = IntStream.range(0, units.length).filter(zone -> exactUnits(loads[zone], demand) > 0).boxed()
+    double[] remainders =
+        IntStream.range(0, units.length).mapToDouble(zone -> exactUnits(loads[zone], demand) - units[zone]).toArray();
+    List<Integer> zonesByRemainder = IntStream.range(0, units.length)
+        .filter(zone -> exactUnits(loads[zone], demand) > 0).boxed()
         .sorted(Comparator.comparingDouble((Integer zone) -> -Math.rint(remainders[zone] / SNAP_TOLERANCE))).toList();
     for (int unitsLeft = Plan.FULL_WEIGHT - Arrays.stream(units).sum(); unitsLeft > 0; unitsLeft--) {
-      int target = zonesByRemainder.stream().filter(zone -> remainders[zone] > 0 && freeCapacity[zone] >= unitLoad(origin) - model.tolerance()).findFirst()
-          .orElse(zonesByRemainder.stream().filter(zone -> remainders[zone] > 0).findFirst().orElse(zonesByRemainder.get(0)));
+      int target = zonesByRemainder.stream()
+          .filter(zone -> remainders[zone] > 0 && freeCapacity[zone] >= unitLoad(origin) - model.tolerance())
+          .findFirst().orElse(zonesByRemainder.stream().filter(zone -> remainders[zone] > 0).findFirst()
+              .orElse(zonesByRemainder.get(0)));
       units[target]++;
       freeCapacity[target] -= unitLoad(origin);
       remainders[target] = 0;
@@ -92,13 +96,15 @@
   }
 
   private static List<Weight> weights(int[] units) {
-    return IntStream.range(0, units.length).filter(zone -> units[zone] > 0).mapToObj(zone -> new Weight(zone, units[zone])).toList();
+    return IntStream.range(0, units.length).filter(zone -> units[zone] > 0)
+        .mapToObj(zone -> new Weight(zone, units[zone])).toList();
   }
 
-  /** Nobody is there now, but someone may come: the first step that has a zone left, by its weights. */
+  /** Weights for an origin without demand, which may get some later: the first step with an available zone. */
   private List<Weight> defaultWeights(int origin, FailureCase failure) {
     List<Helper> available = model.zone(origin).helpers().stream()
-        .filter(helper -> !failure.failed().contains(helper.zone()) && model.usableCapacity()[helper.zone()] > 0).toList();
+        .filter(helper -> !failure.failed().contains(helper.zone()) && model.usableCapacity()[helper.zone()] > 0)
+        .toList();
     int step = available.stream().mapToInt(Helper::step).min().orElse(-1);
     List<Helper> firstStep = available.stream().filter(helper -> helper.step() == step).toList();
     if (firstStep.isEmpty()) {
@@ -106,7 +112,8 @@
     }
     double totalWeight = firstStep.stream().mapToDouble(Helper::weight).sum();
     int[] units = new int[model.zoneCount()];
-    firstStep.forEach(helper -> units[helper.zone()] = (int) Math.floor(helper.weight() / totalWeight * Plan.FULL_WEIGHT));
+    firstStep.forEach(helper -> units[helper.zone()] =
+        (int) Math.floor(helper.weight() / totalWeight * Plan.FULL_WEIGHT));
     for (int i = 0; Arrays.stream(units).sum() < Plan.FULL_WEIGHT; i++) {
       units[firstStep.get(i % firstStep.size()).zone()]++;
     }
--- a/proxy/src/main/java/lemondeal/failover/PlanCapacityCheck.java
+++ b/proxy/src/main/java/lemondeal/failover/PlanCapacityCheck.java
@@ -5,33 +5,34 @@
 import java.util.Map;
 
 /**
- * Whether a plan in force still holds for what its zones are measured to bear: asked before a case happens, so that it
- * is told in time. Pure; a zone that nothing is known of bears what the plan was compiled with.
+ * Checks whether the active plan still fits the measured capacity of its zones, so that an overload is reported before
+ * the failure happens. Without state; a zone that was not measured has the capacity that the plan was compiled with.
  */
 public final class PlanCapacityCheck {
   /**
-   * A case that no longer holds.
+   * A case in which a zone would be overloaded.
    *
    * @param failed the names of the zones that would be down
-   * @param zone the zone that would bear too much
-   * @param load what the plan puts on it, in the policy's unit
-   * @param bears what it bears, less the plan's headroom
+   * @param zone the name of the overloaded zone
+   * @param load the load that the plan assigns to it, in the policy's unit
+   * @param usableCapacity its measured capacity, less the plan's headroom
    */
   public record OverloadedCase(List<String> failed, String zone, double load, double usableCapacity) {
-    /** As the log tells it. */
+    /** The text for the log. */
     public String describe() {
-      return (failed.isEmpty() ? "in the normal case" : "if " + MessageText.join(failed) + (failed.size() == 1 ? " fails"
-          : " fail")) + ", " + zone + " bears " + MessageText.decimal(usableCapacity) + " of " + MessageText.decimal(load);
+      return (failed.isEmpty() ? "in the normal case"
+          : "if " + MessageText.join(failed) + (failed.size() == 1 ? " fails" : " fail")) + ", " + zone
+          + " can serve " + MessageText.decimal(usableCapacity) + " of " + MessageText.decimal(load);
     }
   }
 
   private PlanCapacityCheck() {}
 
   /**
-   * The cases that no longer hold, in the plan's order; each with the zone that lacks most.
+   * The cases with an overloaded zone, in the plan's order; each with the zone that lacks the most capacity.
    *
-   * @param capacity what zones were measured to bear in all, in the policy's unit; values that are no number or
-   *     negative are passed over
+   * @param capacity the measured total capacity by zone name, in the policy's unit; values that are not finite or are
+   *     negative are ignored
    */
   public static List<OverloadedCase> overloadedCases(Plan plan, Map<String, Double> capacity) {
     List<OverloadedCase> overloadedCases = new ArrayList<>();
@@ -42,9 +43,11 @@
       for (int zone = 0; zone < loads.length; zone++) {
         double usableCapacity = usableCapacity(plan, zone, capacity);
         double load = loads[zone] / (1000.0 * Plan.FULL_WEIGHT);
-        boolean overloaded = load > usableCapacity + roundingMargins[zone] / (1000.0 * Plan.FULL_WEIGHT) + 1e-6 * Math.max(1, load);
+        boolean overloaded =
+            load > usableCapacity + roundingMargins[zone] / (1000.0 * Plan.FULL_WEIGHT) + 1e-6 * Math.max(1, load);
         if (overloaded && (worst == null || load - usableCapacity > worst.load() - worst.usableCapacity())) {
-          worst = new OverloadedCase(failedNames(plan, plannedCase), plan.zones().get(zone).name(), load, usableCapacity);
+          worst = new OverloadedCase(failedNames(plan, plannedCase), plan.zones().get(zone).name(), load,
+              usableCapacity);
         }
       }
       if (worst != null) {
@@ -55,8 +58,8 @@
   }
 
   /**
-   * What still holds of a case: each origin's weights, cut down alike where a zone is to bear more than it can. What
-   * the weights lack of {@link Plan#WHOLE} has no place and is to be turned away.
+   * The weights of a case that fit the measured capacity: all weights of an overloaded zone are reduced by the same
+   * factor. What an origin's weights lack of {@link Plan#FULL_WEIGHT} has no capacity and should be refused.
    */
   public static Plan.Case scaledToCapacity(Plan plan, Plan.Case plannedCase, Map<String, Double> capacity) {
     long[] loads = plan.loads(plannedCase);
@@ -68,7 +71,8 @@
     List<List<Plan.Weight>> origins = new ArrayList<>();
     for (List<Plan.Weight> weights : plannedCase.origins()) {
       origins.add(weights.stream()
-          .map(weight -> new Plan.Weight(weight.zone(), (int) Math.floor(weight.weight() * factors[weight.zone()] + 1e-9)))
+          .map(weight -> new Plan.Weight(weight.zone(),
+              (int) Math.floor(weight.weight() * factors[weight.zone()] + 1e-9)))
           .filter(weight -> weight.weight() > 0).toList());
     }
     return new Plan.Case(plannedCase.failed(), origins);
--- a/proxy/src/main/java/lemondeal/failover/PlanCodec.java
+++ b/proxy/src/main/java/lemondeal/failover/PlanCodec.java
@@ -13,41 +13,44 @@
 import lemondeal.failover.wire.PlannedOrigin;
 import lemondeal.failover.wire.PlannedZone;
 
-/** Plans as bytes: the same plan always is the same bytes, and bytes that are not whole are no plan. */
+/** Encodes plans deterministically, and rejects truncated or corrupt bytes when decoding. */
 public final class PlanCodec {
   private static final int FORMAT = 1;
   private static final int MAX_BYTES = 32 << 20;
 
   private PlanCodec() {}
 
-  /** The plan with its digest. */
+  /** Encodes the plan with its digest. */
   public static byte[] encode(Plan plan) {
     ByteString body = encodeBody(plan).toByteString();
     return PlanFile.newBuilder().setBody(body).setDigest(ByteString.copyFrom(sha256(body))).build().toByteArray();
   }
 
-  /** The digest by which proxies tell each other which plan they hold: 64 hexadecimal digits. */
+  /** The digest that identifies the plan between proxies: SHA-256 as 64 hexadecimal digits. */
   public static String digest(Plan plan) {
     return HexFormat.of().formatHex(sha256(encodeBody(plan).toByteString()));
   }
 
-  /** The plan, whole; throws {@link PlanRefused} for anything else. */
+  /** Decodes a plan; throws {@link PlanRejectedException} for anything that is not a complete and valid one. */
   public static Plan decode(byte[] bytes) {
     if (bytes.length > MAX_BYTES) {
-      throw new PlanRejectedException(PlanRejectedException.Reason.GARBLED, "it is larger than " + MAX_BYTES + " bytes");
+      throw new PlanRejectedException(PlanRejectedException.Reason.GARBLED,
+          "it is larger than " + MAX_BYTES + " bytes");
     }
     try {
       PlanFile file = PlanFile.parseFrom(bytes);
       if (!MessageDigest.isEqual(sha256(file.getBody()), file.getDigest().toByteArray())) {
-        throw new PlanRejectedException(PlanRejectedException.Reason.DIGEST, "its digest is of another content");
+        throw new PlanRejectedException(PlanRejectedException.Reason.DIGEST, "its digest does not match its content");
       }
       PlanBody body = PlanBody.parseFrom(file.getBody());
       if (body.getFormat() != FORMAT) {
-        throw new PlanRejectedException(PlanRejectedException.Reason.FORMAT, "its format is " + body.getFormat() + "; known: " + FORMAT);
+        throw new PlanRejectedException(PlanRejectedException.Reason.FORMAT,
+            "its format is " + body.getFormat() + "; supported: " + FORMAT);
       }
       return decodeBody(body);
     } catch (InvalidProtocolBufferException e) {
-      throw new PlanRejectedException(PlanRejectedException.Reason.GARBLED, "it is cut or garbled: " + e.getMessage());
+      throw new PlanRejectedException(PlanRejectedException.Reason.GARBLED,
+          "it is truncated or corrupt: " + e.getMessage());
     }
   }
 
@@ -90,10 +93,10 @@
       List<List<Plan.Weight>> origins = new ArrayList<>(cases.isEmpty()
           ? java.util.Collections.nCopies(zoneCount, List.of()) : cases.get(0).origins());
       for (PlannedOrigin origin : encodedCase.getOriginsList()) {
-        require(origin.getZone() < zoneCount && origin.getZone() >= 0, "an origin is no zone");
+        require(origin.getZone() < zoneCount && origin.getZone() >= 0, "an origin is not a zone");
         origins.set(origin.getZone(), weights(origin, zoneCount));
       }
-      encodedCase.getFailedList().forEach(zone -> require(zone >= 0 && zone < zoneCount, "a failed zone is none"));
+      encodedCase.getFailedList().forEach(zone -> require(zone >= 0 && zone < zoneCount, "a failed zone is unknown"));
       cases.add(new Plan.Case(encodedCase.getFailedList(), origins));
     }
     require(!cases.isEmpty() && cases.get(0).failed().isEmpty(), "it does not begin with the normal case");
@@ -102,13 +105,14 @@
   }
 
   private static List<Plan.Weight> weights(PlannedOrigin origin, int zoneCount) {
-    require(origin.getServesCount() == origin.getWeightsCount(), "weights lack their zones");
+    require(origin.getServesCount() == origin.getWeightsCount(), "weights and zones differ in number");
     List<Plan.Weight> weights = new ArrayList<>();
     long sum = 0;
     for (int i = 0; i < origin.getServesCount(); i++) {
       int zone = origin.getServes(i);
       int weight = origin.getWeights(i);
-      require(zone >= 0 && zone < zoneCount && weight > 0 && weight <= Plan.FULL_WEIGHT, "a weight is none");
+      require(zone >= 0 && zone < zoneCount && weight > 0 && weight <= Plan.FULL_WEIGHT,
+          "a weight or its zone is out of range");
       weights.add(new Plan.Weight(zone, weight));
       sum += weight;
     }
--- a/proxy/src/main/java/lemondeal/failover/PlanRejectedException.java
+++ b/proxy/src/main/java/lemondeal/failover/PlanRejectedException.java
@@ -1,10 +1,10 @@
 package lemondeal.failover;
 
-/** Bytes that are not taken as a plan, and why. */
+/** Received bytes were rejected as a plan. */
 public final class PlanRejectedException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  /** Why a plan is not taken. */
+  /** Why a plan is rejected. */
   public enum Reason { GARBLED, DIGEST, FORMAT, FLEET, OLDER }
 
   private final Reason reason;
--- a/proxy/src/main/java/lemondeal/failover/PlanVerifier.java
+++ b/proxy/src/main/java/lemondeal/failover/PlanVerifier.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Reckons a finished plan through, in whole numbers and without the solver: every origin is served in every case, by
- * zones that are up and that may serve it, and no bound is passed by more than the rounding of weights.
+ * Verifies a finished plan in integer arithmetic and without the solver: every origin is served in every case, by zones
+ * that are up and may serve it, and no bound is exceeded by more than the rounding of weights.
  */
 final class PlanVerifier {
   private PlanVerifier() {}
 
-  /** Throws {@link IllegalStateException}: a plan that fails here is a fault of the compiler, not of the policy. */
+  /** Throws {@link IllegalStateException}: an invalid plan is a bug in the compiler and not an error in the policy. */
   static void verify(Plan plan, PolicyModel model) {
     for (Plan.Case plannedCase : plan.cases()) {
       for (int origin = 0; origin < plan.zones().size(); origin++) {
@@ -26,7 +26,7 @@
     for (Plan.Weight weight : weights) {
       require(!plannedCase.failed().contains(weight.zone()), plannedCase, "a failed zone serves");
       require(model.zone(origin).helpers().stream().anyMatch(helper -> helper.zone() == weight.zone()), plannedCase,
-          "a zone serves that may not");
+          "a zone that may not serve an origin serves it");
     }
   }
 
@@ -38,7 +38,8 @@
     double totalDemand = model.totalDemand() * planUnits;
     double[] usable = model.usableCapacity();
     for (int zone = 0; zone < loads.length; zone++) {
-      require(loads[zone] <= usable[zone] * planUnits + roundingMargins[zone] + tolerance, plannedCase, "a zone bears too much");
+      require(loads[zone] <= usable[zone] * planUnits + roundingMargins[zone] + tolerance, plannedCase,
+          "a zone is overloaded");
     }
     double[] crossingLoads = {0, 0};
     double crossingMargin = 0;
@@ -50,13 +51,15 @@
         crossingMargin += weight.weight() < Plan.FULL_WEIGHT ? demand : 0;
       }
     }
-    require(crossingLoads[0] <= model.maxCrossZoneShare() * totalDemand + crossingMargin + tolerance, plannedCase, "too much crosses zones");
-    require(crossingLoads[1] <= model.maxCrossRegionShare() * totalDemand + crossingMargin + tolerance, plannedCase, "too much crosses regions");
+    require(crossingLoads[0] <= model.maxCrossZoneShare() * totalDemand + crossingMargin + tolerance, plannedCase,
+        "too much crosses zones");
+    require(crossingLoads[1] <= model.maxCrossRegionShare() * totalDemand + crossingMargin + tolerance, plannedCase,
+        "too much crosses regions");
   }
 
   private static void require(boolean condition, Plan.Case plannedCase, String violation) {
     if (!condition) {
-      throw new IllegalStateException("the compiler's own check: " + violation + " in the case of zones "
+      throw new IllegalStateException("the compiled plan is invalid: " + violation + " in the case of zones "
           + plannedCase.failed());
     }
   }
--- a/proxy/src/main/java/lemondeal/failover/PolicyCompiler.java
+++ b/proxy/src/main/java/lemondeal/failover/PolicyCompiler.java
@@ -7,18 +7,18 @@
 import lemondeal.operator.InvalidFileException;
 
 /**
- * From a policy's file to its plan, stage by stage: source, checked model, cases, solved flows, plan. Pure but for the
- * file.
+ * Compiles a policy file to a plan in stages: source, checked model, failure cases, solved flows, plan. Has no side
+ * effects and reads nothing but the file.
  */
 public final class PolicyCompiler {
   private PolicyCompiler() {}
 
-  /** The plan; throws {@link FileFaults} for a file that is none, contradicts itself or cannot hold. */
+  /** The plan; throws {@link InvalidFileException} for a file that is invalid, inconsistent or infeasible. */
   public static Plan compile(Path file, Measurements measurements) {
     return compile(PolicyReader.read(file), measurements);
   }
 
-  /** As {@link #compile(Path, Measured)}, of a policy that was read before: what was measured may have changed. */
+  /** As {@link #compile(Path, Measurements)}, for a policy read earlier, such as with new measurements. */
   public static Plan compile(PolicySource source, Measurements measurements) {
     PolicyModel model = PolicyModelBuilder.build(source, measurements);
     return PlanBuilder.build(solve(model, FailureCaseEnumerator.enumerate(source, model)));
@@ -32,7 +32,7 @@
     return new SolvedFlows(model, cases, result.loads());
   }
 
-  /** What came of all cases: the loads of those that hold, and those that do not. */
+  /** The loads of the feasible cases, and the infeasible cases. */
   record SolveResult(List<double[][]> loads, List<FailureCase> infeasible) {}
 
   static SolveResult trySolve(PolicyModel model, FailureCases cases) {
@@ -52,19 +52,24 @@
     return result;
   }
 
-  /** Null only where a certificate says so: a bound that is met to the last digit is met. */
+  /**
+   * Null only where a certificate proves it. Where the solver fails without one, a bound is met exactly up to numerical
+   * noise, and it solves again with slightly wider bounds.
+   */
   private static double[][] solveCase(PolicyModel model, FlowBounds bounds, boolean[] failed, double[][] baseline) {
     double[][] flows = new CaseSolver(model, bounds, failed, baseline).solve();
-    if (flows != null || CertificateFinder.strongest(model, bounds, failed).shortfall(model, bounds) > model.tolerance()) {
+    if (flows != null || CertificateFinder.strongest(model, bounds, failed).shortfall(model, bounds)
+        > model.tolerance()) {
       return flows;
     }
     double slack = 1.5 * model.tolerance() / model.totalDemand();
-    double[] widenedCapacity = Arrays.stream(bounds.usableCapacity()).map(load -> load + slack * model.totalDemand()).toArray();
-    return new CaseSolver(model, new FlowBounds(widenedCapacity, bounds.maxCrossZoneShare() + slack, bounds.maxCrossRegionShare() + slack), failed,
-        baseline).solve();
+    double[] widenedCapacity =
+        Arrays.stream(bounds.usableCapacity()).map(load -> load + slack * model.totalDemand()).toArray();
+    return new CaseSolver(model, new FlowBounds(widenedCapacity, bounds.maxCrossZoneShare() + slack,
+        bounds.maxCrossRegionShare() + slack), failed, baseline).solve();
   }
 
-  /** What the policy asks for while nothing fails, whether or not it fits: each origin's first step by its weights. */
+  /** The flows that the policy prefers without failures, feasible or not: each origin's first step by its weights. */
   static double[][] preferredFlows(PolicyModel model) {
     double[][] loads = new double[model.zoneCount()][model.zoneCount()];
     for (int index = 0; index < model.zoneCount(); index++) {
--- a/proxy/src/main/java/lemondeal/failover/PolicyModel.java
+++ b/proxy/src/main/java/lemondeal/failover/PolicyModel.java
@@ -3,27 +3,29 @@
 import java.util.List;
 
 /**
- * The second stage: a policy whose names are all known and whose numbers make sense. Zones are sorted by name and are
- * their place in that list from here on, so that nothing below knows the file's order.
+ * The second stage of the compiler: a consistent policy. Zones are sorted by name, and all later stages refer to a zone
+ * by its index in that list, so that the result does not depend on the order in the file.
  *
  * @param headroom the share of each capacity that is kept free
- * @param zoneShare the largest share of the whole demand that may cross zones
- * @param regionShare the same of regions
+ * @param maxCrossZoneShare the largest share of the total demand that may be served outside its zone
+ * @param maxCrossRegionShare the largest share of the total demand that may be served outside its region
+ * @param priorityClasses the classes that are served first, in order of priority
  */
-public record PolicyModel(String fleet, long version, double headroom, double maxCrossZoneShare, double maxCrossRegionShare,
+public record PolicyModel(String fleet, long version, double headroom, double maxCrossZoneShare,
+    double maxCrossRegionShare,
     PolicySource.BoundLocations boundLocations, List<String> priorityClasses, List<Zone> zones) {
 
-  /** A zone that may serve, its step (0 is the normal one) and its weight in it, above 0. */
+  /** A zone that may serve an origin, its step (0 is the preferred one), and its weight within the step, above 0. */
   public record Helper(int zone, int step, double weight) {}
 
   /**
-   * A zone, both as origin of demand and as a place with capacity.
+   * A zone, both as an origin of demand and as a provider of capacity.
    *
-   * @param region the region's place among the sorted regions
-   * @param helpers who may serve its demand, sorted by zone; each at most once
+   * @param regionIndex the index of its region among the sorted regions
+   * @param helpers the zones that may serve its demand, itself included, sorted by zone and each at most once
    */
-  public record Zone(String name, String regionName, int regionIndex, double demand, double capacity, List<Helper> helpers,
-      SourceLocation location, SourceLocation capacityLocation) {}
+  public record Zone(String name, String regionName, int regionIndex, double demand, double capacity,
+      List<Helper> helpers, SourceLocation location, SourceLocation capacityLocation) {}
 
   int zoneCount() {
     return zones.size();
@@ -41,7 +43,7 @@
     return zones.stream().mapToDouble(Zone::demand).sum();
   }
 
-  /** The capacity of each zone less the headroom. */
+  /** The capacity of each zone, less the headroom. */
   double[] usableCapacity() {
     return zones.stream().mapToDouble(zone -> zone.capacity() * (1 - headroom)).toArray();
   }
@@ -50,7 +52,7 @@
     return zones.get(origin).regionIndex() != zones.get(zone).regionIndex();
   }
 
-  /** Loads that differ by less are the same: well above a solver's noise, well below what an operator can mean. */
+  /** Loads that differ by less are equal: well above the solver's noise, well below any difference that matters. */
   double tolerance() {
     return 1e-7 * totalDemand();
   }
--- a/proxy/src/main/java/lemondeal/failover/PolicyModelBuilder.java
+++ b/proxy/src/main/java/lemondeal/failover/PolicyModelBuilder.java
@@ -12,7 +12,10 @@
 import lemondeal.operator.Fault;
 import lemondeal.operator.InvalidFileException;
 
-/** Checks what no schema can: that names are of something, that weights are of some use. Finds all faults at once. */
+/**
+ * Checks what the schema cannot, such as references to zones and regions and sums of weights, and builds the model.
+ * Reports all faults at once.
+ */
 final class PolicyModelBuilder {
   private final PolicySource source;
   private final List<Fault> faults = new ArrayList<>();
@@ -24,7 +27,7 @@
     this.source = source;
   }
 
-  /** Throws {@link FileFaults} for a policy that contradicts itself. */
+  /** Throws {@link InvalidFileException} for a policy that is inconsistent. */
   static PolicyModel build(PolicySource source, Measurements measurements) {
     return new PolicyModelBuilder(source).buildModel(measurements);
   }
@@ -41,7 +44,7 @@
     List<PolicyModel.Zone> zones = new ArrayList<>();
     for (PolicySource.Zone zone : sorted) {
       if (!regionIndexes.containsKey(zone.region())) {
-        faults.add(zone.regionLocation().fault("zones." + zone.name() + ".region: no region is called '" + zone.region()
+        faults.add(zone.regionLocation().fault("zones." + zone.name() + ".region: unknown region '" + zone.region()
             + "'; allowed: " + String.join(", ", regionIndexes.keySet())));
         continue;
       }
@@ -75,7 +78,7 @@
     Map<String, List<Step>> stepsByRegion = new HashMap<>();
     for (PolicySource.Region region : source.regions()) {
       if (!zonesByRegion.containsKey(region.name())) {
-        faults.add(region.location().fault("regions." + region.name() + ": no zone is in it"));
+        faults.add(region.location().fault("regions." + region.name() + ": the region has no zone"));
       }
       checkSteps("regions." + region.name() + ".helped_by", region.helpedBy(), regionIndexes, region.name());
       stepsByRegion.put(region.name(), region.helpedBy());
@@ -83,30 +86,30 @@
     return stepsByRegion;
   }
 
-  /** @param self who must not stand among its own helpers; null where it may */
+  /** @param self a name that must not be in these steps, or null */
   private void checkSteps(String key, List<Step> steps, Map<String, Integer> known, String self) {
     Map<String, SourceLocation> locationByName = new HashMap<>();
     for (Step step : steps) {
       for (WeightedName entry : step.entries()) {
         String fault = null;
         if (!known.containsKey(entry.name())) {
-          fault = "nothing is called '" + entry.name() + "'; allowed: " + String.join(", ", known.keySet());
+          fault = "unknown name '" + entry.name() + "'; allowed: " + String.join(", ", known.keySet());
         } else if (entry.name().equals(self)) {
-          fault = "'" + self + "' is to help itself";
+          fault = "'" + self + "' cannot help itself";
         } else if (locationByName.putIfAbsent(entry.name(), entry.location()) != null) {
-          fault = "'" + entry.name() + "' stands here twice, first in line " + locationByName.get(entry.name()).line();
+          fault = "'" + entry.name() + "' is listed twice, first in line " + locationByName.get(entry.name()).line();
         }
         if (fault != null) {
           faults.add(entry.location().fault(key + ": " + fault));
         }
       }
       if (step.entries().stream().noneMatch(entry -> entry.weight() > 0)) {
-        faults.add(step.location().fault(key + ": the weights of this step sum to nothing; one must be above 0"));
+        faults.add(step.location().fault(key + ": all weights of this step are 0; at least one must be above 0"));
       }
     }
   }
 
-  /** Where the file does not say it: the zone itself, the others of its region alike, then its region's helpers. */
+  /** The default of served_by: the zone, the others of its region with equal weights, then the region's helpers. */
   private List<Step> defaultSteps(PolicySource.Zone zone, List<Step> regionSteps) {
     List<Step> steps = new ArrayList<>();
     steps.add(new Step(List.of(new WeightedName(zone.name(), 1, zone.location())), zone.location()));
--- a/proxy/src/main/java/lemondeal/failover/PolicyQuantity.java
+++ b/proxy/src/main/java/lemondeal/failover/PolicyQuantity.java
@@ -1,15 +1,16 @@
 package lemondeal.failover;
 
 /**
- * A demand or a capacity as the operator wrote it.
+ * A demand or a capacity as written in the policy file.
  *
- * @param number the number, or the floor where it is measured, in the policy's unit (whatever the operator counts in)
- * @param measured whether a measurement above the floor is taken instead
+ * @param configured the number, or the floor of a measured quantity, in the unit that the operator chose for the policy
+ * @param useMeasurement whether a measurement above the floor replaces the number
  */
 public record PolicyQuantity(double configured, boolean useMeasurement, SourceLocation location) {
-  /** What is reckoned with. A measurement that is no number, or is below the floor, says nothing. */
+  /** The value to compile with. A measurement that is not finite, or not above the floor, is ignored. */
   double effective(Double measurement) {
-    boolean measurementUsed = useMeasurement && measurement != null && Double.isFinite(measurement) && measurement > configured;
+    boolean measurementUsed =
+        useMeasurement && measurement != null && Double.isFinite(measurement) && measurement > configured;
     return measurementUsed ? Math.floor(measurement * 1000) / 1000 : configured;
   }
 }
--- a/proxy/src/main/java/lemondeal/failover/PolicyReader.java
+++ b/proxy/src/main/java/lemondeal/failover/PolicyReader.java
@@ -15,7 +15,7 @@
 import lemondeal.operator.SchemaValidator;
 import lemondeal.operator.YamlTree;
 
-/** Reads a policy's file into {@link PolicySource}, keeping the place of whatever a later stage may complain of. */
+/** Reads a policy file into a {@link PolicySource}, with the locations that later stages need for their errors. */
 final class PolicyReader {
   private final YamlTree tree;
 
@@ -23,7 +23,7 @@
     this.tree = tree;
   }
 
-  /** Throws {@link lemondeal.operator.FileFaults} with all that the schema finds. */
+  /** Throws {@link lemondeal.operator.InvalidFileException} with all violations of the schema. */
   static PolicySource read(Path file) {
     return new PolicyReader(new SchemaValidator("failover.schema.json").readTree(file)).readPolicy();
   }
@@ -36,7 +36,8 @@
         new PolicySource.BoundLocations(location("/headroom/"), location("/cross/zones/"), location("/cross/regions/"));
     return new PolicySource(root.get("fleet").asText(), root.get("policy").asLong(), location(""),
         root.path("headroom").asDouble(0), root.at("/cross/zones").asDouble(1), root.at("/cross/regions").asDouble(1),
-        boundLocations, priorityClasses, regions(root.get("regions")), zones(root.get("zones")), requirements(root.get("survive")));
+        boundLocations, priorityClasses, regions(root.get("regions")), zones(root.get("zones")),
+        requirements(root.get("survive")));
   }
 
   private SourceLocation location(String pointer) {
@@ -62,8 +63,8 @@
       String pointer = "/zones/" + YamlTree.escapePointer(entry.getKey());
       List<Step> servedBy = zone.has("served_by") ? steps(zone.get("served_by"), pointer + "/served_by") : null;
       zones.add(new Zone(entry.getKey(), zone.get("region").asText(), location(pointer + "/region"),
-          quantity(zone.get("demand"), pointer + "/demand/"), quantity(zone.get("capacity"), pointer + "/capacity/"), servedBy,
-          location(pointer + "/")));
+          quantity(zone.get("demand"), pointer + "/demand/"), quantity(zone.get("capacity"), pointer + "/capacity/"),
+          servedBy, location(pointer + "/")));
     }
     return zones;
   }
@@ -97,7 +98,8 @@
     }
     for (int i = 0; i < node.path("any").size(); i++) {
       JsonNode any = node.get("any").get(i);
-      requirements.add(new SurvivalRequirement(Kind.ANY, any.get("count").asInt(), names(any.path("of")), location("/survive/any/" + i)));
+      requirements.add(new SurvivalRequirement(Kind.ANY, any.get("count").asInt(), names(any.path("of")),
+          location("/survive/any/" + i)));
     }
     for (int i = 0; i < node.path("together").size(); i++) {
       List<String> names = names(node.get("together").get(i));
--- a/proxy/src/main/java/lemondeal/failover/SourceLocation.java
+++ b/proxy/src/main/java/lemondeal/failover/SourceLocation.java
@@ -3,7 +3,7 @@
 import lemondeal.operator.Fault;
 
 /**
- * Where in a policy's file something was said, so that a refusal can name the line that has to change.
+ * The position of a value in the policy file, so that an error can point to the line to change.
  *
  * @param line from 1
  * @param column from 1
--- a/proxy/src/main/java/lemondeal/operator/ConsulSection.java
+++ b/proxy/src/main/java/lemondeal/operator/ConsulSection.java
@@ -19,7 +19,7 @@
 import lemondeal.membership.ListGuard;
 import lemondeal.saved.ListFile;
 
-/** The section {@code discovery.consul}: what the schema can't say is checked here, and all of it becomes settings. */
+/** Reads the section {@code discovery.consul} into settings, and checks the rules that the schema cannot express. */
 final class ConsulSection {
   private static final String PATH = "discovery.consul";
   private static final long DEFAULT_WAIT_MILLIS = 30_000;
@@ -41,7 +41,7 @@
     this.faults = faults;
   }
 
-  /** One for each service that the section names. */
+  /** The settings of each service in the section. */
   List<OperatorConfig.ConsulService> services() {
     if (node.has("service") == node.has("services")) {
       faults.accept(PATH + ": found " + (node.has("service") ? "service and services" : "no service")
@@ -49,7 +49,8 @@
       return List.of();
     }
     if (node.has("service")) {
-      return List.of(new OperatorConfig.ConsulService(settings(node.get("service").asText(), text("filter"), false), List.of()));
+      return List.of(new OperatorConfig.ConsulService(settings(node.get("service").asText(), text("filter"), false),
+          List.of()));
     }
     List<OperatorConfig.ConsulService> services = new ArrayList<>();
     Set<String> seen = new HashSet<>();
@@ -58,15 +59,16 @@
       entry.get("classes").forEach(name -> classes.add(name.asText()));
       for (String name : classes) {
         if (!seen.add("class " + name)) {
-          faults.accept(PATH + ".services: class '" + name + "' stands twice; allowed: each class once");
+          faults.accept(PATH + ".services: class '" + name + "' is listed twice; allowed: each class once");
         }
       }
       String service = entry.get("service").asText();
       if (!seen.add("service " + service)) {
-        // A server's id is its node and service id: two sources must not list the same.
-        faults.accept(PATH + ".services: service '" + service + "' stands twice; allowed: each service once");
+        // A server's id is made of its node and service id, so two sources must not list the same instances.
+        faults.accept(PATH + ".services: service '" + service + "' is listed twice; allowed: each service once");
       }
-      services.add(new OperatorConfig.ConsulService(settings(service, entry.path("filter").asText(text("filter")), true), classes));
+      services.add(new OperatorConfig.ConsulService(
+          settings(service, entry.path("filter").asText(text("filter")), true), classes));
     }
     return services;
   }
@@ -81,12 +83,12 @@
         ConsulSettings.Consistency.valueOf(text("consistency").isEmpty() ? "DEFAULT"
             : text("consistency").toUpperCase(Locale.ROOT)), text("near"), filter, wait,
         node.has("token_file") ? TlsSection.resolveSibling(file, node.get("token_file").asText()) : null,
-        node.has("tls") ? TlsSection.read(node.get("tls"), file, PATH + ".tls", faults) : null, mapping(), damping(), guard(),
-        pollBackoff(), node.path("most_instances").asInt(DEFAULT_MAX_INSTANCES), node.path("most_bytes").asLong(DEFAULT_MAX_BYTES),
-        savedList(severalServices ? "." + service : ""));
+        node.has("tls") ? TlsSection.read(node.get("tls"), file, PATH + ".tls", faults) : null, mapping(), damping(),
+        guard(), pollBackoff(), node.path("most_instances").asInt(DEFAULT_MAX_INSTANCES),
+        node.path("most_bytes").asLong(DEFAULT_MAX_BYTES), savedList(severalServices ? "." + service : ""));
   }
 
-  /** What Consul would refuse with each call is refused here, at the start, with its place. */
+  /** Rejects at startup, with its location, a filter that Consul would reject on every call. */
   private void checkFilter(String filter) {
     if (!filter.isEmpty()) {
       try {
@@ -99,8 +101,10 @@
 
   private ListFile.Settings savedList(String suffix) {
     JsonNode saved = node.path("saved");
-    return saved.isMissingNode() ? null : new ListFile.Settings(TlsSection.resolveSibling(file, saved.get("file").asText() + suffix),
-        millis(saved, PATH + ".saved", "most_age", DEFAULT_SAVED_MAX_AGE_MILLIS), millis(saved, PATH + ".saved", "every", DEFAULT_SAVE_INTERVAL_MILLIS));
+    return saved.isMissingNode() ? null
+        : new ListFile.Settings(TlsSection.resolveSibling(file, saved.get("file").asText() + suffix),
+            millis(saved, PATH + ".saved", "most_age", DEFAULT_SAVED_MAX_AGE_MILLIS),
+            millis(saved, PATH + ".saved", "every", DEFAULT_SAVE_INTERVAL_MILLIS));
   }
 
   private List<InetSocketAddress> agents() {
@@ -123,22 +127,25 @@
     String address = node.path("address").asText("service");
     MemberMapping.AddressSource source = address.startsWith("tagged:") ? MemberMapping.AddressSource.TAGGED
         : MemberMapping.AddressSource.valueOf(address.toUpperCase(Locale.ROOT));
-    return new MemberMapping(source, source == MemberMapping.AddressSource.TAGGED ? address.substring("tagged:".length()) : null,
+    return new MemberMapping(source,
+        source == MemberMapping.AddressSource.TAGGED ? address.substring("tagged:".length()) : null,
         memberField("zone"), memberField("model"), memberField("cell"));
   }
 
   private MemberMapping.Field memberField(String key) {
     JsonNode field = node.path(key);
     return field.isMissingNode() ? null : new MemberMapping.Field(
-        MemberMapping.FieldLocation.valueOf(field.get("from").asText().toUpperCase(Locale.ROOT)), field.get("key").asText());
+        MemberMapping.FieldLocation.valueOf(field.get("from").asText().toUpperCase(Locale.ROOT)),
+        field.get("key").asText());
   }
 
   private Damping.Settings damping() {
     JsonNode damping = node.path("damping");
     Damping.Settings defaults = Damping.Settings.DEFAULT;
-    Damping.Settings settings = new Damping.Settings(millis(damping, PATH + ".damping", "quiet", defaults.initialQuiet()),
-        millis(damping, PATH + ".damping", "most", defaults.maxQuiet()),
-        millis(damping, PATH + ".damping", "forget", defaults.forgetFlapsAfter()));
+    Damping.Settings settings =
+        new Damping.Settings(millis(damping, PATH + ".damping", "quiet", defaults.initialQuiet()),
+            millis(damping, PATH + ".damping", "most", defaults.maxQuiet()),
+            millis(damping, PATH + ".damping", "forget", defaults.forgetFlapsAfter()));
     if (settings.maxQuiet() < settings.initialQuiet()) {
       faults.accept(PATH + ".damping.most: found " + settings.maxQuiet() + " ms; allowed: at least quiet, "
           + settings.initialQuiet() + " ms");
@@ -158,8 +165,10 @@
   private PollBackoff.Settings pollBackoff() {
     JsonNode pace = node.path("pace");
     PollBackoff.Settings defaults = PollBackoff.Settings.DEFAULT;
-    PollBackoff.Settings settings = new PollBackoff.Settings(millis(pace, PATH + ".pace", "least", defaults.minInterval()),
-        millis(pace, PATH + ".pace", "first", defaults.initialBackoff()), millis(pace, PATH + ".pace", "most", defaults.maxBackoff()));
+    PollBackoff.Settings settings =
+        new PollBackoff.Settings(millis(pace, PATH + ".pace", "least", defaults.minInterval()),
+            millis(pace, PATH + ".pace", "first", defaults.initialBackoff()),
+            millis(pace, PATH + ".pace", "most", defaults.maxBackoff()));
     if (settings.maxBackoff() < settings.initialBackoff()) {
       faults.accept(PATH + ".pace.most: found " + settings.maxBackoff() + " ms; allowed: at least first, "
           + settings.initialBackoff() + " ms");
--- a/proxy/src/main/java/lemondeal/operator/Durations.java
+++ b/proxy/src/main/java/lemondeal/operator/Durations.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 
-/** Times of the operator's file, such as {@code 250ms}, {@code 30s}, {@code 5m} or {@code 1h}: their form the schema checks. */
+/**
+ * Reads durations of the operator's file, such as {@code 250ms}, {@code 30s}, {@code 5m} or {@code 1h}. Their form is
+ * checked by the schema.
+ */
 final class Durations {
   private static final long SECOND_MILLIS = 1000;
   private static final long DAY_MILLIS = 24 * 3600 * SECOND_MILLIS;
@@ -11,10 +14,10 @@
   private Durations() {}
 
   /**
-   * Milliseconds of the key in this object, or {@code otherwise} where it is not there.
+   * The value of the key in milliseconds, or {@code defaultMillis} if the object does not have the key.
    *
-   * @param path of the object in the file, for a fault
-   * @param fault is told what is wrong, where anything is
+   * @param path of the object in the file, for messages
+   * @param faults receives a message if the value is not allowed
    */
   static long millis(JsonNode node, String path, String key, long defaultMillis, Consumer<String> faults) {
     if (!node.has(key)) {
--- a/proxy/src/main/java/lemondeal/operator/Fault.java
+++ b/proxy/src/main/java/lemondeal/operator/Fault.java
@@ -1,9 +1,9 @@
 package lemondeal.operator;
 
 /**
- * One fault of a file.
+ * A fault in a file.
  *
- * @param line from 1; 0 where the fault has no place in the file
+ * @param line from 1; 0 if the fault has no position in the file
  * @param column from 1
  */
 public record Fault(String file, int line, int column, String message) {
--- a/proxy/src/main/java/lemondeal/operator/FleetSection.java
+++ b/proxy/src/main/java/lemondeal/operator/FleetSection.java
@@ -12,7 +12,7 @@
 import lemondeal.fleet.FleetRoster;
 import lemondeal.fleet.FleetSettings;
 
-/** The section {@code fleet}: what the schema can't say is checked here, and all of it becomes settings. */
+/** Reads the section {@code fleet} into settings, and checks the rules that the schema cannot express. */
 final class FleetSection {
   private static final String POINTER = "/fleet";
 
@@ -30,7 +30,7 @@
     node = tree.root().get("fleet");
   }
 
-  /** Null where there are faults. */
+  /** The settings, or null if the section has faults. */
   OperatorConfig.Fleet fleet() {
     int faultsBefore = faults.size();
     long ttl = millis("life", FleetSettings.DEFAULT_TTL_MILLIS);
@@ -40,21 +40,24 @@
           + " ms, and " + FleetSettings.MIN_SENDS_PER_TTL + " times fleet.tell, " + sendInterval + " ms");
     }
     List<FleetRoster.Member> members = members();
-    InetSocketAddress listen = node.has("listen") ? address("/listen", "fleet.listen", node.get("listen").asText()) : null;
+    InetSocketAddress listen =
+        node.has("listen") ? address("/listen", "fleet.listen", node.get("listen").asText()) : null;
     String name = node.path("name").asText(null);
     if (name != null && members.stream().noneMatch(member -> member.name().equals(name))) {
       fault("/name", "fleet.name: found '" + name + "'; allowed: one of fleet.members");
     }
     return faults.size() > faultsBefore ? null : new OperatorConfig.Fleet(
-        new FleetSettings(name, new FleetRoster(members), listen, ttl, sendInterval), evacuation(), tree.fault(POINTER + "/", ""));
+        new FleetSettings(name, new FleetRoster(members), listen, ttl, sendInterval), evacuation(),
+        tree.fault(POINTER + "/", ""));
   }
 
   private OperatorConfig.Evacuation evacuation() {
     JsonNode section = node.path("evacuation");
-    // Paths are meant from where the file is.
+    // A relative path is resolved against the folder of the operator's file.
     Path stateFile = file.toAbsolutePath().resolveSibling(section.path("kept").asText());
     return section.isMissingNode() ? null
-        : new OperatorConfig.Evacuation(section.get("connections").asInt(), section.path("moves").asInt(DEFAULT_MOVES_PER_SECOND), stateFile);
+        : new OperatorConfig.Evacuation(section.get("connections").asInt(),
+            section.path("moves").asInt(DEFAULT_MOVES_PER_SECOND), stateFile);
   }
 
   private List<FleetRoster.Member> members() {
@@ -67,10 +70,11 @@
       String name = member.get("name").asText();
       InetSocketAddress address = address(pointer + "/address", path + ".address", member.get("address").asText());
       if (!names.add(name)) {
-        fault(pointer + "/name", path + ".name: '" + name + "' stands twice; allowed: each name once");
+        fault(pointer + "/name", path + ".name: '" + name + "' is listed twice; allowed: each name once");
       }
       if (address != null && !addresses.add(address)) {
-        fault(pointer + "/address", path + ".address: " + Addresses.format(address) + " stands twice; allowed: each address once");
+        fault(pointer + "/address",
+            path + ".address: " + Addresses.format(address) + " is listed twice; allowed: each address once");
       }
       members.add(new FleetRoster.Member(name, member.get("zone").asText(), address));
     }
--- a/proxy/src/main/java/lemondeal/operator/InvalidFileException.java
+++ b/proxy/src/main/java/lemondeal/operator/InvalidFileException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file that can't be used: all that is wrong with it, a line each. */
+/** A file is invalid. The message has a line for each fault. */
 public final class InvalidFileException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
--- a/proxy/src/main/java/lemondeal/operator/KeyFile.java
+++ b/proxy/src/main/java/lemondeal/operator/KeyFile.java
@@ -20,14 +20,14 @@
 import lemondeal.resume.Key;
 import lemondeal.resume.KeyRing;
 
-/** Keys in a file of their own, which nobody but its owner may read. Secrets are in no message. */
+/** Reads and writes the key file, which only its owner may read. Messages never contain secrets. */
 public final class KeyFile {
   private static final Set<PosixFilePermission> OWNER_ONLY =
       EnumSet.of(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE);
 
   private KeyFile() {}
 
-  /** Reads the keys; throws {@link FileFaults}, also where others can read the file. */
+  /** Reads the keys; throws {@link InvalidFileException}, also if other users can read the file. */
   public static KeyRing read(Path file) {
     requirePrivate(file);
     JsonNode root;
@@ -48,16 +48,18 @@
     }
   }
 
-  /** What was found may be a secret with one character wrong. */
+  /** Removes the value found from a message, since it may be a secret with one wrong character. */
   private static Fault withoutValue(Fault fault) {
-    return new Fault(fault.file(), fault.line(), fault.column(), fault.message().replaceAll("found .*; allowed", "allowed"));
+    return new Fault(fault.file(), fault.line(), fault.column(),
+        fault.message().replaceAll("found .*; allowed", "allowed"));
   }
 
   private static void requirePrivate(Path file) {
     try {
       Set<PosixFilePermission> permissions = Files.getPosixFilePermissions(file);
       if (!OWNER_ONLY.containsAll(permissions)) {
-        throw new InvalidFileException(file.toString(), "others than its owner may use it (" + PosixFilePermissions.toString(permissions)
+        throw new InvalidFileException(file.toString(),
+            "its permissions are too open (" + PosixFilePermissions.toString(permissions)
             + "); allowed: rw-------, or less");
       }
     } catch (IOException | UnsupportedOperationException e) {
@@ -65,16 +67,17 @@
     }
   }
 
-  /** A new secret under a new id, made now. */
+  /** Creates a key with a random secret and the current time. */
   public static Key newKey(String id) {
     byte[] secret = new byte[Key.SECRET_BYTES];
     new SecureRandom().nextBytes(secret);
     return new Key(id, Instant.now().truncatedTo(ChronoUnit.SECONDS), secret);
   }
 
-  /** Replaces the file in one step, so that a proxy that reads it meanwhile sees the one or the other. */
+  /** Replaces the file atomically, so that a proxy that reads it meanwhile gets the old or the new content. */
   public static void write(Path file, KeyRing ring) throws IOException {
-    StringBuilder text = new StringBuilder("# Written by 'lemondeal keys'. Secrets: nobody but the proxies may read this.\n");
+    StringBuilder text =
+        new StringBuilder("# Written by 'lemondeal keys'. Secrets: nobody but the proxies may read this.\n");
     text.append("present: ").append(quoted(ring.presentId())).append("\nkeys:\n");
     for (Key key : ring.keys()) {
       text.append("  - id: ").append(quoted(key.id()))
--- a/proxy/src/main/java/lemondeal/operator/OperatorConfig.java
+++ b/proxy/src/main/java/lemondeal/operator/OperatorConfig.java
@@ -14,16 +14,17 @@
 import lemondeal.resume.ResumeSettings;
 
 /**
- * The operator's own file, checked: what this installation wants beyond what the platform tells.
+ * The validated content of the operator's file: settings of this installation beyond those that the platform gives.
  *
- * @param jsonLog whether the log is one JSON object a line
- * @param ringsMb megabytes that ring buffers may take at most; 0 where the platform's bound holds
- * @param consul the services that list the servers in Consul; empty where they are not listed there
- * @param resume null where no client can resume
- * @param fleet null where the proxies tell each other nothing
+ * @param jsonLog whether the log has one JSON object per line
+ * @param ringBufferMegabytes the limit on the memory of ring buffers; 0 to use the platform's limit
+ * @param consulServices the services that list the servers in Consul; empty if Consul is not used
+ * @param resume null if clients cannot resume
+ * @param fleet null if the proxies do not communicate with each other
  */
-public record OperatorConfig(boolean jsonLog, int ringBufferMegabytes, List<ConsulService> consulServices, Resume resume, Fleet fleet) {
-  /** What an installation without such a file has. */
+public record OperatorConfig(boolean jsonLog, int ringBufferMegabytes, List<ConsulService> consulServices,
+    Resume resume, Fleet fleet) {
+  /** The settings without an operator's file. */
   public static final OperatorConfig NONE = new OperatorConfig(false, 0, List.of(), null, null);
 
   private static final long SECOND_MILLIS = 1000;
@@ -32,17 +33,17 @@
   private static final int DEFAULT_MAX_CLAIMS = 100_000;
 
   /**
-   * One service of Consul's.
+   * A service in Consul.
    *
-   * @param classes whose servers it lists; empty where it lists those of all classes
+   * @param classes the classes whose servers it lists; empty for all classes
    */
   public record ConsulService(ConsulSettings settings, List<String> classes) {}
 
   /**
    * The section {@code fleet}.
    *
-   * @param evacuation null where zones are not left together
-   * @param place where it stands in the file, for what is wrong with it beside the file's own rules
+   * @param evacuation null if the fleet does not evacuate zones
+   * @param location the position of the section, for faults that are found after the file was read
    */
   public record Fleet(FleetSettings settings, Evacuation evacuation, Fault location) {
     /** A fault of the section as a whole. */
@@ -52,30 +53,32 @@
   }
 
   /**
-   * The section {@code fleet.evacuation}: zones are left and returned to together.
+   * The section {@code fleet.evacuation}: the proxies evacuate failed zones, and return to them, in agreement.
    *
-   * @param connections that a zone's servers usually hold together: what a zone bears that returns is reckoned from it
-   * @param moves standing connections that leave a zone in a second, of all proxies together
-   * @param kept the file in which decisions are kept: a proxy that forgets them is not believed
+   * @param usualConnections how many connections the servers of a zone usually hold in total; the rate at which a zone
+   *     is filled again on return derives from it
+   * @param movesPerSecond how many established connections all proxies together move out of a zone per second
+   * @param stateFile the file in which decisions are saved; other proxies do not rely on the state of a proxy that has
+   *     lost its decisions
    */
   public record Evacuation(int usualConnections, int movesPerSecond, Path stateFile) {}
 
-  /** Where claims are made. */
+  /** Where claims are stored. */
   public enum ClaimStorage { MEMORY, DISK, FLEET }
 
   /**
    * The section {@code resume}.
    *
-   * @param keys the key file
-   * @param folder null unless claims are made on disk
-   * @param stores the addresses of one store shared by a fleet, tried in turn; empty unless claims are made there
-   * @param tls how the store is spoken to; null for plain text
-   * @param mostClaims sessions held in memory or on disk
+   * @param claimsFolder null unless claims are stored on disk
+   * @param storeAddresses the addresses of the store shared by the fleet, tried in turn; empty unless claims are stored
+   *     there
+   * @param tls TLS for connections to the store; null for plain text
+   * @param maxClaims the largest number of sessions held in memory or on disk
    */
-  public record Resume(ResumeSettings settings, Path keyFile, ClaimStorage claimStorage, Path claimsFolder, List<InetSocketAddress> storeAddresses,
-      TlsFiles tls, int maxClaims) {}
+  public record Resume(ResumeSettings settings, Path keyFile, ClaimStorage claimStorage, Path claimsFolder,
+      List<InetSocketAddress> storeAddresses, TlsFiles tls, int maxClaims) {}
 
-  /** Reads and checks the file; throws {@link FileFaults} with all that is wrong with it. */
+  /** Reads and validates the file; throws {@link InvalidFileException} with all its faults. */
   public static OperatorConfig read(Path file) {
     YamlTree tree = new SchemaValidator("operator.schema.json").readTree(file);
     JsonNode root = tree.root();
@@ -92,16 +95,17 @@
     return config;
   }
 
-  /** One section on its way to values: what a schema can't say is checked here. */
+  /** Reads the section {@code resume}, and checks the rules that the schema cannot express. */
   private record ResumeSection(Path file, JsonNode node, List<Fault> faults) {
 
     Resume resume() {
       JsonNode claims = node.path("claims");
-      ClaimStorage storage = ClaimStorage.valueOf(claims.path("in").asText("memory").toUpperCase(java.util.Locale.ROOT));
+      ClaimStorage storage =
+          ClaimStorage.valueOf(claims.path("in").asText("memory").toUpperCase(java.util.Locale.ROOT));
       checkPresence(claims, "folder", storage == ClaimStorage.DISK);
       checkPresence(claims, "store", storage == ClaimStorage.FLEET);
       if (claims.has("tls") && storage != ClaimStorage.FLEET) {
-        fault("resume.claims.tls: has no meaning with in: " + claims.path("in").asText("memory"));
+        fault("resume.claims.tls: is not allowed with in: " + claims.path("in").asText("memory"));
       }
       return new Resume(settings(), resolve(node.path("keys").asText()), storage,
           claims.has("folder") ? resolve(claims.get("folder").asText()) : null, storeAddresses(claims.path("store")),
@@ -134,13 +138,14 @@
       if (checkpoint >= life) {
         fault("resume.checkpoint: found " + checkpoint + " ms; allowed: less than resume.life, " + life + " ms");
       }
-      return new ResumeSettings(classes, life, millis("skew", 2 * SECOND_MILLIS), checkpoint, node.path("window").asInt(DEFAULT_WINDOW),
-          node.path("most").asInt(DEFAULT_MAX_CONNECTIONS), millis("lease", 10 * SECOND_MILLIS), millis("patience", 200), millis("retry", 500));
+      return new ResumeSettings(classes, life, millis("skew", 2 * SECOND_MILLIS), checkpoint,
+          node.path("window").asInt(DEFAULT_WINDOW), node.path("most").asInt(DEFAULT_MAX_CONNECTIONS),
+          millis("lease", 10 * SECOND_MILLIS), millis("patience", 200), millis("retry", 500));
     }
 
     private void checkPresence(JsonNode claims, String key, boolean required) {
       if (claims.has(key) != required) {
-        fault("resume.claims." + key + ": " + (required ? "is missing" : "has no meaning") + " with in: "
+        fault("resume.claims." + key + ": " + (required ? "is missing" : "is not allowed") + " with in: "
             + claims.path("in").asText("memory"));
       }
     }
@@ -149,7 +154,7 @@
       return Durations.millis(node, "resume", key, defaultMillis, this::fault);
     }
 
-    /** Paths are meant from where the file is. */
+    /** Resolves a relative path against the folder of the operator's file. */
     private Path resolve(String text) {
       return file.toAbsolutePath().resolveSibling(text);
     }
--- a/proxy/src/main/java/lemondeal/operator/SchemaValidator.java
+++ b/proxy/src/main/java/lemondeal/operator/SchemaValidator.java
@@ -16,8 +16,8 @@
 import java.util.TreeSet;
 
 /**
- * Holds a YAML file to a JSON Schema that ships with the program. Finds all faults at once and says of each where it is,
- * what was found and what is allowed; the last is the schema's own {@code description}.
+ * Validates a YAML file against a JSON Schema that ships with the program. Reports all faults at once, each with its
+ * location, the value found and what is allowed; the latter is the {@code description} in the schema.
  */
 public final class SchemaValidator {
   private static final int MAX_SHOWN_CHARACTERS = 60;
@@ -25,7 +25,7 @@
   private final JsonSchema schema;
   private final JsonNode schemaRoot;
 
-  /** {@code resource} is a schema's name beside this program's classes. */
+  /** @param resource the file name of the schema among the program's resources */
   public SchemaValidator(String resource) {
     try (InputStream in = SchemaValidator.class.getResourceAsStream("/lemondeal/" + resource)) {
       schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in);
@@ -35,12 +35,12 @@
     schemaRoot = schema.getSchemaNode();
   }
 
-  /** The file's content, or {@link FileFaults} with all that is wrong. */
+  /** The file's content; throws {@link InvalidFileException} with all its faults. */
   public JsonNode read(Path file) {
     return readTree(file).root();
   }
 
-  /** As {@link #read}, with the places, for faults that no schema can find. */
+  /** As {@link #read}, with positions for faults that the schema cannot find. */
   public YamlTree readTree(Path file) {
     YamlTree tree = YamlTree.read(file);
     List<Fault> faults = new ArrayList<>();
@@ -66,7 +66,8 @@
     String location = keyPath.isEmpty() ? "the file" : keyPath.toString();
     String key = message.getProperty();
     return switch (message.getType()) {
-      case "additionalProperties", "unevaluatedProperties" -> tree.fault(pointer + "/" + YamlTree.escapePointer(key) + "/",
+      case "additionalProperties", "unevaluatedProperties" -> tree.fault(
+          pointer + "/" + YamlTree.escapePointer(key) + "/",
           location + ": unknown key '" + key + "'; allowed: " + allowedKeys(schemaAt(path)));
       case "required" -> tree.fault(pointer.toString(), location + ": the key '" + key + "' is missing; allowed: "
           + description(propertySchema(schemaAt(path), key)));
@@ -79,7 +80,8 @@
     JsonNode node = resolveReference(schemaRoot);
     for (int i = 0; i < path.getNameCount(); i++) {
       Object element = path.getElement(i);
-      node = element instanceof Integer ? resolveReference(node.path("items")) : propertySchema(node, element.toString());
+      node = element instanceof Integer ? resolveReference(node.path("items"))
+          : propertySchema(node, element.toString());
     }
     return node;
   }
--- a/proxy/src/main/java/lemondeal/operator/TlsSection.java
+++ b/proxy/src/main/java/lemondeal/operator/TlsSection.java
@@ -5,25 +5,28 @@
 import java.util.function.Consumer;
 import lemondeal.config.TlsFiles;
 
-/** A section {@code tls} of the operator's file, wherever it stands; its keys the schema checks. */
+/** Reads a section {@code tls} of the operator's file. Its keys are checked by the schema. */
 final class TlsSection {
   private TlsSection() {}
 
   /**
-   * The files, meant from where the operator's file is.
+   * The files, with relative paths resolved against the folder of the operator's file.
    *
-   * @param path of the section in the file, for a fault
+   * @param path of the section, for messages
+   * @param faults receives a message for each fault
    */
   static TlsFiles read(JsonNode tls, Path file, String path, Consumer<String> faults) {
     if (tls.has("certificate") != tls.has("key")) {
-      faults.accept(path + ": certificate and key come together; found only " + (tls.has("key") ? "key" : "certificate"));
+      faults.accept(path + ": certificate and key must be given together; found only "
+          + (tls.has("key") ? "key" : "certificate"));
     }
     return new TlsFiles(resolveSibling(file, tls.get("authority").asText()),
         tls.has("certificate") ? resolveSibling(file, tls.get("certificate").asText()) : null,
-        tls.has("key") ? resolveSibling(file, tls.get("key").asText()) : null, tls.has("name") ? tls.get("name").asText() : null);
+        tls.has("key") ? resolveSibling(file, tls.get("key").asText()) : null,
+        tls.has("name") ? tls.get("name").asText() : null);
   }
 
-  /** A path meant from where the file is. */
+  /** Resolves a relative path against the folder of the file. */
   static Path resolveSibling(Path file, String path) {
     return file.toAbsolutePath().resolveSibling(path);
   }
--- a/proxy/src/main/java/lemondeal/operator/YamlTree.java
+++ b/proxy/src/main/java/lemondeal/operator/YamlTree.java
@@ -27,12 +27,12 @@
 import org.snakeyaml.engine.v2.nodes.Tag;
 
 /**
- * A YAML file as a tree in which every value knows its place. Jackson's own YAML reader was not taken, since its trees
- * have forgotten where they came from when a schema finds fault with them.
+ * A YAML file as a tree of JSON nodes, with the position of each value in the file. Jackson's YAML reader is not used,
+ * since its trees have no positions for the faults that the schema finds.
  */
 public final class YamlTree {
   private static final int MAX_BYTES = 1 << 20;
-  /** Guards against a few aliases that stand for billions of values. */
+  /** Guards against nested aliases that expand to billions of values. */
   private static final int MAX_VALUES = 20_000;
 
   private final String file;
@@ -45,7 +45,7 @@
     this.file = file;
   }
 
-  /** Throws {@link FileFaults} for a file that can't be read as YAML. */
+  /** Throws {@link InvalidFileException} for a file that cannot be read as YAML. */
   static YamlTree read(Path path) {
     YamlTree tree = new YamlTree(path.toString());
     try {
@@ -74,12 +74,15 @@
     }
   }
 
-  /** The file's content; null's node for an empty file. */
+  /** The file's content; a {@code NullNode} for an empty file. */
   public JsonNode root() {
     return root;
   }
 
-  /** A fault at the value that the JSON pointer names (at its key, with a '/' behind it), or at the nearest round it. */
+  /**
+   * A fault at the value that the JSON pointer refers to, or at its key if the pointer ends in '/'. If the file does
+   * not have it, at the nearest enclosing value.
+   */
   public Fault fault(String pointer, String message) {
     String nearest = pointer;
     while (!marks.containsKey(nearest) && !nearest.isEmpty()) {
@@ -89,7 +92,8 @@
   }
 
   private Fault fault(Mark mark, String message) {
-    return mark == null ? new Fault(file, 0, 0, message) : new Fault(file, mark.getLine() + 1, mark.getColumn() + 1, message);
+    return mark == null ? new Fault(file, 0, 0, message)
+        : new Fault(file, mark.getLine() + 1, mark.getColumn() + 1, message);
   }
 
   private JsonNode toJson(Node node, String pointer) {
@@ -115,12 +119,12 @@
     for (NodeTuple tuple : mapping.getValue()) {
       Mark mark = tuple.getKeyNode().getStartMark().orElse(null);
       if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
-        faults.add(fault(mark, "a key that is no plain word"));
+        faults.add(fault(mark, "a key must be a scalar"));
         continue;
       }
       String childPointer = pointer + "/" + escapePointer(key.getValue());
       if (object.has(key.getValue())) {
-        faults.add(fault(mark, "the key '" + key.getValue() + "' stands here twice"));
+        faults.add(fault(mark, "duplicate key '" + key.getValue() + "'"));
       }
       object.set(key.getValue(), toJson(tuple.getValueNode(), childPointer));
       if (mark != null) {
@@ -130,7 +134,7 @@
     return object;
   }
 
-  /** A JSON pointer's own two characters. */
+  /** Escapes the special characters of JSON pointers. */
   public static String escapePointer(String key) {
     return key.replace("~", "~0").replace("/", "~1");
   }
@@ -153,7 +157,7 @@
         return factory.numberNode(new BigDecimal(text));
       }
     } catch (NumberFormatException e) {
-      // ".inf" and the like: the schema will say that a text is not what is allowed.
+      // Such as ".inf": kept as text, which the schema then rejects.
       return factory.textNode(text);
     }
     return factory.textNode(text);
--- a/proxy/src/test/java/lemondeal/cli/CommandsTest.java
+++ b/proxy/src/test/java/lemondeal/cli/CommandsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line as scripts see it: what it says, where, and its exit codes. */
+/** The command line as scripts see it: output, error output and exit codes. */
 class CommandsTest {
   @TempDir
   Path folder;
@@ -74,7 +74,7 @@
     run("", "keys", "add", file, "--id", "b");
     assertEquals("a", KeyFile.read(file).presentId());
     run("", "keys", "use", file, "b");
-    assertEquals(2, run("", "keys", "drop", file, "b").code(), "the present key can't go");
+    assertEquals(2, run("", "keys", "drop", file, "b").code(), "the present key cannot be dropped");
     run("", "keys", "drop", file, "a");
     for (int i = 0; i < 4; i++) {
       run("", "keys", "rotate", file, "--id", "c" + i);
--- a/proxy/src/test/java/lemondeal/cli/CompilePolicyTest.java
+++ b/proxy/src/test/java/lemondeal/cli/CompilePolicyTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The one command of failover policies, as scripts see it. */
+/** The command {@code compile-policy} as scripts see it. */
 class CompilePolicyTest {
   private static final Path EXAMPLE = Path.of("../deploy/failover.example.yaml");
 
@@ -48,7 +48,8 @@
     Files.writeString(bad, Files.readString(EXAMPLE).replace("headroom: 0.1", "headroom: 0.5"));
     Path out = folder.resolve("plan");
     String errors = errorOutput(2, "compile-policy", bad.toString(), "--out", out.toString());
-    assertTrue(errors.startsWith("lemondeal: " + bad + ":58:7: if devonport and hobart fail, kingston and launceston bear "
+    assertTrue(errors.startsWith("lemondeal: " + bad
+        + ":58:7: if devonport and hobart fail, kingston and launceston serve "
         + "85 of 110"), errors);
     assertTrue(errors.lines().allMatch(line -> line.startsWith("lemondeal: " + bad + ":")), errors);
     assertFalse(Files.exists(out));
--- a/proxy/src/test/java/lemondeal/failover/BruteForceTest.java
+++ b/proxy/src/test/java/lemondeal/failover/BruteForceTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The compiler against brute force: what holds, what moves least, and the least change of what does not hold. */
+/** Compares the compiler with brute force: feasibility, the minimal moved load, and the least change if infeasible. */
 class BruteForceTest {
   private static final int[] CAPACITIES = {0, 1, 3};
 
@@ -32,7 +32,10 @@
     return cases.all().stream().filter(failure -> !instance.satisfiesGaleCondition(failure.failed())).toList();
   }
 
-  /** Solves, and holds verdict, plan and moves to brute force; returns whether it holds. */
+  /**
+   * Asserts that the compiler finds the same cases infeasible, and that a feasible plan can be encoded and decoded;
+   * returns whether the instance is feasible.
+   */
   private static boolean assertAgrees(SmallInstance instance, List<FailureCase> infeasible) {
     PolicyModel model = instance.model();
     FailureCases cases = instance.singleZoneCases();
@@ -46,7 +49,10 @@
     return true;
   }
 
-  /** In the normal case of these instances all stay at home or move; in a failure they move from there. */
+  /**
+   * Asserts that the load outside its own zone is minimal: in the normal case, and if all load is in its own zone
+   * there, also in each failure case.
+   */
   private static void assertMovesLeast(SmallInstance instance) {
     PolicyModel model = instance.model();
     FailureCases cases = instance.singleZoneCases();
@@ -65,7 +71,8 @@
   }
 
   /**
-   * Every instance of up to three zones with demands to 2 and capacities 0, 1, 3, once of those that differ by names.
+   * Every instance of up to three zones with demands up to 2 and capacities 0, 1 or 3; of instances that differ only
+   * by the order of the zones, one.
    */
   @Example
   void everySmallInstance() {
@@ -99,8 +106,9 @@
   }
 
   /**
-   * Every way to fill three regions, each helped by its own and the next one, with zones of demand 0 or 1 and capacity
-   * 0 to 2, once of those that differ by order: up to four zones, or -Dfailover.zones=8 (docs/FAILOVER-DESIGN.md).
+   * Every way to fill three regions, each helped by its own zones and the next region, with zones of demand 0 or 1 and
+   * capacity 0 to 2; of those that differ only by order, one. Up to four zones, or -Dfailover.zones=8
+   * (docs/FAILOVER-DESIGN.md).
    */
   @Example
   void everyRegionalInstance() {
@@ -108,7 +116,7 @@
     assertTrue(feasible > 100, feasible + " hold");
   }
 
-  /** A kind is a region times the four kinds of zones in it; kinds only grow. */
+  /** A kind encodes one of three regions and one of four pairs of demand and capacity; kinds ascend in an instance. */
   private static int countFeasible(List<Integer> kinds, int minKind, int maxZones) {
     int feasible = 0;
     if (!kinds.isEmpty()) {
@@ -116,7 +124,8 @@
       int[] helperMasks = new int[regions.length];
       for (int origin = 0; origin < regions.length; origin++) {
         for (int zone = 0; zone < regions.length; zone++) {
-          helperMasks[origin] |= regions[zone] == regions[origin] || regions[zone] == (regions[origin] + 1) % 3 ? 1 << zone : 0;
+          helperMasks[origin] |= regions[zone] == regions[origin] || regions[zone] == (regions[origin] + 1) % 3
+              ? 1 << zone : 0;
         }
       }
       SmallInstance instance = new SmallInstance(kinds.stream().mapToInt(kind -> kind % 4 == 0 ? 0 : 1).toArray(),
@@ -150,19 +159,20 @@
     int extraCapacity = 1 + random.nextInt(6);
     return new SmallInstance(random.ints(zoneCount, 0, 4).toArray(),
         random.ints(zoneCount, 0, 4 + extraCapacity).toArray(), random.ints(zoneCount, 0, 3).toArray(),
-        random.ints(zoneCount, 0, 1 << zoneCount).map(bits -> bits | random.nextInt(1 << zoneCount)).toArray(), zoneShare,
-        regionShare);
+        random.ints(zoneCount, 0, 1 << zoneCount).map(bits -> bits | random.nextInt(1 << zoneCount)).toArray(),
+        zoneShare, regionShare);
   }
 
   @Property(tries = 250, seed = "1")
   void randomInstancesOfUpToEightZones(@ForAll long seed) {
     SmallInstance instance = randomInstance(new Random(seed), 8, 1, 1);
-    if (assertAgrees(instance, infeasibleCases(instance, instance.singleZoneCases())) && instance.demand().length <= 5) {
+    if (assertAgrees(instance, infeasibleCases(instance, instance.singleZoneCases()))
+        && instance.demand().length <= 5) {
       assertMovesLeast(instance);
     }
   }
 
-  /** With a bound on crossings of zones or of regions, held to the whole flow that crosses least. */
+  /** With a limit on zone or region crossings, compared with the integer flow that crosses least. */
   @Property(tries = 300, seed = "2")
   void crossingBoundsAgreeWithBruteForce(@ForAll long seed) {
     Random random = new Random(seed);
@@ -171,7 +181,8 @@
     int totalDemand = Arrays.stream(unbounded.demand()).sum();
     int maxCrossing = totalDemand == 0 ? 0 : random.nextInt(totalDemand + 1);
     double share = totalDemand == 0 ? 1 : (double) maxCrossing / totalDemand;
-    SmallInstance instance = new SmallInstance(unbounded.demand(), unbounded.capacity(), unbounded.region(), unbounded.helperMasks(),
+    SmallInstance instance =
+        new SmallInstance(unbounded.demand(), unbounded.capacity(), unbounded.region(), unbounded.helperMasks(),
         boundZones ? share : 1, boundZones ? 1 : share);
     int[][] cost = costMatrix(instance, (origin, zone) -> boundZones ? origin.equals(zone) ? 0 : 1
         : instance.region()[origin] == instance.region()[zone] ? 0 : 1);
@@ -185,13 +196,14 @@
     assertAgrees(instance, infeasible);
   }
 
-  /** The least change makes all cases hold, and a little less of it does not. */
+  /** The least change makes all cases feasible, and a slightly smaller one does not. */
   @Property(tries = 150, seed = "3")
   void leastChangeIsSufficientAndMinimal(@ForAll long seed) {
     Random random = new Random(seed);
     double headroom = random.nextInt(3) * 0.2;
     SmallInstance instance = randomInstance(random, 6, 1 - random.nextInt(3) * 0.3, 1 - random.nextInt(3) * 0.3);
-    PolicyModel model = withChange(instance.model(), new LeastChange.Change(new double[instance.demand().length], headroom,
+    PolicyModel model = withChange(instance.model(),
+        new LeastChange.Change(new double[instance.demand().length], headroom,
         instance.maxCrossZoneShare(), instance.maxCrossRegionShare()));
     FailureCases cases = instance.singleZoneCases();
     LeastChange leastChange = new LeastChange(model, cases.all());
@@ -201,7 +213,8 @@
     LeastChange.Change unchanged = new LeastChange.Change(new double[instance.demand().length], headroom,
         model.maxCrossZoneShare(), model.maxCrossRegionShare());
     int found = 0;
-    for (var change : List.of(leastChange.moreCapacity(), leastChange.lessHeadroom(), leastChange.moreCrossing(), leastChange.moreCapacityAndCrossing())) {
+    for (var change : List.of(leastChange.moreCapacity(), leastChange.lessHeadroom(), leastChange.moreCrossing(),
+        leastChange.moreCapacityAndCrossing())) {
       if (change.isPresent()) {
         found++;
         assertTrue(isFeasible(withChange(model, change.get()), cases), () -> instance + " " + change);
@@ -214,8 +227,10 @@
     assertTrue(hasOriginWithoutHelpers || found > 0, () -> "no change for " + instance);
   }
 
-  private static LeastChange.Change smallerChange(LeastChange.Change change, LeastChange.Change unchanged, double capacityMargin) {
-    double[] capacity = Arrays.stream(change.addedCapacity()).map(added -> Math.max(0, added - capacityMargin)).toArray();
+  private static LeastChange.Change smallerChange(LeastChange.Change change, LeastChange.Change unchanged,
+      double capacityMargin) {
+    double[] capacity = Arrays.stream(change.addedCapacity()).map(added -> Math.max(0, added - capacityMargin))
+        .toArray();
     return new LeastChange.Change(capacity, Math.min(unchanged.headroom(), change.headroom() + 2e-4),
         Math.max(unchanged.maxCrossZoneShare(), change.maxCrossZoneShare() - 2e-4),
         Math.max(unchanged.maxCrossRegionShare(), change.maxCrossRegionShare() - 2e-4));
@@ -228,8 +243,8 @@
       zones.add(new PolicyModel.Zone(zone.name(), zone.regionName(), zone.regionIndex(), zone.demand(),
           zone.capacity() + change.addedCapacity()[i], zone.helpers(), zone.location(), zone.capacityLocation()));
     }
-    return new PolicyModel(model.fleet(), model.version(), change.headroom(), change.maxCrossZoneShare(), change.maxCrossRegionShare(),
-        model.boundLocations(), model.priorityClasses(), zones);
+    return new PolicyModel(model.fleet(), model.version(), change.headroom(), change.maxCrossZoneShare(),
+        change.maxCrossRegionShare(), model.boundLocations(), model.priorityClasses(), zones);
   }
 
   private static boolean isFeasible(PolicyModel model, FailureCases cases) {
--- a/proxy/src/test/java/lemondeal/failover/LargePolicyTest.java
+++ b/proxy/src/test/java/lemondeal/failover/LargePolicyTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Forty zones of which any two may fail: 821 cases. Bounded far above what is measured (docs/FAILOVER-DESIGN.md). */
+/** Any two of forty zones may fail: 821 cases. The timeout is far above measured times (docs/FAILOVER-DESIGN.md). */
 class LargePolicyTest {
   @TempDir
   Path folder;
 
-  /** @param factor capacity to demand; at 1.2 two lost zones often do not fit without moving others */
+  /** @param capacityFactor capacity over demand; at 1.2 two lost zones often fit only if other load moves, too */
   static PolicyFileBuilder fortyZones(double capacityFactor) {
     PolicyFileBuilder policy = new PolicyFileBuilder();
     Random random = new Random(40);
--- a/proxy/src/test/java/lemondeal/failover/PlanActivationTest.java
+++ b/proxy/src/test/java/lemondeal/failover/PlanActivationTest.java
@@ -15,16 +15,17 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Which bytes are a plan, which plan a proxy places by, and what holds of one once zones bear less. */
+/** Rejection of invalid plans, activation by a majority, and the check of a plan against measured capacity. */
 class PlanActivationTest {
   private static final Set<String> MEMBERS = Set.of("a", "b", "c", "d", "e");
 
   private static Plan plan(String fleet, long version, int weightToY) {
     List<Plan.Zone> zones = List.of(new Plan.Zone("x", "r", 40_000, 60_000), new Plan.Zone("y", "r", 30_000, 100_000),
         new Plan.Zone("z", "s", 0, 100_000));
-    List<List<Plan.Weight>> normalWeights = List.of(List.of(new Plan.Weight(0, 10_000)), List.of(new Plan.Weight(1, 10_000)),
-        List.of());
-    List<List<Plan.Weight>> weightsWithoutX = List.of(List.of(new Plan.Weight(1, weightToY), new Plan.Weight(2, 10_000 - weightToY)),
+    List<List<Plan.Weight>> normalWeights =
+        List.of(List.of(new Plan.Weight(0, 10_000)), List.of(new Plan.Weight(1, 10_000)), List.of());
+    List<List<Plan.Weight>> weightsWithoutX =
+        List.of(List.of(new Plan.Weight(1, weightToY), new Plan.Weight(2, 10_000 - weightToY)),
         normalWeights.get(1), normalWeights.get(2));
     return new Plan(fleet, version, 0.1, List.of("order-sync"), zones,
         List.of(new Plan.Case(List.of(), normalWeights), new Plan.Case(List.of(0), weightsWithoutX)));
@@ -65,7 +66,8 @@
   void majorityOfAllMembersActivatesThePlan() {
     Plan oldPlan = plan("f", 1, 5000);
     Plan newPlan = plan("f", 2, 6000);
-    PlanActivation activation = new PlanActivation("f", MEMBERS, Optional.of(oldPlan), Optional.empty()).receive(PlanCodec.encode(newPlan));
+    PlanActivation activation =
+        new PlanActivation("f", MEMBERS, Optional.of(oldPlan), Optional.empty()).receive(PlanCodec.encode(newPlan));
     String digest = PlanCodec.digest(newPlan);
     assertEquals(Optional.of(digest), activation.newestDigest());
     Map<String, String> digests = new HashMap<>(Map.of("a", digest, "b", digest, "stranger", digest, "other", digest,
@@ -76,7 +78,8 @@
   }
 
   /**
-   * Two plans of which each waits for a majority: never do two proxies that heard truly place by different new ones.
+   * Members hold two different new plans. Whichever digests each of them receives, no two of them activate different
+   * new plans.
    */
   @Property(tries = 300, seed = "5")
   void neverTwoDifferentNewPlansActive(@ForAll long seed) {
@@ -84,7 +87,8 @@
     Map<String, PlanActivation> activationByMember = new HashMap<>();
     Map<String, String> digests = new HashMap<>();
     for (String member : MEMBERS) {
-      PlanActivation activation = PlanActivation.initial("f", MEMBERS).receive(PlanCodec.encode(plan("f", 2, random.nextBoolean() ? 1 : 2)));
+      PlanActivation activation =
+          PlanActivation.initial("f", MEMBERS).receive(PlanCodec.encode(plan("f", 2, random.nextBoolean() ? 1 : 2)));
       activationByMember.put(member, activation);
       digests.put(member, activation.newestDigest().orElseThrow());
     }
@@ -100,12 +104,13 @@
   void lowerCapacityIsReportedBeforeTheFailure() {
     Plan plan = plan("f", 1, 8000);
     assertEquals(List.of(), PlanCapacityCheck.overloadedCases(plan, Map.of("y", Double.NaN, "x", -3.0)));
-    // 30 of its own and 32 of 40 from x come to 62; 60 less a tenth is 54.
+    // Its own 30 plus 32 of the 40 from x are 62; a capacity of 60 less a tenth of headroom is 54.
     List<PlanCapacityCheck.OverloadedCase> overloaded = PlanCapacityCheck.overloadedCases(plan, Map.of("y", 60.0));
-    assertEquals("if x fails, y bears 54 of 62", overloaded.get(0).describe());
+    assertEquals("if x fails, y can serve 54 of 62", overloaded.get(0).describe());
     assertEquals(1, overloaded.size());
     Plan.Case scaled = PlanCapacityCheck.scaledToCapacity(plan, plan.cases().get(1), Map.of("y", 60.0));
-    assertTrue(plan.loads(scaled)[1] <= 54L * 1000 * Plan.FULL_WEIGHT && plan.loads(scaled)[1] > 53_900L * Plan.FULL_WEIGHT);
+    assertTrue(plan.loads(scaled)[1] <= 54L * 1000 * Plan.FULL_WEIGHT
+        && plan.loads(scaled)[1] > 53_900L * Plan.FULL_WEIGHT);
     assertEquals(plan.weights(plan.cases().get(1), "x").get("z"), plan.weights(scaled, "x").get("z"));
   }
 }
--- a/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
+++ b/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
@@ -15,13 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a plan says for a failure, and which files are none. */
+/** The weights of compiled plans, and the errors of invalid or infeasible policies. */
 class PolicyCompilerTest {
   @TempDir
   Path folder;
 
   private static PolicyFileBuilder threeZones() {
-    PolicyFileBuilder policy = new PolicyFileBuilder().zone("hobart", "south", 40, 50, "").zone("launceston", "north", 30, 60, "")
+    PolicyFileBuilder policy =
+        new PolicyFileBuilder().zone("hobart", "south", 40, 50, "").zone("launceston", "north", 30, 60, "")
         .zone("devonport", "north", 20, 60, "");
     return policy.set(policy.regions, "south", "{helped_by: [{north: 1}]}")
         .set(policy.regions, "north", "{helped_by: [{south: 1}]}").set(policy.survive, "any_zone", true);
@@ -33,7 +34,8 @@
 
   private List<String> faults(String text) throws IOException {
     Path file = Files.writeString(folder.resolve("bad.yaml"), text);
-    return assertThrows(InvalidFileException.class, () -> PolicyCompiler.compile(file, Measurements.NONE)).getMessage().lines()
+    return assertThrows(InvalidFileException.class, () -> PolicyCompiler.compile(file, Measurements.NONE)).getMessage()
+        .lines()
         .map(line -> line.substring(line.indexOf("bad.yaml"))).toList();
   }
 
@@ -55,13 +57,13 @@
     Plan plan = threeZones().compile(folder);
     assertEquals(Map.of("devonport", 5000, "launceston", 5000), weights(plan, "hobart", "hobart"));
     assertEquals(Map.of("launceston", 10_000), weights(plan, "launceston", "hobart"));
-    // Its own region goes first, as far as it can bear it.
+    // Its own region is preferred as long as its capacity suffices.
     assertEquals(Map.of("devonport", 10_000), weights(plan, "launceston", "launceston"));
   }
 
   @Test
   void otherLoadMovesOnlyWhereNothingElseFits() throws IOException {
-    // a can go to b alone, which is full of its own, a part of which c can take.
+    // The load of a can only move to b, which is full of its own load, part of which c can take.
     PolicyFileBuilder policy = new PolicyFileBuilder().zone("a", "r", 6, 6, ", served_by: [{a: 1}, {b: 1}]")
         .zone("b", "r", 6, 8, ", served_by: [{b: 1}, {c: 1}]").zone("c", "r", 0, 6, ", served_by: [{c: 1}]");
     Plan plan = policy.set(policy.survive, "together", "[[a]]").compile(folder);
@@ -78,7 +80,7 @@
     }
   }
 
-  /** Also where much is tied: equal zones and weights, bounds met to the last digit, others that must make room. */
+  /** With many ties: equal zones and weights, bounds that are met exactly, and other load that must move. */
   @Test
   void outputIsDeterministicWithTies() throws IOException {
     int feasible = 0;
@@ -109,9 +111,10 @@
     assertTrue(feasible > 10 && feasible < 60, feasible + " of 60 hold");
   }
 
-  /** The sums of the issue: what the two that are left can bear. */
+  /** Without hobart, the remaining two zones serve 84 of 97. */
   private static PolicyFileBuilder tightPolicy() {
-    PolicyFileBuilder policy = new PolicyFileBuilder().zone("hobart", "south", 40, 60, "").zone("launceston", "north", 30, 40, "")
+    PolicyFileBuilder policy =
+        new PolicyFileBuilder().zone("hobart", "south", 40, 60, "").zone("launceston", "north", 30, 40, "")
         .zone("devonport", "north", 27, 44, "");
     return policy.set(policy.regions, "south", "{helped_by: [{north: 1}]}")
         .set(policy.regions, "north", "{helped_by: [{south: 1}]}").set(policy.survive, "together", "[[hobart]]");
@@ -120,9 +123,9 @@
   @Test
   void infeasiblePolicyReportsSumsAndLeastChange() throws IOException {
     List<String> faults = faults(tightPolicy());
-    assertTrue(faults.get(0).contains(": if hobart fails, devonport and launceston bear 84 of 97 (the demand of "
+    assertTrue(faults.get(0).contains(": if hobart fails, devonport and launceston serve 84 of 97 (the demand of "
         + "devonport, hobart and launceston); binding: capacity of devonport (44 usable of 44, line "), faults.get(0));
-    // Sorted by name, devonport takes what either could.
+    // Either zone could grow; devonport is first by name.
     assertTrue(faults.get(1).endsWith(": the least change: zones.devonport.capacity 57 instead of 44"), faults.get(1));
     assertEquals(2, faults.size(), faults::toString);
     tightPolicy().zone("devonport", "north", 27, 57, "").compile(folder);
@@ -134,15 +137,15 @@
     PolicyFileBuilder policy = tightPolicy();
     policy.zone("devonport", "north", 27, 60, "").set(policy.top, "headroom", 0.1);
     List<String> faults = faults(policy);
-    assertTrue(faults.get(0).contains("bear 90 of 97"), faults.get(0));
+    assertTrue(faults.get(0).contains("serve 90 of 97"), faults.get(0));
     assertTrue(faults.get(2).endsWith(": or: headroom 0.03 instead of 0.1"), faults.get(2));
     policy.set(policy.top, "headroom", 0.03).compile(folder);
     faults(policy.set(policy.top, "headroom", 0.0302));
 
     policy.set(policy.top, "headroom", 0).set(policy.top, "cross", "{regions: 0.4}");
     faults = faults(policy);
-    // Hobart's 40 of 97 must cross; 38.8 may.
-    assertTrue(faults.get(0).contains("devonport and launceston bear 38.8 of 40 (the demand of hobart); binding: "
+    // Hobart's 40 of 97 must cross regions; 0.4 of 97, 38.8, may.
+    assertTrue(faults.get(0).contains("devonport and launceston serve 38.8 of 40 (the demand of hobart); binding: "
         + "cross.regions (0.4, line "), faults.get(0));
     assertTrue(faults.get(1).contains("cross.regions 0.4124 instead of 0.4"), faults.get(1));
     policy.set(policy.top, "cross", "{regions: 0.4124}").compile(folder);
@@ -154,7 +157,7 @@
     PolicyFileBuilder policy = threeZones();
     policy.set(policy.regions, "south", "{}");
     List<String> faults = faults(policy);
-    assertTrue(faults.get(0).contains("if hobart fails, nobody may help: 0 of 40 (the demand of hobart)"),
+    assertTrue(faults.get(0).contains("if hobart fails, no zone may serve: 0 of 40 (the demand of hobart)"),
         faults.get(0));
     assertTrue(faults.get(1).contains("the least change: a zone that may serve hobart if hobart fails"), faults.get(1));
   }
@@ -167,7 +170,7 @@
     assertEquals(Map.of("spare", 5000, "hobart", 5000), weights(plan, "edge"));
     assertEquals(Map.of("spare", 10_000), weights(plan, "spare"));
     assertEquals(Map.of("hobart", 10_000), weights(plan, "spare", "spare"));
-    // No demand and nobody left: nothing, rather than a refusal.
+    // An origin without demand and without helpers gets no weights rather than an error.
     policy.set(policy.survive, "together", "[[hobart, spare, edge]]").set(policy.regions, "south", "{}");
     policy.zone("hobart", "south", 0, 0, "").zone("edge", "south", 0, 0, "");
     assertEquals(Map.of(), weights(policy.compile(folder), "spare", "edge", "hobart", "spare"));
@@ -180,7 +183,7 @@
     Plan plan = policy.set(policy.survive, "any_zone", true).compile(folder);
     assertEquals(Map.of("a", 10_000), weights(plan, "c", "c"));
     List<String> faults = faults(policy.set(policy.survive, "any", "[{count: 2}]"));
-    assertTrue(faults.get(0).contains("if a and b fail, nobody may help: 0 of 4 (the demand of a)"), faults.get(0));
+    assertTrue(faults.get(0).contains("if a and b fail, no zone may serve: 0 of 4 (the demand of a)"), faults.get(0));
   }
 
   @Test
@@ -210,11 +213,11 @@
           any_zone: true
         """);
     assertEquals(List.of(
-        "bad.yaml:5:20: regions.r.helped_by: 'r' is to help itself",
-        "bad.yaml:6:3: regions.empty: no zone is in it",
-        "bad.yaml:8:56: zones.a.served_by: the weights of this step sum to nothing; one must be above 0",
-        "bad.yaml:8:71: zones.a.served_by: nothing is called 'nobody'; allowed: a, b",
-        "bad.yaml:9:15: zones.b.region: no region is called 'nowhere'; allowed: empty, r"), faults);
+        "bad.yaml:5:20: regions.r.helped_by: 'r' cannot help itself",
+        "bad.yaml:6:3: regions.empty: the region has no zone",
+        "bad.yaml:8:56: zones.a.served_by: all weights of this step are 0; at least one must be above 0",
+        "bad.yaml:8:71: zones.a.served_by: unknown name 'nobody'; allowed: a, b",
+        "bad.yaml:9:15: zones.b.region: unknown region 'nowhere'; allowed: empty, r"), faults);
     PolicyFileBuilder policy = threeZones();
     assertTrue(faults(policy.set(policy.survive, "any", "[{count: 4}]")).get(0).contains("4 of 3 zones"));
     assertTrue(faults(policy.set(policy.survive, "any", "[{count: 1, of: [x]}]")).get(0).contains("called 'x'"));
--- a/proxy/src/test/java/lemondeal/failover/PolicyFileBuilder.java
+++ b/proxy/src/test/java/lemondeal/failover/PolicyFileBuilder.java
@@ -10,14 +10,14 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A policy's file, put together by tests: its parts can be written in any order, and changed. */
+/** Builds policy files for tests; the parts can be changed, and are written in any order. */
 final class PolicyFileBuilder {
   final Map<String, String> top = new TreeMap<>(Map.of("version", "1", "fleet", "f", "policy", "1"));
   final Map<String, String> regions = new TreeMap<>();
   final Map<String, String> zones = new TreeMap<>();
   final Map<String, String> survive = new TreeMap<>();
 
-  /** @param rest what stands behind demand and capacity, such as {@code , served_by: [...]}, or nothing */
+  /** @param extraKeys text after demand and capacity, such as {@code , served_by: [...]}, or empty */
   PolicyFileBuilder zone(String name, String region, Object demand, Object capacity, String extraKeys) {
     regions.putIfAbsent(region, "{}");
     zones.put(name, "{region: " + region + ", demand: " + demand + ", capacity: " + capacity + extraKeys + "}");
--- a/proxy/src/test/java/lemondeal/failover/SmallInstance.java
+++ b/proxy/src/test/java/lemondeal/failover/SmallInstance.java
@@ -7,12 +7,13 @@
 import lemondeal.failover.PolicyModel.Helper;
 
 /**
- * A small case in whole numbers, and what brute force says of it: Gale's condition over every set of origins, and every
- * whole-numbered flow. Bounds that are whole make flows with at most one bound on crossings whole at their best.
+ * A small policy with integer numbers that brute force can solve: by Gale's condition over every set of origins, and by
+ * every integer flow. With integer bounds and at most one limit on crossings, some optimal flow is integer.
  *
- * @param helps who may serve whom: helps[o] has the zones beside itself, as bits
+ * @param helperMasks by origin the zones that may serve it beside itself, as a bit mask
  */
-record SmallInstance(int[] demand, int[] capacity, int[] region, int[] helperMasks, double maxCrossZoneShare, double maxCrossRegionShare) {
+record SmallInstance(int[] demand, int[] capacity, int[] region, int[] helperMasks, double maxCrossZoneShare,
+    double maxCrossRegionShare) {
   static final SourceLocation LOCATION = new SourceLocation("f", 1, 1);
 
   SmallInstance(int[] demand, int[] capacity, int[] helperMasks) {
@@ -25,25 +26,25 @@
       int origin = zone;
       List<Helper> helpers = IntStream.range(0, demand.length).filter(helperZone -> mayServe(origin, helperZone))
           .mapToObj(helperZone -> new Helper(helperZone, helperZone == origin ? 0 : 1, 1)).toList();
-      zones.add(new PolicyModel.Zone("z" + zone, "r" + region[zone], region[zone], demand[zone], capacity[zone], helpers, LOCATION,
-          LOCATION));
+      zones.add(new PolicyModel.Zone("z" + zone, "r" + region[zone], region[zone], demand[zone], capacity[zone],
+          helpers, LOCATION, LOCATION));
     }
-    return new PolicyModel("f", 1, 0, maxCrossZoneShare, maxCrossRegionShare, new PolicySource.BoundLocations(LOCATION, LOCATION, LOCATION), List.of(),
-        zones);
+    return new PolicyModel("f", 1, 0, maxCrossZoneShare, maxCrossRegionShare,
+        new PolicySource.BoundLocations(LOCATION, LOCATION, LOCATION), List.of(), zones);
   }
 
   boolean mayServe(int origin, int zone) {
     return zone == origin || (helperMasks[origin] >> zone & 1) == 1;
   }
 
-  /** The normal case and each zone alone. */
+  /** The normal case and the failure of each single zone. */
   FailureCases singleZoneCases() {
     List<FailureCase> cases = new ArrayList<>(List.of(new FailureCase(List.of(), "", LOCATION)));
     IntStream.range(0, demand.length).forEach(zone -> cases.add(new FailureCase(List.of(zone), "", LOCATION)));
     return new FailureCases(cases);
   }
 
-  /** Whether every set of origins finds enough capacity among the zones that may serve it: crossings unbounded. */
+  /** Whether every set of origins has enough capacity in the zones that may serve it, without limits on crossings. */
   boolean satisfiesGaleCondition(List<Integer> failed) {
     int zoneCount = demand.length;
     for (int originSet = 1; originSet < 1 << zoneCount; originSet++) {
@@ -59,7 +60,7 @@
       for (int zone = 0; zone < zoneCount; zone++) {
         reachableCapacity += (reachableZones >> zone & 1) == 1 && !failed.contains(zone) ? capacity[zone] : 0;
       }
-      // An origin without demand adds nothing to be served.
+      // A set without demand is always served.
       if (demandOfSet > reachableCapacity) {
         return false;
       }
@@ -67,7 +68,7 @@
     return true;
   }
 
-  /** Of all whole flows of a case, the least cost by origin and zone; -1 where there is none. */
+  /** The minimum cost of all integer flows of a case, with costs by origin and zone; -1 if there is no flow. */
   int minimumCost(List<Integer> failed, int[][] cost) {
     int[] freeCapacity = capacity.clone();
     failed.forEach(zone -> freeCapacity[zone] = 0);
@@ -81,7 +82,8 @@
     }
     if (demandLeft == 0) {
       int nextOrigin = origin + 1;
-      return search(nextOrigin, 0, nextOrigin < demand.length ? demand[nextOrigin] : 0, freeCapacity, cost, costSoFar, best);
+      return search(nextOrigin, 0, nextOrigin < demand.length ? demand[nextOrigin] : 0, freeCapacity, cost, costSoFar,
+          best);
     }
     if (zone == demand.length || costSoFar >= best) {
       return best;
@@ -90,7 +92,8 @@
     int bestFound = best;
     for (int load = maxLoad; load >= 0; load--) {
       freeCapacity[zone] -= load;
-      bestFound = search(origin, zone + 1, demandLeft - load, freeCapacity, cost, costSoFar + load * cost[origin][zone], bestFound);
+      bestFound = search(origin, zone + 1, demandLeft - load, freeCapacity, cost,
+          costSoFar + load * cost[origin][zone], bestFound);
       freeCapacity[zone] += load;
     }
     return bestFound;
--- a/proxy/src/test/java/lemondeal/operator/OperatorConfigTest.java
+++ b/proxy/src/test/java/lemondeal/operator/OperatorConfigTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operator's own file and the key file: what is taken, and what is said of what is not. */
+/** Valid and invalid operator's files and key files, with the faults that are reported. */
 class OperatorConfigTest {
   @TempDir
   Path folder;
@@ -36,8 +36,9 @@
     Path example = Path.of("../deploy/operator.example.yaml");
     OperatorConfig config = OperatorConfig.read(example);
     assertTrue(config.jsonLog());
-    OperatorConfig minimal = OperatorConfig.read(file("version: 1\nresume: {classes: [order-sync], keys: keys.yaml}\n"));
-    assertEquals(minimal.resume().settings(), config.resume().settings(), "the example shows what holds without it");
+    OperatorConfig minimal =
+        OperatorConfig.read(file("version: 1\nresume: {classes: [order-sync], keys: keys.yaml}\n"));
+    assertEquals(minimal.resume().settings(), config.resume().settings(), "the example shows the defaults");
     assertEquals(OperatorConfig.ClaimStorage.MEMORY, minimal.resume().claimStorage());
     assertEquals(folder.resolve("keys.yaml"), minimal.resume().keyFile());
     assertFalse(minimal.jsonLog());
@@ -78,8 +79,9 @@
   @Test
   void rulesBeyondTheSchemaAreChecked() throws IOException {
     String start = "version: 1\nresume:\n  classes: [a]\n  keys: k\n";
-    assertEquals(List.of("0:0 resume.claims.folder: is missing with in: disk"), faults(start + "  claims: {in: disk}\n"));
-    assertEquals(List.of("0:0 resume.claims.store: has no meaning with in: memory"),
+    assertEquals(List.of("0:0 resume.claims.folder: is missing with in: disk"),
+        faults(start + "  claims: {in: disk}\n"));
+    assertEquals(List.of("0:0 resume.claims.store: is not allowed with in: memory"),
         faults(start + "  claims: {in: memory, store: '1.2.3.4:5'}\n"));
     assertEquals(List.of("0:0 resume.checkpoint: found 60000 ms; allowed: less than resume.life, 60000 ms"),
         faults(start + "  checkpoint: 60s\n"));
@@ -103,9 +105,9 @@
     assertEquals(2, several.resume().storeAddresses().size());
     assertEquals(new lemondeal.config.TlsFiles(folder.resolve("ca.pem"), folder.resolve("proxy.pem"),
         folder.resolve("proxy.key"), "claims.example"), several.resume().tls());
-    assertEquals(List.of("0:0 resume.claims.tls: certificate and key come together; found only certificate"),
+    assertEquals(List.of("0:0 resume.claims.tls: certificate and key must be given together; found only certificate"),
         faults(start + "  claims: {in: fleet, store: '1.2.3.4:5', tls: {authority: a, certificate: c}}\n"));
-    assertEquals(List.of("0:0 resume.claims.tls: has no meaning with in: memory"),
+    assertEquals(List.of("0:0 resume.claims.tls: is not allowed with in: memory"),
         faults(start + "  claims: {in: memory, tls: {authority: a}}\n"));
     assertTrue(faults(start + "  claims: {in: fleet, store: []}\n").get(0).contains("resume.claims.store"));
     assertTrue(faults(start + "  claims: {in: fleet, store: ['1.2.3.4:5', there]}\n").get(0)
@@ -141,7 +143,8 @@
     assertEquals("consul.example", consul.tls().name());
     assertEquals(lemondeal.consul.MemberMapping.AddressSource.TAGGED, consul.mapping().address());
     assertEquals("lan_ipv4", consul.mapping().taggedName());
-    assertEquals(new lemondeal.consul.MemberMapping.Field(lemondeal.consul.MemberMapping.FieldLocation.TAG, "cell="), consul.mapping().cell());
+    assertEquals(new lemondeal.consul.MemberMapping.Field(lemondeal.consul.MemberMapping.FieldLocation.TAG, "cell="),
+        consul.mapping().cell());
     assertEquals(new lemondeal.membership.Damping.Settings(3_000, 90_000, 300_000), consul.damping());
     assertEquals(0.3, consul.guard().maxLostShare());
     assertTrue(consul.guard().acceptEmpty());
@@ -153,9 +156,12 @@
         faults(start + "    agents: ['1.2.3.4:8500']\n    wait: 20m\n"));
     assertEquals(List.of("0:0 discovery.consul.damping.most: found 1000 ms; allowed: at least quiet, 5000 ms"),
         faults(start + "    agents: ['1.2.3.4:8500']\n    damping: {quiet: 5s, most: 1s}\n"));
-    assertTrue(faults(start + "    agents: ['1.2.3.4:8500']\n    address: dns\n").get(0).contains("service, node, or tagged:NAME"));
-    assertTrue(faults("version: 1\ndiscovery:\n  consul:\n    agents: []\n").get(0).contains("discovery.consul.agents"));
-    assertEquals(List.of("0:0 discovery.consul: found no service; allowed: service, or services with the classes of each"),
+    assertTrue(faults(start + "    agents: ['1.2.3.4:8500']\n    address: dns\n").get(0)
+        .contains("service, node, or tagged:NAME"));
+    assertTrue(faults("version: 1\ndiscovery:\n  consul:\n    agents: []\n").get(0)
+        .contains("discovery.consul.agents"));
+    assertEquals(List.of(
+        "0:0 discovery.consul: found no service; allowed: service, or services with the classes of each"),
         faults("version: 1\ndiscovery:\n  consul:\n    agents: ['1.2.3.4:8500']\n"));
     assertEquals(List.of("0:0 discovery.consul.filter: column 14: found 'equals'; allowed: "
         + "'not', 'in', 'is', 'contains', 'matches', '==', '!='"),
@@ -177,15 +183,15 @@
     assertEquals("Service.Port != 7", config.consulServices().get(1).settings().filter());
     assertEquals(new lemondeal.saved.ListFile.Settings(folder.resolve("last.list.feed"), 7_200_000, 1_000),
         config.consulServices().get(1).settings().savedList());
-    assertEquals(List.of("0:0 discovery.consul.services: class 'a' stands twice; allowed: each class once",
-        "0:0 discovery.consul.services: service 'x' stands twice; allowed: each service once"),
+    assertEquals(List.of("0:0 discovery.consul.services: class 'a' is listed twice; allowed: each class once",
+        "0:0 discovery.consul.services: service 'x' is listed twice; allowed: each service once"),
         faults(start + "    services: [{service: x, classes: [a]}, {service: x, classes: [a]}]\n"));
   }
 
   @Test
   void invalidYamlIsReportedWithItsLocation() throws IOException {
-    assertEquals(List.of("2:1 the key 'version' stands here twice"), faults("version: 1\nversion: 1\n"));
-    assertTrue(faults("version: [1\nlog: {").get(0).startsWith("2:"), "place of the mistake");
+    assertEquals(List.of("2:1 duplicate key 'version'"), faults("version: 1\nversion: 1\n"));
+    assertTrue(faults("version: [1\nlog: {").get(0).startsWith("2:"), "location of the syntax error");
     assertTrue(faults("").get(0).contains("found null"));
     StringBuilder bomb = new StringBuilder("a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n");
     for (int i = 1; i < 5; i++) {
@@ -194,7 +200,7 @@
     assertTrue(faults(bomb.toString()).get(0).contains("more than 20000 values"));
   }
 
-  /** Whatever stands in the file: faults or a configuration, and never anything else. */
+  /** Any content gives either a configuration or faults, and never another exception. */
   @Test
   void garbageIsReportedAsFaults() throws IOException {
     Random random = new Random(41);
@@ -226,14 +232,14 @@
       assertEquals(ring.keys().get(i).createdAt(), read.keys().get(i).createdAt());
     }
     KeyFile.write(file, ring.withPresentKey("b_2"));
-    assertEquals("b_2", KeyFile.read(file).presentId(), "replaced as a whole");
+    assertEquals("b_2", KeyFile.read(file).presentId(), "the file is replaced");
     for (String permissions : List.of("rw-r-----", "rw----r--", "rwx------")) {
       Files.setPosixFilePermissions(file, PosixFilePermissions.fromString(permissions));
       assertTrue(assertThrows(InvalidFileException.class, () -> KeyFile.read(file)).getMessage().contains(permissions));
     }
   }
 
-  /** A secret with one wrong character is nearly one. */
+  /** A secret with one wrong character still discloses the rest of it. */
   @Test
   void faultsOfAKeyFileShowNoSecret() throws IOException {
     Path file = folder.resolve("keys.yaml");
@@ -261,7 +267,8 @@
     assertEquals(200, fleet.settings().sendIntervalMillis());
     assertEquals("b", fleet.settings().roster().member("p-2").zone());
     assertTrue(fleet.fault("refused").toString().endsWith("operator.yaml:2:1: refused"), fleet.fault("").toString());
-    OperatorConfig.Fleet other = OperatorConfig.read(file(FLEET + "  name: p-2\n  listen: 127.0.0.1:7900\n  life: 9s\n  tell: 1s\n")).fleet();
+    OperatorConfig.Fleet other =
+        OperatorConfig.read(file(FLEET + "  name: p-2\n  listen: 127.0.0.1:7900\n  life: 9s\n  tell: 1s\n")).fleet();
     assertEquals("p-2", other.settings().name());
     assertEquals(7900, other.settings().listen().getPort());
     assertEquals(9_000, other.settings().ttlMillis());
@@ -274,14 +281,16 @@
         faults(FLEET + "  life: 1s\n"));
     assertEquals(List.of("3:3 fleet.life: found 2000 ms; allowed: at least 1500 ms, and 5 times fleet.tell, 500 ms"),
         faults(FLEET + "  tell: 500ms\n"));
-    assertEquals(List.of("6:9 fleet.name: found 'p-3'; allowed: one of fleet.members"), faults(FLEET + "  name: p-3\n"));
-    assertEquals(List.of("5:14 fleet.members[1].name: 'p-1' stands twice; allowed: each name once"),
+    assertEquals(List.of("6:9 fleet.name: found 'p-3'; allowed: one of fleet.members"),
+        faults(FLEET + "  name: p-3\n"));
+    assertEquals(List.of("5:14 fleet.members[1].name: 'p-1' is listed twice; allowed: each name once"),
         faults(FLEET.replace("name: p-2", "name: p-1")));
-    assertEquals(List.of("5:37 fleet.members[1].address: 127.0.0.1:7801 stands twice; allowed: each address once"),
+    assertEquals(List.of("5:37 fleet.members[1].address: 127.0.0.1:7801 is listed twice; allowed: each address once"),
         faults(FLEET.replace("7802", "7801")));
     assertEquals(List.of("5:37 fleet.members[1].address: found [::1]:7802; allowed: a numeric IPv4 address:port"),
         faults(FLEET.replace("127.0.0.1:7802", "[::1]:7802")));
-    assertEquals(List.of("6:11 fleet.listen: 'here:1' is no numeric address:port"), faults(FLEET + "  listen: here:1\n"));
+    assertEquals(List.of("6:11 fleet.listen: 'here:1' is no numeric address:port"),
+        faults(FLEET + "  listen: here:1\n"));
     assertEquals(1, faults(FLEET.replace("zone: b, ", "")).size());
     assertEquals(1, faults("version: 1\nfleet: {members: [{name: a, zone: a, address: \"127.0.0.1:1\"}]}\n").size());
   }
