--- a/proxy/src/main/java/lemondeal/cli/CheckConfig.java
+++ b/proxy/src/main/java/lemondeal/cli/CheckConfig.java
@@ -23,9 +23,9 @@
 
   @Override
   public Integer call() {
-    OperatorConfig operator = OperatorConfig.read(file);
-    if (operator.resume() != null) {
-      KeyFile.read(operator.resume().keyFile());
+    OperatorConfig config = OperatorConfig.read(file);
+    if (config.resume() != null) {
+      KeyFile.read(config.resume().keyFile());
     }
     spec.commandLine().getOut().println(file + ": valid");
     return CommandLine.ExitCode.OK;
--- a/proxy/src/main/java/lemondeal/failover/FailureCaseEnumerator.java
+++ b/proxy/src/main/java/lemondeal/failover/FailureCaseEnumerator.java
@@ -117,7 +117,7 @@
       if (zoneIndexes.containsKey(name)) {
         zones.add(zoneIndexes.get(name));
       } else {
-        faults.add(requirement.location().fault("survive: no zone is called '" + name + "'"));
+        faults.add(requirement.location().fault("survive: unknown zone '" + name + "'"));
       }
     }
     return new ArrayList<>(zones);
--- a/proxy/src/main/java/lemondeal/failover/LinearProgram.java
+++ b/proxy/src/main/java/lemondeal/failover/LinearProgram.java
@@ -106,10 +106,10 @@
     List<Constraint> equal = constraints.stream().filter(constraint -> constraint.equality).toList();
     List<Constraint> bounded = constraints.stream().filter(constraint -> !constraint.equality).toList();
     if (!equal.isEmpty()) {
-      builder.equalities(coefficients(equal), upperBounds(equal));
+      builder.equalities(coefficients(equal), boundVector(equal));
     }
     if (!bounded.isEmpty()) {
-      builder.inequalities(coefficients(bounded), upperBounds(bounded));
+      builder.inequalities(coefficients(bounded), boundVector(bounded));
     }
     return builder.build().solve();
   }
@@ -124,7 +124,7 @@
     return matrix;
   }
 
-  private static R064Store upperBounds(List<Constraint> selected) {
+  private static R064Store boundVector(List<Constraint> selected) {
     R064Store vector = R064Store.FACTORY.make(selected.size(), 1);
     for (int i = 0; i < selected.size(); i++) {
       vector.set(i, 0, selected.get(i).bound);
--- a/proxy/src/main/java/lemondeal/failover/Plan.java
+++ b/proxy/src/main/java/lemondeal/failover/Plan.java
@@ -28,7 +28,7 @@
    */
   public record Zone(String name, String region, long demandMilli, long capacityMilli) {}
 
-  /** A zone that serves an origin, and its weight, 1 to {@link #WHOLE}. */
+  /** A zone that serves an origin, and its weight, 1 to {@link #FULL_WEIGHT}. */
   public record Weight(int zone, int weight) {}
 
   /**
--- a/proxy/src/main/java/lemondeal/failover/PlanActivation.java
+++ b/proxy/src/main/java/lemondeal/failover/PlanActivation.java
@@ -40,8 +40,7 @@
     }
     if (newest.isPresent() && newest.get().version() >= plan.version()) {
       throw new PlanRejectedException(PlanRejectedException.Reason.OLDER,
-          "its version is " + plan.version() + "; held: "
-          + newest.get().version());
+          "its version is " + plan.version() + "; held: " + newest.get().version());
     }
     return new PlanActivation(fleet, members, active, Optional.of(plan));
   }
--- a/proxy/src/test/java/lemondeal/failover/BruteForceTest.java
+++ b/proxy/src/test/java/lemondeal/failover/BruteForceTest.java
@@ -113,7 +113,7 @@
   @Example
   void everyRegionalInstance() {
     int feasible = countFeasible(new ArrayList<>(), 0, Integer.getInteger("failover.zones", 4));
-    assertTrue(feasible > 100, feasible + " hold");
+    assertTrue(feasible > 100, feasible + " feasible");
   }
 
   /** A kind encodes one of three regions and one of four pairs of demand and capacity; kinds ascend in an instance. */
--- a/proxy/src/test/java/lemondeal/failover/PlanActivationTest.java
+++ b/proxy/src/test/java/lemondeal/failover/PlanActivationTest.java
@@ -42,7 +42,7 @@
     PlanActivation activation = PlanActivation.initial("f", MEMBERS);
     for (int length = 0; length < bytes.length; length++) {
       byte[] truncated = Arrays.copyOf(bytes, length);
-      assertThrows(PlanRejectedException.class, () -> activation.receive(truncated), "cut to " + length);
+      assertThrows(PlanRejectedException.class, () -> activation.receive(truncated), "truncated to " + length);
     }
     for (int i = 0; i < bytes.length; i++) {
       byte[] changed = bytes.clone();
--- a/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
+++ b/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
@@ -220,7 +220,7 @@
         "bad.yaml:9:15: zones.b.region: unknown region 'nowhere'; allowed: empty, r"), faults);
     PolicyFileBuilder policy = threeZones();
     assertTrue(faults(policy.set(policy.survive, "any", "[{count: 4}]")).get(0).contains("4 of 3 zones"));
-    assertTrue(faults(policy.set(policy.survive, "any", "[{count: 1, of: [x]}]")).get(0).contains("called 'x'"));
+    assertTrue(faults(policy.set(policy.survive, "any", "[{count: 1, of: [x]}]")).get(0).contains("unknown zone 'x'"));
     policy.zone("hobart", "south", 1.2345, 50, "");
     assertTrue(faults(policy).get(0).contains("zones.hobart.demand: found 1.2345; allowed: a number from 0"));
   }
