--- a/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
+++ b/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
@@ -108,7 +108,7 @@
       }
       feasible += results[0].length() == 64 ? 1 : 0;
     }
-    assertTrue(feasible > 10 && feasible < 60, feasible + " of 60 hold");
+    assertTrue(feasible > 10 && feasible < 60, feasible + " of 60 feasible");
   }
 
   /** Without hobart, the remaining two zones serve 84 of 97. */
