--- a/lab/src/main/antlr4/lemondeal/lab/experiment/ExperimentGrammar.g4
+++ b/lab/src/main/antlr4/lemondeal/lab/experiment/ExperimentGrammar.g4
@@ -1,4 +1,4 @@
-// Faults and conditions of an experiment's file: 'at 12s slow 3 of large by 4 for 10s', 'served of lemondeal >= 0.8'.
+// The grammar of faults and conditions in an experiment's file: 'at 12s slow 3 of large by 4 for 10s', 'served of lemondeal >= 0.8'.
 grammar ExperimentGrammar;
 
 fault : AT TIME what (FOR TIME)? EOF ;
@@ -22,7 +22,7 @@
      | name (OF name)? (TIMES NUMBER)? # figure
      ;
 
-// Words of the language are names, too, where a name must stand: a fleet may be called "store".
+// Keywords are also valid as names where a name is expected, so a server pool can be called "store".
 name : WORD | STORE | CLIENTS | ZONE | SLOW | ALL ;
 
 AT : 'at' ;
--- a/lab/src/main/java/lemondeal/lab/emulator/Breach.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Breach.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A rule that was broken.
+ * A breach of a rule.
  *
  * @param rule the rule's name
- * @param at microseconds on the run's clock
- * @param subject the request or server that it happened to
- * @param what happened
- * @param before the last events of the subject, oldest first
+ * @param time microseconds on the run's clock
+ * @param subject the request, server or proxy concerned
+ * @param what what happened
+ * @param recentEvents the most recent events of the subject, oldest first
  */
 public record Breach(String rule, long time, String subject, String what, List<String> recentEvents) {
   @Override
--- a/lab/src/main/java/lemondeal/lab/emulator/Checker.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Checker.java
@@ -3,11 +3,11 @@
 import java.util.function.BiConsumer;
 import lemondeal.Balancer.ServerList;
 
-/** One rule. Hears what happens and tells each breach; knows nothing of how the policy decides. */
+/** Checks one rule: receives a run's events and reports each breach. Independent of how the policy decides. */
 abstract class Checker {
   private BiConsumer<String, String> breachHandler;
 
-  /** @param breach takes the subject and what happened */
+  /** @param handler receives the subject and a description of the breach */
   final void setBreachHandler(BiConsumer<String, String> handler) {
     breachHandler = handler;
   }
--- a/lab/src/main/java/lemondeal/lab/emulator/Client.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Client.java
@@ -1,12 +1,12 @@
 package lemondeal.lab.emulator;
 
 /**
- * A client that wants a connection from its arrival until its life is over, whatever becomes of it meanwhile: refused,
- * failed, moved or broken off, it comes again through the front until its time is over or it gives up. Its pauses double
- * with each try that brought nothing; advice to come later is followed where it is longer than the pause.
+ * A client that wants a connection from its arrival until the end of its lifetime. After a refusal, a failure, a move
+ * or a broken connection it retries through the front end balancer until its lifetime ends or it gives up. The retry
+ * delay doubles with each rejection in a row (exponential backoff); a longer retry-after time of the proxy takes
+ * precedence.
  */
 final class Client {
-  /** What has become of it. */
   enum State { AWAY, WAITING, CONNECTED, GONE }
 
   private final Simulation simulation;
@@ -43,7 +43,7 @@
     return classIndex;
   }
 
-  /** Below 0 where it is alone. */
+  /** Below 0 for a client without a group. */
   int group() {
     return group;
   }
@@ -56,7 +56,7 @@
     return key;
   }
 
-  /** Its usual load. */
+  /** The client's mean load, around which a connection's load varies. */
   double load() {
     return load;
   }
@@ -85,7 +85,7 @@
     return simulation.scenario().classes().get(classIndex);
   }
 
-  /** Comes to the front: asks a proxy for a connection, or tries later where there is none. */
+  /** Requests a connection through the front end balancer; retries later if no proxy is available. */
   void requestConnection() {
     if (state != State.AWAY) {
       return;
@@ -99,7 +99,7 @@
     simulation.frontEnd().forward(this, requestId, simulation.scheduler().now() + clientClass().deadline());
   }
 
-  /** Served: the connection stands until one side ends it. */
+  /** The connection is established, and lasts until one side closes it. */
   void connectionEstablished(Connection newConnection, long setUpTime) {
     state = State.CONNECTED;
     connection = newConnection;
@@ -117,12 +117,13 @@
 
   private void scheduleLoadChange(Connection current) {
     if (clientClass().loadChangeInterval() > 0) {
-      nextLoadChange = simulation.scheduler().after((long) (clientClass().loadChangeInterval() * simulation.nextLoadChangeGap()), () -> {
-        if (!current.isEnded()) {
-          current.setLoad(load * simulation.nextLoadFactor(classIndex));
-          scheduleLoadChange(current);
-        }
-      });
+      nextLoadChange = simulation.scheduler().after(
+          (long) (clientClass().loadChangeInterval() * simulation.nextLoadChangeGap()), () -> {
+            if (!current.isEnded()) {
+              current.setLoad(load * simulation.nextLoadFactor(classIndex));
+              scheduleLoadChange(current);
+            }
+          });
     }
   }
 
@@ -133,7 +134,7 @@
     }
   }
 
-  /** Refused or failed; {@code advice} is when to come again, 0 where nothing was said. */
+  /** The request was refused or failed; {@code retryAfter} is the proxy's advice, 0 if it gave none. */
   void rejected(long retryAfter) {
     state = State.AWAY;
     Scenario.FrontEnd frontEnd = simulation.scenario().frontEnd();
@@ -143,16 +144,19 @@
       return;
     }
     long delay = Math.min(frontEnd.maxRetryDelay(), frontEnd.retryDelay() << Math.min(20, rejections - 1));
-    simulation.scheduler().after(Math.max(retryAfter, (long) (delay * (0.5 + simulation.nextRetryJitter()))), this::requestConnection);
+    simulation.scheduler().after(Math.max(retryAfter, (long) (delay * (0.5 + simulation.nextRetryJitter()))),
+        this::requestConnection);
   }
 
-  /** Moved, or broken off: comes again soon, and says so. */
+  /** The connection was moved or broken: the client reconnects soon, and its request is marked as a return. */
   void connectionLost() {
     cancelLoadChange();
     connection = null;
     reconnecting = true;
     state = State.AWAY;
-    simulation.scheduler().after((long) (simulation.scenario().frontEnd().reconnectDelay() * (0.5 + simulation.nextRetryJitter())), this::requestConnection);
+    simulation.scheduler().after(
+        (long) (simulation.scenario().frontEnd().reconnectDelay() * (0.5 + simulation.nextRetryJitter())),
+        this::requestConnection);
   }
 
   private void leave() {
--- a/lab/src/main/java/lemondeal/lab/emulator/Connection.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Connection.java
@@ -1,6 +1,6 @@
 package lemondeal.lab.emulator;
 
-/** A client's connection through a proxy to a server, from its {@code UP} to its end. */
+/** A client's connection through a proxy to a server, from the server's {@code UP} to the connection's end. */
 final class Connection {
   private final Client client;
   private final String requestId;
--- a/lab/src/main/java/lemondeal/lab/emulator/DiscoveryService.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/DiscoveryService.java
@@ -12,9 +12,9 @@
 import lemondeal.Balancer.ServerState;
 
 /**
- * Discovery as one service: calls are worked off one after the other at a fixed rate and fail when they have waited too
- * long; changes are told to whoever watches, late. It knows processes that run, drain or are gone, and nothing of their
- * health.
+ * Discovery as a single service: processes calls in order at a fixed rate, fails a call whose wait would exceed the
+ * timeout, and sends changes to its watchers after a delay. It knows which processes run, drain or are gone, but
+ * nothing about their health.
  */
 final class DiscoveryService {
   private final Simulation simulation;
@@ -28,7 +28,7 @@
     this.simulation = simulation;
   }
 
-  /** Takes in a server that has been there for long: nobody is told a change. */
+  /** Adds a server that runs from the start, without publishing a change. */
   void addInitial(Server server) {
     entries.put(server.name(), entry(server, ServerState.READY));
   }
@@ -38,7 +38,7 @@
         server.pool().weight());
   }
 
-  /** Takes a server in as it is to be told from now on, and tells it after its delay. */
+  /** Updates the list with a server's state at once, and sends the change to the watchers after the delay. */
   void publish(Server server, ServerState state) {
     ServerEntry entry = entry(server, state);
     if (state == ServerState.GONE) {
@@ -59,12 +59,12 @@
     });
   }
 
-  /** The whole list as it stands. */
+  /** The complete list in its present state. */
   ServerList currentList(ListKind kind) {
     return new ServerList(version, kind, new ArrayList<>(entries.values()));
   }
 
-  /** Down: watches end, and calls fail after their patience. */
+  /** While discovery is unavailable, watches are closed and calls fail after their timeout. */
   void setUnavailable(boolean nowUnavailable) {
     unavailable = nowUnavailable;
     if (nowUnavailable) {
@@ -89,7 +89,7 @@
     }
   }
 
-  /** A call for the list; a watch goes on with what changes. */
+  /** Requests the complete list; with {@code watch}, the proxy receives changes afterwards. */
   void requestList(ProxyNode proxy, boolean watch) {
     Scenario.Discovery settings = simulation.scenario().discovery();
     long now = simulation.scheduler().now();
--- a/lab/src/main/java/lemondeal/lab/emulator/EventScheduler.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/EventScheduler.java
@@ -3,13 +3,13 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time and what happens in it: events in order of time, those of one instant in the order in which they were
- * planned. Times are whole microseconds from 0. Nothing reads a real clock, so that the same plans happen the same way on
- * any machine. One thread's.
+ * Event queue and virtual clock: runs events in order of time, and events of the same time in the order in which they
+ * were scheduled. Times are whole microseconds from 0. No real clock is read, so that a run is repeatable on any
+ * machine. Used by one thread.
  */
 public final class EventScheduler {
 
-  /** An event that may be called off until it happens, also at the very instant that it would. */
+  /** An event that can be cancelled until it runs, even at its own time. */
   public static final class ScheduledEvent implements Comparable<ScheduledEvent> {
     private final long time;
     private final long sequence;
@@ -21,7 +21,7 @@
       this.task = task;
     }
 
-    /** Calls it off; after it has happened that does nothing. */
+    /** Cancels the event; has no effect once it has run. */
     public void cancel() {
       task = null;
     }
@@ -37,29 +37,29 @@
   private long scheduledCount;
   private long executedCount;
 
-  /** Microseconds since the beginning. */
+  /** Microseconds since the start of the run. */
   public long now() {
     return now;
   }
 
-  /** Events that have happened so far. */
+  /** Number of events that have run. */
   public long executedCount() {
     return executedCount;
   }
 
-  /** Plans an event at this time, or now where that has passed. */
+  /** Schedules an event at a time, or now if that time has passed. */
   public ScheduledEvent at(long time, Runnable task) {
     ScheduledEvent event = new ScheduledEvent(Math.max(now, time), scheduledCount++, task);
     queue.add(event);
     return event;
   }
 
-  /** Plans an event so many microseconds from now. */
+  /** Schedules an event after a delay in microseconds. */
   public ScheduledEvent after(long delay, Runnable task) {
     return at(now + Math.max(0, delay), task);
   }
 
-  /** Lets everything happen up to and with this time, and makes it the present. */
+  /** Runs all events up to and including this time, and sets the clock to it. */
   public void runUntil(long time) {
     for (ScheduledEvent next = queue.peek(); next != null && next.time <= time; next = queue.peek()) {
       queue.poll();
--- a/lab/src/main/java/lemondeal/lab/emulator/EventTrace.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/EventTrace.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What happened lately, for a breach's report, and a digest of all that happened, by which two runs are told alike. The
- * digest is FNV-1a over the times and words of every event that is noted.
+ * The recent events of a run, for the reports of breaches, and a digest of all events, by which two runs can be
+ * compared. The digest is FNV-1a over the time, subject and text of every recorded event.
  */
 public final class EventTrace {
   private static final int MAX_KEPT = 4096;
@@ -20,7 +20,7 @@
     this.scheduler = scheduler;
   }
 
-  /** Notes an event of this subject, such as a request's id or a server's name. */
+  /** Records an event of a subject, such as a request's id or a server's name. */
   void recordEvent(String subject, String text) {
     addToDigest(scheduler.now());
     addToDigest(subject);
@@ -43,12 +43,12 @@
     }
   }
 
-  /** The same for two runs in which the same things happened at the same times. */
+  /** Equal for two runs with the same events at the same times. */
   public long digest() {
     return digest;
   }
 
-  /** The last events of this subject, oldest first. */
+  /** The most recent events of this subject, oldest first. */
   List<String> recentEvents(String subject) {
     List<String> found = new ArrayList<>();
     for (String event : recentEvents) {
--- a/lab/src/main/java/lemondeal/lab/emulator/Fault.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Fault.java
@@ -1,36 +1,36 @@
 package lemondeal.lab.emulator;
 
 /**
- * One thing that goes wrong, as an experiment's file says it: at a time, what, to how many of whom, for how long.
+ * A fault of an experiment's file: its time, kind, targets and duration.
  *
- * @param at microseconds from the beginning
- * @param kind what happens
- * @param count how many it happens to; 0 for all of them, or where it has no meaning
- * @param whom a fleet's name, {@code servers}, {@code proxies} or {@code clients}; empty where it has no meaning
- * @param factor how many times slower, or more; the zone's number for a cut; 1 where it has no meaning
- * @param length microseconds after which it is over; 0 for never
+ * @param startTime microseconds since the start of the run
+ * @param kind the kind of fault
+ * @param count number of targets; 0 for all of them, or if the kind has no targets
+ * @param target name of a server pool, {@code servers}, {@code proxies} or {@code clients}; empty if the kind has none
+ * @param factor slowdown; the zone's index for a cut; the share of the clients for a reconnect; 1 if the kind has none
+ * @param duration microseconds until the fault ends; 0 for never
  */
 public record Fault(long startTime, Kind kind, int count, String target, double factor, long duration) {
 
-  /** What can happen. */
+  /** The kinds of faults. */
   public enum Kind {
-    /** Servers work so many times slower. */
+    /** Servers work slower by the factor. */
     SLOW,
-    /** Servers take work and answer nothing. */
+    /** Servers accept work and do not answer. */
     HANG,
-    /** Servers or proxies die; those that come back after a while are cold and know nothing. */
+    /** Servers or proxies crash; those that restart after the duration are cold and have lost their state. */
     KILL,
-    /** Servers drain: discovery tells it, and after a while they are gone for good. */
+    /** Servers drain: discovery publishes it, and after the drain time they are removed for good. */
     DRAIN,
-    /** Servers are replaced, one after the other over the time: each drains while a new one starts, cold. */
+    /** Servers are replaced one after the other over the duration: each drains while a new, cold one starts. */
     REPLACE,
-    /** A zone is cut off from the others: nothing passes, and nothing says so. */
+    /** A zone is partitioned from the others: all messages between them are lost without an error. */
     CUT,
-    /** Discovery answers no call. */
+    /** Discovery does not answer. */
     DISCOVERY,
-    /** The store takes so many times longer. */
+    /** The session store is slower by the factor. */
     STORE,
-    /** A share of the clients drops its connection and comes again at once. */
+    /** A share of the clients closes its connections and reconnects at once. */
     RECONNECT
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/FaultInjector.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/FaultInjector.java
@@ -7,9 +7,9 @@
 import lemondeal.Balancer.ServerState;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Lets a scenario's faults happen. Whom they happen to is drawn, the same for every policy with one seed. */
+/** Injects a scenario's faults. Their targets are random, and the same for every policy with the same seed. */
 final class FaultInjector {
-  /** How long a draining server keeps its clients where the fault says nothing. */
+  /** How long a draining server keeps its clients if the fault has no duration. */
   private static final long DEFAULT_DRAIN_TIME = 10 * Scenario.SECOND;
 
   private final Simulation simulation;
@@ -37,7 +37,8 @@
         scheduleEnd(fault, () -> resumeFrom(server, Server.State.HUNG));
       });
       case KILL -> kill(fault);
-      case DRAIN -> forEachSelected(fault, server -> drain(server, fault.duration() > 0 ? fault.duration() : DEFAULT_DRAIN_TIME));
+      case DRAIN -> forEachSelected(fault,
+          server -> drain(server, fault.duration() > 0 ? fault.duration() : DEFAULT_DRAIN_TIME));
       case REPLACE -> replace(fault);
       case CUT -> {
         int zone = (int) fault.factor();
@@ -53,7 +54,7 @@
         scheduleEnd(fault, () -> simulation.sessionStore().setSlowdown(1));
       }
       case RECONNECT -> reconnect(fault.factor());
-      default -> throw new IllegalStateException("no such fault: " + fault.kind());
+      default -> throw new IllegalStateException("unknown kind of fault: " + fault.kind());
     }
   }
 
@@ -69,7 +70,7 @@
     }
   }
 
-  /** So many of a fleet, or of all servers, that run now: drawn, and in the order drawn. */
+  /** The fault's number of random running servers, of one pool or of all, in random order. */
   private List<Server> selectServers(Fault fault) {
     List<Server> running = new ArrayList<>();
     for (Server server : simulation.servers().values()) {
@@ -116,7 +117,9 @@
     }
   }
 
-  /** Told as draining; what it still holds after a while is asked to leave, and it is gone. */
+  /**
+   * Drains a server: publishes it as draining, closes the connections that remain after the drain time, and removes it.
+   */
   private void drain(Server server, long drainTime) {
     server.setState(Server.State.DRAINING);
     simulation.discovery().publish(server, ServerState.DRAINING);
--- a/lab/src/main/java/lemondeal/lab/emulator/Figures.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Figures.java
@@ -7,11 +7,11 @@
 import lemondeal.Balancer.Outcome;
 import org.HdrHistogram.Histogram;
 
-/** What a run counts and measures, by class where that matters. */
+/** The counters and measurements of a run, by class where needed. */
 public final class Figures {
   private static final double SAMPLE_SECONDS = 0.25;
 
-  /** One class's. */
+  /** Counters of one client class. */
   private static final class ClassFigures {
     private long clients;
     private long setUps;
@@ -89,7 +89,7 @@
     probes++;
   }
 
-  /** Looks at the whole world, every {@link #SAMPLE_SECONDS}. */
+  /** Samples the state of all servers and clients, every {@link #SAMPLE_SECONDS}. */
   void sample(EventScheduler scheduler, List<Server> servers, long[] activeClientsByClass) {
     if (scheduler.now() < scenario.settleSeconds() * Scenario.SECOND) {
       return;
@@ -112,7 +112,8 @@
       for (int i = 0; i < classes.size(); i++) {
         if (server.openConnections(i) > 0) {
           Scenario.ClientClass clientClass = scenario.classes().get(i);
-          double served = server.openConnections(i) * server.shareInTime(clientClass.messageLatencyTarget()) * clientClass.worth() * SAMPLE_SECONDS;
+          double served = server.openConnections(i) * server.shareInTime(clientClass.messageLatencyTarget())
+              * clientClass.worth() * SAMPLE_SECONDS;
           classes.get(i).served += served;
           servedNow += served;
         }
@@ -139,10 +140,11 @@
       maxUtilization = Math.max(maxUtilization, maxServerUtilization);
       samples++;
     }
-    servedOverTime.add(new double[] {scheduler.now() / (double) Scenario.SECOND, requestedNow == 0 ? 1 : servedNow / requestedNow});
+    servedOverTime.add(new double[] {scheduler.now() / (double) Scenario.SECOND,
+        requestedNow == 0 ? 1 : servedNow / requestedNow});
   }
 
-  /** Seconds and the share of the worth served around them, over the whole run. */
+  /** Samples over the whole run: the time in seconds, and the share of the requested worth that was served then. */
   public List<double[]> servedOverTime() {
     return servedOverTime;
   }
@@ -151,7 +153,7 @@
     return total <= 0 ? 0 : part / total;
   }
 
-  /** All figures by name: shares between 0 and 1, times in milliseconds, counts as they are. */
+  /** All figures by name: shares between 0 and 1, times in milliseconds, and counts. */
   public Map<String, Double> byName() {
     Map<String, Double> figures = new LinkedHashMap<>();
     double requested = 0;
--- a/lab/src/main/java/lemondeal/lab/emulator/FrontEndBalancer.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/FrontEndBalancer.java
@@ -4,8 +4,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Shares clients out among the proxies of their zone, or all others where it sees none there; by chance, as a front that
- * hashes connections does. It sees a proxy's death and return only a while later.
+ * The load balancer in front of the proxies. Assigns each client to a random proxy of its zone, or of another zone if
+ * none is alive in its own, as a balancer that hashes connections does. It detects a proxy's crash only after a
+ * delay.
  */
 final class FrontEndBalancer {
   private final Simulation simulation;
@@ -16,7 +17,7 @@
     this.random = randomStreams.stream("front");
   }
 
-  /** Brings a client's request to a proxy. */
+  /** Forwards a client's request to a proxy. */
   void forward(Client client, String requestId, long deadline) {
     ProxyNode proxy = pick(client.zone());
     simulation.checks().arrived(requestId, deadline);
@@ -25,7 +26,8 @@
       client.rejected(0);
       return;
     }
-    simulation.scheduler().after(simulation.latency(client.zone(), proxy.zone()), () -> proxy.requestReceived(client, requestId, deadline));
+    simulation.scheduler().after(simulation.latency(client.zone(), proxy.zone()),
+        () -> proxy.requestReceived(client, requestId, deadline));
   }
 
   private ProxyNode pick(int zone) {
--- a/lab/src/main/java/lemondeal/lab/emulator/PendingRequest.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/PendingRequest.java
@@ -1,9 +1,9 @@
 package lemondeal.lab.emulator;
 
-/** A request at a proxy from its arrival to its final answer, or the end of its connection. */
+/** A request at a proxy, from its arrival to its final answer or to the end of its connection. */
 final class PendingRequest {
 
-  /** One attempt, until the module has been told how it ended. */
+  /** One attempt, until the module has received its outcome. */
   static final class Attempt {
     final int number;
     final Server server;
--- a/lab/src/main/java/lemondeal/lab/emulator/PolicyFactory.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/PolicyFactory.java
@@ -2,20 +2,23 @@
 
 import lemondeal.Balancer;
 
-/** Makes a policy's module for one proxy; each proxy's is its own, nothing is shared. */
+/** Creates a policy's module for one proxy. Proxies share no module and no state. */
 public interface PolicyFactory {
   /**
-   * @param node the proxy's number
-   * @param truth the true state of all servers, for policies that are to show what full knowledge allows; others leave it
+   * @param proxyNumber index of the proxy, from 0
+   * @param oracle the true state of all servers, for policies that show what full knowledge allows; others ignore it
    */
   Balancer create(int proxyNumber, Oracle oracle);
 
-  /** What no real proxy can see. */
+  /** The true state of the servers, which no real proxy can see. */
   interface Oracle {
-    /** Load over the present capacity of this server, infinite where it gives nothing; its queue counts as load. */
+    /**
+     * Load divided by the server's present capacity, with its backlog and queue counted as load; infinite if it has no
+     * capacity.
+     */
     double utilization(String server);
 
-    /** Whether it would take a set-up now. */
+    /** Whether the server would accept a connection set-up now. */
     boolean acceptsSetUp(String server);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/emulator/Prober.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Prober.java
@@ -6,7 +6,7 @@
 import lemondeal.Balancer.Outcome;
 import lemondeal.Balancer.ProbeResult;
 
-/** A proxy's probes: answered beside the queue by a server that runs, late or never by others. */
+/** Sends a proxy's probes. A running server answers them outside its queue; others fail the probe or do not answer. */
 final class Prober {
   private static final int PROBE_WORK = 200;
 
@@ -27,7 +27,8 @@
     long startTime = simulation.scheduler().now();
     simulation.figures().probeSent();
     if (server == null || !simulation.canReach(zone, server.zone()) || server.state() == Server.State.HUNG) {
-      simulation.scheduler().after(Scenario.SECOND / 2, () -> report(serverName, incarnation, startTime, Outcome.TIMED_OUT, null));
+      simulation.scheduler().after(Scenario.SECOND / 2,
+          () -> report(serverName, incarnation, startTime, Outcome.TIMED_OUT, null));
       return;
     }
     simulation.scheduler().after(2 * simulation.latency(zone, server.zone()), () -> {
@@ -36,13 +37,14 @@
       } else {
         server.update();
         server.setUp(PROBE_WORK, () -> { });
-        report(serverName, incarnation, startTime, Outcome.SERVED, new LoadReport(server.utilization(), server.backlogSeconds(), server.openConnections(),
-            server.setUpsInProgress(), Math.min(1, server.utilization())));
+        report(serverName, incarnation, startTime, Outcome.SERVED,
+            new LoadReport(server.utilization(), server.backlogSeconds(), server.openConnections(),
+                server.setUpsInProgress(), Math.min(1, server.utilization())));
       }
     });
   }
 
-  /** What was asked in an earlier life of the proxy is void. */
+  /** Results of probes from an earlier incarnation of the proxy are dropped. */
   private void report(String serverName, int incarnation, long startTime, Outcome outcome, LoadReport loadReport) {
     if (proxy.incarnation() == incarnation) {
       resultHandler.accept(new ProbeResult(serverName, outcome, simulation.scheduler().now() - startTime, loadReport));
--- a/lab/src/main/java/lemondeal/lab/emulator/ProxyNode.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/ProxyNode.java
@@ -32,9 +32,9 @@
 import lemondeal.lab.emulator.PendingRequest.Attempt;
 
 /**
- * A proxy in virtual time: hands a module of its own what happens and carries out what it decides, as the real proxy
- * does, with no processor time of its own. Connections end at it and die with it; after its death it comes back knowing
- * its last list.
+ * A simulated proxy: passes events to its own module and executes the module's actions, as the real proxy does, but
+ * uses no processor time. Connections terminate at the proxy and break when it crashes; after a restart it knows its
+ * last server list.
  */
 final class ProxyNode {
   private final Simulation simulation;
@@ -66,7 +66,7 @@
     return zone;
   }
 
-  /** Grows with each start and death: what was begun before is void. */
+  /** Increases with each start and crash; callbacks of an earlier incarnation are ignored. */
   int incarnation() {
     return incarnation;
   }
@@ -75,9 +75,9 @@
     return believedAlive;
   }
 
-  // ---- Life and death ---------------------------------------------------------------------------
+  // ---- Start and crash --------------------------------------------------------------------------
 
-  /** Starts with a module that knows only the last list. */
+  /** Starts with a new module that knows only the last server list. */
   void start(ServerList initialList) {
     incarnation++;
     alive = true;
@@ -93,7 +93,7 @@
     handle(saved);
   }
 
-  /** Dies: its connections break, the front notices later. */
+  /** Crashes: its connections break, and the front end balancer detects it after a delay. */
   void crash() {
     alive = false;
     incarnation++;
@@ -116,9 +116,9 @@
     pendingRequests.clear();
   }
 
-  // ---- Towards the module -----------------------------------------------------------------------
+  // ---- Module -----------------------------------------------------------------------------------
 
-  /** An action may cause the next event at once; that one waits until the actions of this one are done. */
+  /** Passes an event to the module. An event caused by an action is queued until all actions of this one are done. */
   private void handle(Event event) {
     eventQueue.add(event);
     if (handlingEvent) {
@@ -146,7 +146,7 @@
     }
   }
 
-  /** A chain of tests rather than a switch: pattern switches are only a preview in Java 17. */
+  /** An if chain rather than a switch, because pattern switches are only a preview in Java 17. */
   private void execute(Action action) {
     if (action instanceof Send command) {
       send(command);
@@ -184,9 +184,11 @@
     }
     PendingRequest pending = new PendingRequest(client, requestId, deadline, simulation.scheduler().now());
     pendingRequests.put(requestId, pending);
-    pending.overdueTimer = simulation.scheduler().at(deadline + simulation.scenario().rules().answerSlack(), () -> deadlinePassed(pending));
+    pending.overdueTimer = simulation.scheduler().at(deadline + simulation.scenario().rules().answerSlack(),
+        () -> deadlinePassed(pending));
     handle(new Arrived(new Request(requestId, deadline, client.classIndex(), client.key(),
-        client.group() < 0 ? null : "g" + client.group(), Double.NaN, false, client.reconnecting(), 0, client.isRetry())));
+        client.group() < 0 ? null : "g" + client.group(), Double.NaN, false, client.reconnecting(), 0,
+        client.isRetry())));
   }
 
   private static void cancelOverdueTimer(PendingRequest pending) {
@@ -220,7 +222,8 @@
     pending.answered = true;
     cancelOverdueTimer(pending);
     simulation.figures().rejected(pending.client.classIndex(), answer.equals("refused"));
-    simulation.scheduler().after(simulation.latency(zone, pending.client.zone()), () -> pending.client.rejected(retryAfter));
+    simulation.scheduler().after(simulation.latency(zone, pending.client.zone()),
+        () -> pending.client.rejected(retryAfter));
     removeIfDone(pending);
   }
 
@@ -230,20 +233,24 @@
     simulation.checks().sent(command.id(), number, command.server(), server);
     if (pending == null || pending.answered || pending.currentAttempt != null || server == null) {
       int attemptNumber = pending == null ? 0 : pending.attemptCount++;
-      handle(new Ended(command.id(), attemptNumber, command.server(), Outcome.NOT_SENT, 0, pending == null || pending.answered, null));
+      handle(new Ended(command.id(), attemptNumber, command.server(), Outcome.NOT_SENT, 0,
+          pending == null || pending.answered, null));
       return;
     }
     Attempt attempt = new Attempt(pending.attemptCount++, server, simulation.scheduler().now());
     pending.currentAttempt = attempt;
     simulation.figures().attemptSent(pending.client.classIndex(), server.zone() != zone);
-    long timeout = command.timeout() > 0 ? command.timeout() : Math.max(1, pending.deadline - simulation.scheduler().now());
-    attempt.timeoutTimer = simulation.scheduler().after(timeout, () -> attemptEnded(pending, attempt, Outcome.TIMED_OUT, null));
+    long timeout = command.timeout() > 0 ? command.timeout()
+        : Math.max(1, pending.deadline - simulation.scheduler().now());
+    attempt.timeoutTimer = simulation.scheduler().after(timeout,
+        () -> attemptEnded(pending, attempt, Outcome.TIMED_OUT, null));
     if (simulation.canReach(zone, server.zone())) {
-      simulation.scheduler().after(simulation.latency(zone, server.zone()), () -> attemptReachedServer(pending, attempt));
+      simulation.scheduler().after(simulation.latency(zone, server.zone()),
+          () -> attemptReachedServer(pending, attempt));
     }
   }
 
-  /** The first line comes to its server. */
+  /** The attempt's first line arrives at the server. */
   private void attemptReachedServer(PendingRequest pending, Attempt attempt) {
     Server server = attempt.server;
     if (attempt.ended) {
@@ -262,17 +269,18 @@
               () -> simulation.sessionStore().call(() -> setUpFinished(pending, attempt)));
         }
       }
-      default -> throw new IllegalStateException("no such state: " + server.state());
+      default -> throw new IllegalStateException("unknown server state: " + server.state());
     }
   }
 
   private void replyFromServer(PendingRequest pending, Attempt attempt, Outcome outcome) {
     if (simulation.canReach(zone, attempt.server.zone())) {
-      simulation.scheduler().after(simulation.latency(zone, attempt.server.zone()), () -> attemptEnded(pending, attempt, outcome, null));
+      simulation.scheduler().after(simulation.latency(zone, attempt.server.zone()),
+          () -> attemptEnded(pending, attempt, outcome, null));
     }
   }
 
-  /** The server has set the connection up; its {@code UP} is on its way. */
+  /** The server has set the connection up and sends its {@code UP}. */
   private void setUpFinished(PendingRequest pending, Attempt attempt) {
     Server server = attempt.server;
     if (attempt.ended || server.state() == Server.State.DEAD || server.state() == Server.State.HUNG) {
@@ -304,7 +312,8 @@
     cancelOverdueTimer(pending);
     simulation.checks().attemptEnded(pending.id);
     simulation.checks().answered(pending.id, "up");
-    handle(new Established(pending.id, attempt.number, attempt.server.name(), simulation.scheduler().now() - attempt.startTime));
+    handle(new Established(pending.id, attempt.number, attempt.server.name(),
+        simulation.scheduler().now() - attempt.startTime));
     pending.client.connectionEstablished(connection, simulation.scheduler().now() - pending.arrivalTime);
   }
 
@@ -316,8 +325,8 @@
     pending.currentAttempt = null;
     simulation.checks().attemptEnded(pending.id);
     simulation.figures().attemptEnded(outcome);
-    handle(new Ended(pending.id, attempt.number, attempt.server.name(), outcome, simulation.scheduler().now() - attempt.startTime,
-        pending.answered, report));
+    handle(new Ended(pending.id, attempt.number, attempt.server.name(), outcome,
+        simulation.scheduler().now() - attempt.startTime, pending.answered, report));
     removeIfDone(pending);
   }
 
@@ -336,7 +345,7 @@
     }
   }
 
-  // ---- Standing connections ---------------------------------------------------------------------
+  // ---- Established connections ------------------------------------------------------------------
 
   private void moveClient(String requestId) {
     PendingRequest pending = pendingRequests.get(requestId);
@@ -348,7 +357,7 @@
     }
   }
 
-  /** The client ends its connection: its life is over. */
+  /** The client closes its connection, at the end of its lifetime or to reconnect. */
   void closedByClient(Connection connection) {
     PendingRequest pending = pendingRequests.get(connection.requestId());
     if (pending != null && pending.connection == connection) {
@@ -356,7 +365,7 @@
     }
   }
 
-  /** The server's side has ended: it died, or left after its drain. */
+  /** The server closed the connection after its drain, or crashed. */
   void closedByServer(Connection connection, boolean gracefully) {
     PendingRequest pending = pendingRequests.get(connection.requestId());
     if (pending != null && pending.connection == connection) {
@@ -374,7 +383,10 @@
     handle(new Ended(pending.id, connection.attemptNumber(), connection.server().name(), outcome, 0, true, null));
   }
 
-  /** How long a message takes at a server, once a second while that is long, and once more when it is not. */
+  /**
+   * Passes a server's message delay to the module: once a second while it is long, and once more when it no longer
+   * is.
+   */
   void messageDelayMeasured(Connection connection, double millis, boolean isLate) {
     String server = connection.server().name();
     if (alive && (isLate || slowServers.getOrDefault(server, false))) {
--- a/lab/src/main/java/lemondeal/lab/emulator/RandomStreams.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/RandomStreams.java
@@ -11,9 +11,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * All random numbers of a run: one seed, and a stream of its own for each purpose, made of the seed and the purpose's
- * name. A change in one part of the emulator leaves the draws of the others alone, so that runs with one seed stay
- * comparable. Generators and distributions are those of Commons RNG.
+ * All random numbers of a run: one independent stream for each purpose, seeded with the run's seed and the purpose's
+ * name. A change in one part of the emulator does not shift the random numbers of the others, so that runs with one
+ * seed stay comparable. Generators and distributions are those of Commons RNG.
  */
 public final class RandomStreams {
   private final long seed;
@@ -23,7 +23,7 @@
     this.seed = seed;
   }
 
-  /** The stream of this purpose; the same one each time. */
+  /** The stream for this purpose; the same object on each call. */
   public UniformRandomProvider stream(String purpose) {
     return streams.computeIfAbsent(purpose, this::createGenerator);
   }
@@ -35,19 +35,19 @@
     return RandomSource.XO_RO_SHI_RO_128_PP.create(streamSeed);
   }
 
-  /** Gaps of a Poisson process and lives without memory, of mean 1. */
+  /** Exponentially distributed values of mean 1: gaps of a Poisson process, memoryless lifetimes. */
   public ContinuousSampler exponential(String purpose) {
     return ZigguratSampler.Exponential.of(stream(purpose));
   }
 
-  /** Log-normal values of this mean; a sigma of 0 always gives the mean. */
+  /** Log-normally distributed values with this mean; with a sigma of 0 every value is the mean. */
   public ContinuousSampler logNormal(String purpose, double mean, double sigma) {
     ZigguratSampler.NormalizedGaussian gaussian = ZigguratSampler.NormalizedGaussian.of(stream(purpose));
     double shift = Math.log(mean) - sigma * sigma / 2;
     return () -> StrictMath.exp(shift + sigma * gaussian.sample());
   }
 
-  /** Places from 0 below {@code count}, the first the most common (Zipf); an exponent of 0 makes all alike. */
+  /** Zipf-distributed indices from 0 to {@code count} - 1, 0 the most frequent; uniform for an exponent of 0. */
   public java.util.function.IntSupplier zipf(String purpose, int count, double exponent) {
     if (exponent <= 0) {
       UniformRandomProvider stream = stream(purpose);
@@ -57,7 +57,7 @@
     return () -> sampler.sample() - 1;
   }
 
-  /** Places of the weights, each as often as its weight says. */
+  /** Indices into the weights, each drawn in proportion to its weight. */
   public java.util.function.IntSupplier weighted(String purpose, double[] weights) {
     double total = 0;
     for (double weight : weights) {
--- a/lab/src/main/java/lemondeal/lab/emulator/RuleCheckers.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/RuleCheckers.java
@@ -12,7 +12,10 @@
 import lemondeal.Balancer.ServerList;
 import lemondeal.Balancer.ServerState;
 
-/** All rules of a run: passes on what happens, notes it in the trace, and keeps the breaches, a bounded number of them. */
+/**
+ * The checkers of all rules: records each event in the trace, passes it to the checkers, and keeps a bounded number of
+ * breaches.
+ */
 final class RuleCheckers {
   private static final int MAX_KEPT = 100;
 
@@ -32,7 +35,7 @@
     }
   }
 
-  /** A breach that no checker tells, such as a policy that throws. */
+  /** Records a breach; also one that no checker reports, such as an exception of the policy. */
   void breach(String rule, String subject, String what) {
     counts.merge(rule, 1, Integer::sum);
     if (breaches.size() < MAX_KEPT) {
@@ -44,7 +47,7 @@
     return breaches;
   }
 
-  /** How many breaches of each rule there were, those not kept counted too. */
+  /** Number of breaches of each rule, including those that were not kept. */
   Map<String, Integer> counts() {
     return counts;
   }
@@ -58,13 +61,14 @@
     dispatch(requestId, "arrived", checker -> checker.arrived(requestId, deadline));
   }
 
-  /** The front saw no proxy: nobody's fault, and nobody owes an answer. */
+  /** The front end balancer found no live proxy: no breach, and no answer is expected. */
   void noProxyAvailable(String requestId) {
     lost(requestId);
   }
 
   void sent(String requestId, int proxyNumber, String serverName, Server server) {
-    dispatch(requestId, "sent to " + serverName + " by " + proxyNumber, checker -> checker.sent(requestId, proxyNumber, serverName, server));
+    dispatch(requestId, "sent to " + serverName + " by " + proxyNumber,
+        checker -> checker.sent(requestId, proxyNumber, serverName, server));
   }
 
   void reached(String requestId, Server server) {
@@ -83,7 +87,7 @@
     dispatch(requestId, "overdue", checker -> checker.overdue(requestId));
   }
 
-  /** Its proxy died with it: no answer is owed. */
+  /** The request was lost with its proxy: no answer is expected. */
   void lost(String requestId) {
     dispatch(requestId, "lost", checker -> checker.lost(requestId));
   }
@@ -93,12 +97,13 @@
   }
 
   void listReceived(int proxyNumber, ServerList list) {
-    dispatch("proxy-" + proxyNumber, "list " + list.kind() + " " + list.version(), checker -> checker.listReceived(proxyNumber, list));
+    dispatch("proxy-" + proxyNumber, "list " + list.kind() + " " + list.version(),
+        checker -> checker.listReceived(proxyNumber, list));
   }
 
-  // ---- The rules --------------------------------------------------------------------------------
+  // ---- Rules ------------------------------------------------------------------------------------
 
-  /** Each request has one final answer, in time. */
+  /** Each request gets exactly one final answer, by its deadline. */
   static final class OneFinalAnswer extends Checker {
     private final Set<String> unanswered = new HashSet<>();
 
@@ -117,7 +122,7 @@
     @Override
     void answered(String requestId, String answer) {
       if (!unanswered.remove(requestId)) {
-        breach(requestId, "a second final answer, " + answer);
+        breach(requestId, "second final answer: " + answer);
       }
     }
 
@@ -140,7 +145,7 @@
     }
   }
 
-  /** One attempt of a request is out at a time. */
+  /** A request has at most one attempt at a time. */
   static final class OneAttempt extends Checker {
     private final Map<String, String> currentServers = new HashMap<>();
 
@@ -153,7 +158,7 @@
     void sent(String requestId, int proxyNumber, String serverName, Server server) {
       String previousServer = currentServers.put(requestId, serverName);
       if (previousServer != null) {
-        breach(requestId, "sent to " + serverName + " while an attempt is out to " + previousServer);
+        breach(requestId, "sent to " + serverName + " during an attempt on " + previousServer);
       }
     }
 
@@ -163,7 +168,7 @@
     }
   }
 
-  /** New sends to a draining server stop within the grace of the word on it. */
+  /** A proxy stops sending requests to a server within the grace period after it learned of the server's drain. */
   static final class DrainGrace extends Checker {
     private final EventScheduler scheduler;
     private final Scenario.Rules rules;
@@ -195,12 +200,13 @@
     void sent(String requestId, int proxyNumber, String serverName, Server server) {
       Long knownSince = drainKnownSince.get(proxyNumber + " " + serverName);
       if (knownSince != null && scheduler.now() - knownSince > rules.drainGrace()) {
-        breach(requestId, "sent to " + serverName + " " + (scheduler.now() - knownSince) / 1000 + " ms after the word of its drain");
+        breach(requestId, "sent to " + serverName + " " + (scheduler.now() - knownSince) / 1000
+            + " ms after the proxy learned of its drain");
       }
     }
   }
 
-  /** A cold server is sent no more work in a window than a multiple of what it can do in it. */
+  /** Within a time window, a cold server gets no more work than a multiple of its capacity in that window. */
   static final class ColdStartLimit extends Checker {
     private static final double RANDOM_SLACK = 3;
 
@@ -212,7 +218,7 @@
     ColdStartLimit(EventScheduler scheduler, Scenario scenario) {
       this.scheduler = scheduler;
       this.scenario = scenario;
-      // A cold server takes new connections no faster than fills it over its warm-up.
+      // A cold server should get new connections no faster than the rate that fills it within its warm-up time.
       double load = 0;
       for (Scenario.ClientClass clientClass : scenario.classes()) {
         load += clientClass.share() * clientClass.load();
@@ -232,7 +238,8 @@
         recentSetUps.remove(server.name());
         return;
       }
-      java.util.ArrayDeque<Long> setUpTimes = recentSetUps.computeIfAbsent(server.name(), name -> new java.util.ArrayDeque<>());
+      java.util.ArrayDeque<Long> setUpTimes = recentSetUps.computeIfAbsent(server.name(),
+          name -> new java.util.ArrayDeque<>());
       setUpTimes.add(now);
       long window = scenario.rules().overloadWindow();
       while (setUpTimes.peek() <= now - window) {
@@ -245,13 +252,13 @@
       double slack = RANDOM_SLACK * Math.sqrt(Math.max(1, allowed)) + 1;
       if (setUpTimes.size() > allowed + slack) {
         breach(server.name(), setUpTimes.size() + " set-ups in " + seconds + " s of its cold start; allowed: "
-            + Math.round(allowed) + " and " + Math.round(slack) + " by chance");
+            + Math.round(allowed) + " plus " + Math.round(slack) + " for random variation");
         setUpTimes.clear();
       }
     }
   }
 
-  /** Only servers that the proxy's own list has named are sent to. */
+  /** A proxy sends requests only to servers that its own lists have contained. */
   static final class KnownServers extends Checker {
     private final Map<Integer, Set<String>> knownServers = new HashMap<>();
 
@@ -272,7 +279,7 @@
     @Override
     void sent(String requestId, int proxyNumber, String serverName, Server server) {
       if (!knownServers.getOrDefault(proxyNumber, Set.of()).contains(serverName)) {
-        breach(requestId, "sent to " + serverName + ", which no list of this proxy has named");
+        breach(requestId, "sent to " + serverName + ", which no list received by this proxy contains");
       }
     }
   }
--- a/lab/src/main/java/lemondeal/lab/emulator/Scenario.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Scenario.java
@@ -3,99 +3,102 @@
 import java.util.List;
 
 /**
- * The world of a run, before its policy and its seed. Times are microseconds, loads microseconds of work a second.
+ * Everything that defines a run but its policy and its seed. Times are in microseconds, loads in microseconds of work a
+ * second.
  *
- * @param seconds how long clients arrive; the run goes on until all that is owed was due
- * @param settle seconds from the beginning that shares and spreads leave out: a run begins with nobody
- * @param zones how many zones there are; fleets and proxies stand in them in turn
- * @param proxies how many proxies there are
- * @param fleets kinds of servers
- * @param classes kinds of clients
- * @param perSecond new clients a second, all classes together
- * @param bursts times at which more come
- * @param groups how many groups clients belong to; 0 where each is alone
- * @param groupZipf how unlike the groups' sizes are
- * @param groupLoad load of a group at each server that holds any of it, paid once
- * @param network delays
+ * @param seconds how long clients arrive; the run lasts until the last final answer was due
+ * @param settleSeconds seconds at the start that shares and spreads leave out, because a run starts without clients
+ * @param zoneCount number of zones; servers and proxies are placed in them in turn
+ * @param proxyCount number of proxies
+ * @param pools server pools
+ * @param classes client classes
+ * @param clientsPerSecond arrival rate of clients, all classes together
+ * @param bursts times with a higher arrival rate
+ * @param groupCount number of groups to which clients belong; 0 for clients without groups
+ * @param groupSizeExponent Zipf exponent of the groups' sizes; 0 for groups of equal size
+ * @param groupLoad load of a group on each server that has at least one of its connections, counted once
+ * @param network network delays
  * @param store the session store that set-ups call; a capacity of 0 means none
- * @param discovery how the list of servers comes
- * @param front how clients find a proxy
- * @param rules figures of the rules
- * @param faults what goes wrong, in the order of the file
+ * @param discovery how the server list is distributed
+ * @param frontEnd how clients reach a proxy
+ * @param rules limits of the rules
+ * @param faults faults in the order of the file
  */
-public record Scenario(int seconds, int settleSeconds, int zoneCount, int proxyCount, List<ServerPool> pools, List<ClientClass> classes,
-    double clientsPerSecond, List<Burst> bursts, int groupCount, double groupSizeExponent, double groupLoad, Network network, Store store,
-    Discovery discovery, FrontEnd frontEnd, Rules rules, List<Fault> faults) {
+public record Scenario(int seconds, int settleSeconds, int zoneCount, int proxyCount, List<ServerPool> pools,
+    List<ClientClass> classes, double clientsPerSecond, List<Burst> bursts, int groupCount, double groupSizeExponent,
+    double groupLoad, Network network, Store store, Discovery discovery, FrontEnd frontEnd, Rules rules,
+    List<Fault> faults) {
 
-  /** Microseconds of a second. */
+  /** One second in microseconds. */
   public static final long SECOND = 1_000_000;
 
   /**
    * Servers of one kind.
    *
-   * @param cores each works off a second of work a second
-   * @param weight as discovery tells it
-   * @param slots connections held at most
-   * @param room set-ups that wait at most, beyond those in work
-   * @param coldFrom share of its capacity at a start
-   * @param warmWithin microseconds in which that rises evenly to all of it
-   * @param choke share of its capacity that a full table takes
+   * @param cores number of cores; each does a second of work a second
+   * @param weight weight in discovery's list
+   * @param maxConnections largest number of open connections
+   * @param maxWaitingSetUps largest number of queued set-ups, besides those in service
+   * @param coldCapacityShare share of its capacity that a server has when it starts
+   * @param warmUpTime microseconds in which that share rises linearly to 1
+   * @param fullTableLoss share of its capacity that a server loses when its connection table is full
    */
-  public record ServerPool(String name, int count, double cores, double weight, int maxConnections, int maxWaitingSetUps, double coldCapacityShare,
-      long warmUpTime, double fullTableLoss) {}
+  public record ServerPool(String name, int count, double cores, double weight, int maxConnections,
+      int maxWaitingSetUps, double coldCapacityShare, long warmUpTime, double fullTableLoss) {}
 
   /**
    * Clients of one kind.
    *
-   * @param share of the new clients
-   * @param load of a connection on average
-   * @param loadSigma how unlike connections' loads are
-   * @param swingSigma how far a connection's load swings
-   * @param changeEvery mean time between two changes of it; 0 for none
-   * @param life mean length of a connection
-   * @param lifeSigma how unlike lives are; below 0 for a life without memory
-   * @param setup work of a set-up
-   * @param setupWithoutMemory whether that is drawn from an exponential; always the same otherwise
-   * @param aim for a set-up
-   * @param messageAim for a message
-   * @param deadline after which the client waits no more
-   * @param worth of a second in which it is served
+   * @param share share of the new clients
+   * @param load mean load of a connection
+   * @param loadSigma sigma of the log-normal distribution of clients' mean loads
+   * @param loadChangeSigma sigma of the log-normal factors by which a connection's load varies over time
+   * @param loadChangeInterval mean time between two changes of a connection's load; 0 for no changes
+   * @param meanLifetime mean time that a client wants to be connected
+   * @param lifetimeSigma sigma of the log-normal distribution of that time; below 0 for an exponential distribution
+   * @param setUpWork mean work of a set-up
+   * @param exponentialSetUp whether the work of a set-up is exponentially distributed; it is constant otherwise
+   * @param latencyTarget latency target of a set-up
+   * @param messageLatencyTarget latency target of a message
+   * @param deadline time after which the client stops waiting
+   * @param worth worth of a second in which a client is served
    */
   public record ClientClass(String name, double share, double load, double loadSigma, double loadChangeSigma,
-      long loadChangeInterval, long meanLifetime, double lifetimeSigma, long setUpWork, boolean exponentialSetUp, long latencyTarget, long messageLatencyTarget,
-      long deadline, double worth) {}
+      long loadChangeInterval, long meanLifetime, double lifetimeSigma, long setUpWork, boolean exponentialSetUp,
+      long latencyTarget, long messageLatencyTarget, long deadline, double worth) {}
 
-  /** Arrivals by so much more for a while. */
+  /** A period in which the arrival rate is multiplied by a factor. */
   public record Burst(long startTime, long duration, double factor) {}
 
-  /** One-way delays inside a zone and between two. */
+  /** One-way network delays within a zone and between zones. */
   public record Network(long delayInZone, long delayBetweenZones) {}
 
-  /** Calls a second that the store works off, and how long each takes beside waiting. */
+  /** The session store's service rate, and the time of a call without its wait. */
   public record Store(double callsPerSecond, long callTime) {}
 
-  /** Calls a second that discovery works off, how late a change is told, and how long a call waits at most. */
+  /** Discovery's service rate, the delay of its updates, and the longest time that a call waits. */
   public record Discovery(double callsPerSecond, long updateDelay, long callTimeout) {}
 
   /**
-   * How clients come back.
+   * How clients reach a proxy and retry.
    *
-   * @param late how long the front goes on sending clients to a proxy that has died
-   * @param retry pause of a client that was refused or failed, doubled each time up to {@code retryMost}
-   * @param move pause of one that was moved or broken off
-   * @param giveUp tries after which a client stays away
+   * @param detectionDelay how long the front end balancer keeps sending clients to a crashed proxy
+   * @param retryDelay delay of a client after a refusal or failure, doubled each time up to {@code maxRetryDelay}
+   * @param reconnectDelay delay of a client whose connection was moved or broken
+   * @param maxRejections rejections in a row after which a client gives up
    */
-  public record FrontEnd(long detectionDelay, long retryDelay, long maxRetryDelay, long reconnectDelay, int maxRejections) {}
+  public record FrontEnd(long detectionDelay, long retryDelay, long maxRetryDelay, long reconnectDelay,
+      int maxRejections) {}
 
-  /** Figures of the rules, as the settings tell them. */
+  /** Limits of the rules, as in the module's settings. */
   public record Rules(long answerSlack, long drainGrace, double overloadMultiple, long overloadWindow) {}
 
-  /** All servers, in the order of their fleets. */
+  /** Number of servers of all pools. */
   public int serverCount() {
     return pools.stream().mapToInt(ServerPool::count).sum();
   }
 
-  /** Cores of all servers together. */
+  /** Number of cores of all servers. */
   public double totalCores() {
     return pools.stream().mapToDouble(pool -> pool.count() * pool.cores()).sum();
   }
--- a/lab/src/main/java/lemondeal/lab/emulator/Server.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Server.java
@@ -13,31 +13,30 @@
  * A model of a server. Assumptions:
  *
  * <ul>
- * <li>Set-ups are jobs in one queue served in their order by the cores (M/G/c where arrivals and work are random and no
- *     connection weighs on it; Kleinrock, Queueing Systems I, 1975). A core takes one job at a time.
- * <li>Standing connections ask for work all the time. They are a fluid that takes its part of every core before set-ups
- *     do; what the cores can't give piles up as a backlog, worked off when there is room (fluid queue).
- * <li>A message waits behind the backlog, and beside that as in an M/M/1 queue at the present use of the cores: the share
- *     that is answered in time is 1 - exp(-(1 - use) * (aim - backlog) / service), and none while the backlog is longer
- *     than the aim.
- * <li>A cold server has a share of its capacity that rises evenly to all of it; a crowded one loses a share with the
- *     square of how full its table is.
+ * <li>Connection set-ups are jobs in one FIFO queue, served by the cores (M/G/c if arrivals and work are random and the
+ *     connections cause no load; Kleinrock, Queueing Systems I, 1975). A core serves one job at a time.
+ * <li>Open connections cause a continuous load. It is a fluid that takes its share of every core before set-ups do;
+ *     load above the cores' capacity builds up a backlog, which is worked off when there is capacity (fluid queue).
+ * <li>A message waits for the backlog, and in addition as in an M/M/1 queue at the present utilization of the cores:
+ *     the share of messages answered in time is 1 - exp(-(1 - utilization) * (latency target - backlog) / service
+ *     time), and 0 while the backlog is longer than the latency target.
+ * <li>A cold server has a share of its capacity, which rises linearly to all of it; a server with many connections
+ *     loses a share that grows with the square of its table's occupancy.
  * </ul>
  *
- * Between two events everything it depends on is constant but the cold start, whose change over at most {@link #STEP} is
- * taken at its middle.
+ * Between two events all of the model's inputs are constant but the warm-up share, which is evaluated in the middle of
+ * steps of at most {@link #MAX_STEP} microseconds.
  */
 public final class Server {
-  /** Of a message alone on an idle core. */
+  /** Service time of a single message on an idle core. */
   static final double MESSAGE_SECONDS = 0.004;
-  /** Set-ups keep this share of a core however much the connections ask for. */
+  /** The share of a core that set-ups keep whatever the load of the connections. */
   private static final double MIN_SET_UP_SHARE = 0.05;
   private static final long MAX_STEP = 100_000;
 
-  /** Whether and how it lives. */
   public enum State { RUNNING, HUNG, DRAINING, DEAD }
 
-  /** A set-up on its way through the server. */
+  /** A connection set-up in the server's queue or in service. */
   private static final class Job implements Comparable<Job> {
     private final double work;
     private final Runnable onDone;
@@ -57,7 +56,7 @@
     }
   }
 
-  /** A way to call a job off. */
+  /** Cancels a set-up. */
   interface JobHandle {
     void cancel();
   }
@@ -76,7 +75,7 @@
   private final int[] connectionsByClass;
   private double load;
   private double backlog;
-  /** Work that each busy core has done since the beginning, in microseconds: the clock of the jobs. */
+  /** Work that each busy core has done since the start, in microseconds: the clock in which jobs end. */
   private double workClock;
   private long updatedAt;
   private final PriorityQueue<Job> jobsInService = new PriorityQueue<>();
@@ -117,7 +116,7 @@
     return state;
   }
 
-  /** Microseconds on the run's clock; below 0 for long before it. */
+  /** Microseconds on the run's clock; below 0 for a server that started long before the run. */
   long startedAt() {
     return startedAt;
   }
@@ -126,7 +125,7 @@
     return connections.size();
   }
 
-  /** Connections of this class. */
+  /** Open connections of this class. */
   int openConnections(int classIndex) {
     return connectionsByClass[classIndex];
   }
@@ -135,38 +134,40 @@
     return connections;
   }
 
-  /** Set-ups in work and waiting. */
+  /** Set-ups in service and waiting. */
   public int setUpsInProgress() {
     return jobsInService.size() + waitingJobs.size();
   }
 
-  /** Load of the connections over the present capacity of the cores. */
+  /** Load of the connections divided by the present capacity of the cores. */
   public double utilization() {
     double capacity = capacity(scheduler.now());
     return capacity <= 0 ? Double.POSITIVE_INFINITY : load / capacity;
   }
 
-  /** Load of the connections over the capacity of the cores when warm and sound. */
+  /** Load of the connections divided by the capacity of the cores without warm-up, slowdown and crowding. */
   public double nominalUtilization() {
     return load / (pool.cores() * Scenario.SECOND);
   }
 
-  /** Seconds that the backlog takes to work off at the present capacity. */
+  /** Seconds needed to work off the backlog at the present capacity. */
   double backlogSeconds() {
     double capacity = capacity(scheduler.now());
     return capacity <= 0 ? Double.POSITIVE_INFINITY : backlog / capacity;
   }
 
-  /** Microseconds of work a second that the cores give now. */
+  /** Capacity of the cores at this time, in microseconds of work a second. */
   public double capacity(long time) {
     if (state == State.DEAD || state == State.HUNG) {
       return 0;
     }
-    double occupancy = pool.maxConnections() <= 0 ? 0 : Math.min(1, connections.size() / (double) pool.maxConnections());
-    return pool.cores() * Scenario.SECOND / slowdown * warmUpShare(time) * (1 - pool.fullTableLoss() * occupancy * occupancy);
+    double occupancy = pool.maxConnections() <= 0 ? 0
+        : Math.min(1, connections.size() / (double) pool.maxConnections());
+    return pool.cores() * Scenario.SECOND / slowdown * warmUpShare(time)
+        * (1 - pool.fullTableLoss() * occupancy * occupancy);
   }
 
-  /** Share of its capacity that its start still leaves it. */
+  /** Share of its capacity that a server has at this time of its warm-up; 1 once it is warm. */
   double warmUpShare(long time) {
     if (pool.warmUpTime() <= 0 || startedAt < 0 || time >= startedAt + pool.warmUpTime()) {
       return 1;
@@ -174,7 +175,7 @@
     return pool.coldCapacityShare() + (1 - pool.coldCapacityShare()) * (time - startedAt) / pool.warmUpTime();
   }
 
-  /** Share of messages answered within so many microseconds now. */
+  /** Share of messages answered within the latency target, in microseconds, in the present state. */
   public double shareInTime(long latencyTarget) {
     double backlogDelay = backlogSeconds();
     double utilization = utilization();
@@ -185,15 +186,15 @@
     return 1 - StrictMath.exp(-(1 - utilization) * remaining / (MESSAGE_SECONDS * slowdown));
   }
 
-  /** Milliseconds that a message takes now, on average. */
+  /** Mean latency of a message in the present state, in milliseconds. */
   double meanMessageMillis() {
     double utilization = Math.min(utilization(), 0.999);
     return 1000 * (backlogSeconds() + MESSAGE_SECONDS * slowdown / (1 - utilization));
   }
 
-  // ---- Changes ----------------------------------------------------------------------------------
+  // ---- State changes ----------------------------------------------------------------------------
 
-  /** Brings everything up to the present. Called before whatever changes its capacity or load. */
+  /** Advances the model to the present time. Called before each change of capacity or load. */
   void update() {
     long now = scheduler.now();
     while (updatedAt < now) {
@@ -207,7 +208,7 @@
     finishJobs();
   }
 
-  /** How fast a core works on a set-up beside what the connections take. */
+  /** Speed at which a core works on a set-up, after the share that the connections take. */
   private double setUpSpeed(double capacity) {
     double capacityShare = capacity / (pool.cores() * Scenario.SECOND);
     return capacity <= 0 ? 0 : capacityShare * Math.max(MIN_SET_UP_SHARE, 1 - load / capacity);
@@ -236,7 +237,7 @@
     }
   }
 
-  /** Plans a look at the time at which the next job ends, as far as can be said now. */
+  /** Schedules a check at the estimated end of the next job. */
   private void scheduleCheck() {
     if (nextCheck != null) {
       nextCheck.cancel();
@@ -255,14 +256,14 @@
     scheduleCheck();
   }
 
-  /** Whether a set-up may come in: it has a slot left and its room is not full. */
+  /** Whether the server accepts a set-up: it runs, its connection table has a free slot and its queue is not full. */
   boolean acceptsSetUp() {
     update();
     return state == State.RUNNING && connections.size() + setUpsInProgress() < pool.maxConnections()
         && waitingJobs.size() < pool.maxWaitingSetUps();
   }
 
-  /** Takes a set-up of this much work in; {@code done} runs when it is ready. */
+  /** Queues a set-up that needs this much work, in microseconds; {@code onDone} runs when it is finished. */
   JobHandle setUp(double work, Runnable onDone) {
     update();
     Job job = new Job(work, onDone, jobCount++);
@@ -296,7 +297,7 @@
     scheduleCheck();
   }
 
-  /** A connection's load changes by so much. */
+  /** Changes the load of the connections by a difference. */
   void changeLoad(double difference) {
     update();
     load = Math.max(0, load + difference);
@@ -320,7 +321,7 @@
     scheduleCheck();
   }
 
-  /** Starts again under its name, cold and with nothing. */
+  /** Restarts the server under the same name, cold and without connections. */
   void restart() {
     update();
     state = State.RUNNING;
--- a/lab/src/main/java/lemondeal/lab/emulator/SessionStore.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/SessionStore.java
@@ -1,6 +1,9 @@
 package lemondeal.lab.emulator;
 
-/** The store that set-ups call: one queue, a fixed rate, and a fixed time of each call beside the waiting. */
+/**
+ * The session store that set-ups call: one queue with a fixed service rate, and a fixed time for each call after its
+ * wait.
+ */
 final class SessionStore {
   private final EventScheduler scheduler;
   private final Scenario.Store settings;
@@ -16,7 +19,7 @@
     slowdown = factor;
   }
 
-  /** Runs {@code done} when the call is answered; at once where there is no store. */
+  /** Runs {@code onDone} when the call is answered; at once if the scenario has no store. */
   void call(Runnable onDone) {
     if (settings.callsPerSecond() <= 0) {
       onDone.run();
--- a/lab/src/main/java/lemondeal/lab/emulator/Simulation.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Simulation.java
@@ -15,13 +15,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 
-/** One run: a scenario, a policy and a seed, from the first arrival until all that is owed was due. One thread's. */
+/**
+ * One run of a scenario with a policy and a seed, from the first arrival until the last final answer was due. Used by
+ * one thread.
+ */
 public final class Simulation implements PolicyFactory.Oracle {
-  /** What a run brought. */
+  /** The results of a run. */
   public record Result(Map<String, Double> figures, List<double[]> servedOverTime, List<Breach> breaches,
       Map<String, Integer> breachCounts, long digest, long eventCount) {}
 
-  /** Ends a run at once: the policy has failed. */
+  /** Stops a run because the policy threw an exception. */
   private static final class PolicyFailedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
@@ -71,14 +74,18 @@
     setUpWorkFactors = randomStreams.exponential("set-up work");
     arrivalGaps = randomStreams.exponential("arrivals");
     zoneRandom = randomStreams.stream("zones");
-    classSampler = randomStreams.weighted("classes", scenario.classes().stream().mapToDouble(Scenario.ClientClass::share).toArray());
-    groupSampler = scenario.groupCount() > 0 ? randomStreams.zipf("groups", scenario.groupCount(), scenario.groupSizeExponent()) : () -> -1;
+    classSampler = randomStreams.weighted("classes",
+        scenario.classes().stream().mapToDouble(Scenario.ClientClass::share).toArray());
+    groupSampler = scenario.groupCount() > 0
+        ? randomStreams.zipf("groups", scenario.groupCount(), scenario.groupSizeExponent()) : () -> -1;
     ContinuousSampler exponentialLifetimes = randomStreams.exponential("lives");
     for (Scenario.ClientClass clientClass : scenario.classes()) {
-      clientLoads.add(randomStreams.logNormal("load of " + clientClass.name(), Math.max(1e-9, clientClass.load()), clientClass.loadSigma()));
+      clientLoads.add(randomStreams.logNormal("load of " + clientClass.name(), Math.max(1e-9, clientClass.load()),
+          clientClass.loadSigma()));
       loadFactors.add(randomStreams.logNormal("swing of " + clientClass.name(), 1, clientClass.loadChangeSigma()));
       lifetimes.add(clientClass.lifetimeSigma() < 0 ? () -> clientClass.meanLifetime() * exponentialLifetimes.sample()
-          : randomStreams.logNormal("life of " + clientClass.name(), clientClass.meanLifetime(), clientClass.lifetimeSigma()));
+          : randomStreams.logNormal("life of " + clientClass.name(), clientClass.meanLifetime(),
+              clientClass.lifetimeSigma()));
     }
     for (int poolIndex = 0; poolIndex < scenario.pools().size(); poolIndex++) {
       for (int i = 0; i < scenario.pools().get(poolIndex).count(); i++) {
@@ -98,9 +105,9 @@
     return server;
   }
 
-  // ---- The run ----------------------------------------------------------------------------------
+  // ---- Run --------------------------------------------------------------------------------------
 
-  /** Plays it to the end. */
+  /** Runs the simulation to its end. */
   public Result run() {
     for (ProxyNode proxy : proxies) {
       scheduler.at(0, () -> proxy.start(discovery.currentList(ListKind.FULL)));
@@ -113,7 +120,7 @@
     try {
       scheduler.runUntil(scenario.seconds() * Scenario.SECOND + longestDeadline + scenario.rules().answerSlack() + 1);
     } catch (PolicyFailedException e) {
-      // Told as a breach where it happened; what was counted until then stands.
+      // Already recorded as a breach; the figures counted up to this time are kept.
     }
     return new Result(figures.byName(), figures.servedOverTime(), checks.breaches(), checks.counts(), trace.digest(),
         scheduler.executedCount());
@@ -169,9 +176,13 @@
     }
   }
 
-  /** Once a second each proxy hears on one connection of each server how long messages take there, where that is long. */
+  /**
+   * Once a second, reports to each proxy the message delay of each slow server, on one of the proxy's connections to
+   * it.
+   */
   private void reportMessageDelays() {
-    long shortestTarget = scenario.classes().stream().mapToLong(Scenario.ClientClass::messageLatencyTarget).min().orElse(0);
+    long shortestTarget = scenario.classes().stream().mapToLong(Scenario.ClientClass::messageLatencyTarget).min()
+        .orElse(0);
     for (Server server : List.copyOf(servers.values())) {
       server.update();
       if (server.openConnections() > 0 && server.state() != Server.State.DEAD) {
@@ -179,7 +190,8 @@
         boolean isLate = millis * 1000 > shortestTarget / 3.0;
         Set<ProxyNode> notifiedProxies = new HashSet<>();
         for (Connection connection : List.copyOf(server.connections())) {
-          if (notifiedProxies.size() < proxies.size() && !connection.isEnded() && notifiedProxies.add(connection.proxy())) {
+          if (notifiedProxies.size() < proxies.size() && !connection.isEnded()
+              && notifiedProxies.add(connection.proxy())) {
             connection.proxy().messageDelayMeasured(connection, millis, isLate);
           }
         }
@@ -188,13 +200,13 @@
     scheduler.after(Scenario.SECOND, this::reportMessageDelays);
   }
 
-  /** Asks the policy; what it throws ends the run with a breach that says when and at which event. */
+  /** Calls the policy. An exception from it ends the run with a breach that names the time and the event. */
   List<Action> decide(ProxyNode proxy, Balancer module, Event event) {
     try {
       List<Action> actions = module.on(scheduler.now(), event);
       for (Action action : actions) {
         if (action == null) {
-          throw new IllegalStateException("an action that is null");
+          throw new IllegalStateException("the policy returned a null action");
         }
       }
       return actions;
@@ -204,7 +216,7 @@
     }
   }
 
-  // ---- What the parts ask -----------------------------------------------------------------------
+  // ---- Access for the simulated components ------------------------------------------------------
 
   Scenario scenario() {
     return scenario;
@@ -250,7 +262,7 @@
     return activeClients;
   }
 
-  /** Null where no server has had this name. */
+  /** Null if no server has ever had this name. */
   Server server(String name) {
     return servers.get(name);
   }
@@ -267,7 +279,7 @@
     }
   }
 
-  /** Whether what one zone sends reaches the other. */
+  /** Whether messages from one zone reach the other. */
   boolean canReach(int fromZone, int toZone) {
     return fromZone == toZone || !cutOffZones.contains(fromZone) && !cutOffZones.contains(toZone);
   }
@@ -293,9 +305,10 @@
     return seed * 1_000_003 + proxyNumber * 1009L + incarnation;
   }
 
-  /** A server in this one's place, with a name of its own, cold. */
+  /** Adds a cold server with a new name in the pool and zone of the replaced one. */
   Server addReplacement(Server replaced) {
-    Server newServer = addServer(replaced.pool().name() + "-r" + ++replacementCount, replaced.poolIndex(), replaced.zone(), scheduler.now());
+    Server newServer = addServer(replaced.pool().name() + "-r" + ++replacementCount, replaced.poolIndex(),
+        replaced.zone(), scheduler.now());
     discovery.publish(newServer, ServerState.READY);
     return newServer;
   }
--- a/lab/src/main/java/lemondeal/lab/emulator/policy/Baseline.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/policy/Baseline.java
@@ -12,9 +12,10 @@
 import lemondeal.Balancer;
 
 /**
- * What all baselines share, written for comparison: the list as discovery tells it, attempts one after the other on other
- * servers until the time or the attempts are used up, and advice to come later where nothing is left. Which server is
- * each one's own; none of them learns from failures, sheds, or spares cold servers, as their textbooks do not.
+ * Common part of the baseline policies, which serve for comparison: they use discovery's server list, make sequential
+ * attempts on different servers until the time or the attempts are used up, and then refuse with a retry-after time.
+ * Each baseline only chooses the server. As in the literature, none of them learns from failures, sheds load or
+ * protects cold servers.
  */
 abstract class Baseline implements Balancer {
   private static final long RETRY_AFTER = 500_000;
@@ -23,12 +24,12 @@
   private static final long MOVE_TOKEN = 1;
   private static final long MOVE_INTERVAL = 500_000;
 
-  /** One server that may be chosen. */
+  /** A server that can be chosen. */
   static final class Target {
     final String name;
     final long hash;
     final double weight;
-    /** Connections and attempts of this proxy's there. */
+    /** Number of this proxy's connections and attempts on the server. */
     int openCount;
 
     Target(String name, double weight, int openCount) {
@@ -39,7 +40,7 @@
     }
   }
 
-  /** One request that is known. */
+  /** A request, from its arrival to the end of its connection. */
   private static final class TrackedRequest {
     private final Request request;
     private final Set<String> tried = new HashSet<>();
@@ -57,26 +58,26 @@
   private List<Target> ready = List.of();
   private Settings settings;
   private boolean listReceived;
-  /** Draws of this proxy's own. */
+  /** This proxy's random numbers. */
   protected SplittableRandom random;
 
-  /** One of {@link #ready} that is not in {@code tried}, or null where there is none. */
+  /** One of the {@link #ready} servers that is not in {@code tried}, or null if there is none. */
   abstract Target pick(Request request, Set<String> tried);
 
-  /** Called when {@link #ready} has changed. */
+  /** Called after {@link #ready} has changed. */
   void readyServersChanged() { }
 
-  /** Share of the clients at this server that are to leave it now; asked twice a second. */
+  /** Share of the connections to move away from this server now; called twice a second. */
   double shareToMove(Target target) {
     return 0;
   }
 
-  /** Servers in service, in the order of their names. */
+  /** The servers in state READY, in the order of their names. */
   final List<Target> ready() {
     return ready;
   }
 
-  /** What the request is placed by: its group where groups share work, else its client. */
+  /** Hash of the request's placement key: its group if groups share work, its client key otherwise. */
   final long keyHash(Request request) {
     return Hashes.of(settings.groupsShareWork() && request.group() != null ? request.group() : request.key());
   }
@@ -160,8 +161,8 @@
 
   private void sendNextAttempt(long now, TrackedRequest tracked, List<Action> actions) {
     long timeLeft = tracked.request.due() - now;
-    Target target = tracked.tried.size() < settings.limits().maxAttempts() && timeLeft > 0 ? pick(tracked.request, tracked.tried)
-        : null;
+    Target target = tracked.tried.size() < settings.limits().maxAttempts() && timeLeft > 0
+        ? pick(tracked.request, tracked.tried) : null;
     if (target == null) {
       requests.remove(tracked.request.id());
       actions.add(new Refuse(tracked.request.id(), RETRY_AFTER));
--- a/lab/src/main/java/lemondeal/lab/emulator/policy/Hashes.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/policy/Hashes.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Hashes of names and keys for the baselines: MurmurHash3 of the text, and a finalizer to join two of them. */
+/** Hashes of names and keys for the baselines: MurmurHash3 of the text, and a finalizer that combines two hashes. */
 final class Hashes {
   private Hashes() {}
 
@@ -12,7 +12,7 @@
     return MurmurHash3.hash128x64(bytes, 0, bytes.length, 0)[0];
   }
 
-  /** Joins two hashes so that every bit of both reaches every bit (the finalizer of MurmurHash3). */
+  /** Combines two hashes so that every input bit affects every output bit (the finalizer of MurmurHash3). */
   static long combine(long first, long second) {
     long mixed = first ^ Long.rotateLeft(second, 32) * 0x9e3779b97f4a7c15L;
     mixed = (mixed ^ (mixed >>> 33)) * 0xff51afd7ed558ccdL;
@@ -20,7 +20,7 @@
     return mixed ^ (mixed >>> 33);
   }
 
-  /** A hash as a number strictly between 0 and 1. */
+  /** Maps a hash to a number strictly between 0 and 1. */
   static double toUnitInterval(long hash) {
     return ((hash >>> 12) + 0.5) * 0x1.0p-52;
   }
--- a/lab/src/main/java/lemondeal/lab/emulator/policy/Policies.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/policy/Policies.java
@@ -13,7 +13,7 @@
 import lemondeal.lab.emulator.PolicyFactory;
 import lemondeal.module.DecisionModule;
 
-/** The policies that an experiment may name: this project's own, and baselines as their literature has them. */
+/** The policies that an experiment can name: this project's own, and baselines as described in the literature. */
 public final class Policies {
   private static final Map<String, PolicyFactory> BY_NAME = new LinkedHashMap<>();
 
@@ -21,7 +21,8 @@
     BY_NAME.put("lemondeal", (proxyNumber, oracle) -> new DecisionModule());
     BY_NAME.put("random", (proxyNumber, oracle) -> new RandomChoice());
     BY_NAME.put("round-robin", (proxyNumber, oracle) -> new RoundRobin());
-    BY_NAME.put("least-connections", (proxyNumber, oracle) -> new LowestMeasure(target -> target.openCount / target.weight));
+    BY_NAME.put("least-connections",
+        (proxyNumber, oracle) -> new LowestMeasure(target -> target.openCount / target.weight));
     BY_NAME.put("two-choices", (proxyNumber, oracle) -> new TwoChoices());
     BY_NAME.put("rendezvous", (proxyNumber, oracle) -> new PlainRendezvous());
     BY_NAME.put("modulo", (proxyNumber, oracle) -> new Modulo());
@@ -34,17 +35,17 @@
 
   private Policies() {}
 
-  /** The names, this project's own first. */
+  /** The names of all policies, this project's own first. */
   public static Set<String> names() {
     return BY_NAME.keySet();
   }
 
-  /** Null where there is no such policy. */
+  /** Null if there is no such policy. */
   public static PolicyFactory byName(String name) {
     return BY_NAME.get(name);
   }
 
-  /** Any server in service, each as likely as its weight says. */
+  /** A random server, with a probability in proportion to its weight. */
   static final class RandomChoice extends Baseline {
     @Override
     Target pick(Request request, Set<String> tried) {
@@ -67,7 +68,7 @@
     }
   }
 
-  /** One after the other in the order of names, each proxy from a place of its own; weights are not looked at. */
+  /** Round robin in the order of names, each proxy from its own random position; ignores weights. */
   static final class RoundRobin extends Baseline {
     private int next = -1;
 
@@ -85,7 +86,7 @@
     }
   }
 
-  /** The one with the least of something; of those alike one by chance. */
+  /** The server with the lowest value of a measure; a random one in case of a tie. */
   static class LowestMeasure extends Baseline {
     private final ToDoubleFunction<Target> measure;
 
@@ -115,8 +116,8 @@
   }
 
   /**
-   * What full knowledge allows: the least used server that takes a set-up, by the true state of all, and clients sent away
-   * from those that are asked for more than they can give while others have room.
+   * What full knowledge allows: chooses the least utilized server that accepts a set-up, by the true state of all
+   * servers, and moves clients away from overloaded servers while others have free capacity.
    */
   static final class FullKnowledge extends LowestMeasure {
     private static final double TARGET_UTILIZATION = 0.9;
@@ -138,11 +139,15 @@
       if (utilization <= TARGET_UTILIZATION || freeCapacity <= 0) {
         return 0;
       }
-      return Double.isInfinite(utilization) ? 1 : Math.min(1 - TARGET_UTILIZATION / utilization, freeCapacity / (utilization * target.weight));
+      return Double.isInfinite(utilization) ? 1
+          : Math.min(1 - TARGET_UTILIZATION / utilization, freeCapacity / (utilization * target.weight));
     }
   }
 
-  /** The less loaded of two drawn by weight (Mitzenmacher, The power of two choices, 2001), by this proxy's own count. */
+  /**
+   * The less loaded of two random servers (Mitzenmacher, The power of two choices, 2001): the one with fewer of this
+   * proxy's connections and attempts for its weight.
+   */
   static final class TwoChoices extends Baseline {
     @Override
     Target pick(Request request, Set<String> tried) {
@@ -157,7 +162,7 @@
     }
   }
 
-  /** Weighted rendezvous hashing and nothing else: the first of the ranking, then the next. */
+  /** Plain weighted rendezvous hashing: the first server of the ranking, then the next. */
   static final class PlainRendezvous extends Baseline {
     @Override
     Target pick(Request request, Set<String> tried) {
@@ -175,7 +180,7 @@
     }
   }
 
-  /** The first of a table's targets from the key's place on that was not tried; null where there is none. */
+  /** The first untried server of a table, starting at the key's index; null if there is none. */
   private static Baseline.Target firstUntried(Baseline.Target[] table, long key, Set<String> tried) {
     int start = table.length == 0 ? 0 : (int) Math.floorMod(key, (long) table.length);
     for (int i = 0; i < table.length; i++) {
@@ -187,7 +192,10 @@
     return null;
   }
 
-  /** The key's hash modulo the weights, each server standing as often as its weight says: what every change shuffles. */
+  /**
+   * The key's hash modulo the size of a table that contains each server in proportion to its weight. Any change of the
+   * servers remaps most keys.
+   */
   static final class Modulo extends Baseline {
     private Target[] table = new Target[0];
 
@@ -209,7 +217,10 @@
     }
   }
 
-  /** The hash of key and server times the server's share of the weights, as the weighted HRW draft describes CARP's way. */
+  /**
+   * The highest product of the hash of key and server and the server's share of the weights, as the weighted HRW draft
+   * describes CARP.
+   */
   static final class Carp extends Baseline {
     @Override
     Target pick(Request request, Set<String> tried) {
@@ -217,7 +228,7 @@
       Target best = null;
       double highest = Double.NEGATIVE_INFINITY;
       for (Target target : ready()) {
-        // The common divisor of all shares changes no comparison and is left out.
+        // The weight replaces its share: the common divisor of all shares does not affect the comparison.
         double score = target.weight * Hashes.toUnitInterval(Hashes.combine(key, target.hash));
         if (score > highest && !tried.contains(target.name)) {
           highest = score;
@@ -229,8 +240,9 @@
   }
 
   /**
-   * Consistent hashing, 40 points a unit of weight (Karger et al., 1997), and with bounded loads (Mirrokni, Thorup,
-   * Zadimoghaddam, 2018): the next server on the ring of whom this proxy has at most the bound times its share.
+   * Consistent hashing with 40 points on the ring for each unit of weight (Karger et al., 1997), optionally with
+   * bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018): the next server on the ring that has no more of this
+   * proxy's connections than the bound times its share.
    */
   static final class Ring extends Baseline {
     private static final int POINTS = 40;
@@ -238,7 +250,7 @@
     private final double bound;
     private final TreeMap<Long, Target> ring = new TreeMap<>();
 
-    /** @param bound times its share that a server gets at most; infinite for plain consistent hashing */
+    /** @param bound largest multiple of its share that a server gets; infinite for plain consistent hashing */
     Ring(double bound) {
       this.bound = bound;
     }
@@ -277,9 +289,9 @@
     }
   }
 
-  /** Maglev's table (Eisenbud et al., 2016): each server takes its next free place in turn, by weight. */
+  /** Maglev's table (Eisenbud et al., 2016): the servers take their next free entries in turn, by weight. */
   static final class Maglev extends Baseline {
-    /** A prime, and the same for any list: a table of another size would move nearly every key. */
+    /** A prime, and the same for any server list, because a table of another size would remap nearly every key. */
     private static final int SIZE = 65_537;
 
     private Target[] table = new Target[0];
@@ -316,7 +328,7 @@
       table = newTable;
     }
 
-    /** How many places this server has: for a test. */
+    /** Number of table entries of this server; for tests. */
     long entryCount(String name) {
       return Arrays.stream(table).filter(target -> target.name.equals(name)).count();
     }
--- a/lab/src/main/java/lemondeal/lab/experiment/Charts.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Charts.java
@@ -28,20 +28,21 @@
 final class Charts {
   private static final int WIDTH = 760;
   private static final int HEIGHT = 380;
-  /** Colours that are told apart also by those who see few (Okabe and Ito), and grey. */
+  /** Colours that are also distinguishable with colour blindness (Okabe and Ito), and grey. */
   private static final Color[] COLOURS = {new Color(0, 114, 178), new Color(230, 159, 0), new Color(0, 158, 115),
       new Color(204, 121, 167), new Color(86, 180, 233), new Color(213, 94, 0), new Color(120, 120, 120),
       new Color(160, 140, 0), Color.BLACK};
 
   private Charts() {}
 
-  /** A figure's mean by policy with its 95% interval; lines over the points of a sweep, bars where there is one. */
+  /** A figure's mean by policy with its 95% interval: lines over the points of a sweep, or bars for a single point. */
   static void figure(Path file, String figure, Map<String, Map<String, Statistics.Mean>> meansByPolicyAndPoint)
       throws IOException {
     DefaultStatisticalCategoryDataset data = new DefaultStatisticalCategoryDataset();
     int points = meansByPolicyAndPoint.values().iterator().next().size();
     meansByPolicyAndPoint.forEach((policy, byPoint) -> byPoint.forEach((point, mean) -> data.add(mean.mean(),
-        Double.isNaN(mean.halfWidth()) ? 0 : mean.halfWidth(), points == 1 ? "mean" : policy, points == 1 ? policy : point)));
+        Double.isNaN(mean.halfWidth()) ? 0 : mean.halfWidth(), points == 1 ? "mean" : policy,
+        points == 1 ? policy : point)));
     JFreeChart chart = points == 1
         ? ChartFactory.createBarChart(figure, null, null, data, PlotOrientation.VERTICAL, false, false, false)
         : ChartFactory.createLineChart(figure, null, null, data, PlotOrientation.VERTICAL, true, false, false);
@@ -71,9 +72,10 @@
   }
 
   /**
-   * The share of the worth served over time, the mean of all seeds, a line a policy.
+   * The share of the requested worth that was served over time, as the mean of all seeds, with one line for each
+   * policy.
    *
-   * @param point of the sweep, "" where there is one alone
+   * @param point name of the sweep's point, "" without a sweep
    */
   static void servedOverTime(Path file, String point, Map<String, List<double[]>> seriesByPolicy) throws IOException {
     XYSeriesCollection data = new XYSeriesCollection();
@@ -82,7 +84,8 @@
       samples.forEach(sample -> series.add(sample[0], sample[1]));
       data.addSeries(series);
     });
-    JFreeChart chart = ChartFactory.createXYLineChart("share of the worth served" + (point.isEmpty() ? "" : ", " + point), "seconds", null, data,
+    JFreeChart chart = ChartFactory.createXYLineChart(
+        "share of the worth served" + (point.isEmpty() ? "" : ", " + point), "seconds", null, data,
         PlotOrientation.VERTICAL, true, false, false);
     XYPlot plot = chart.getXYPlot();
     plot.setBackgroundPaint(Color.WHITE);
@@ -99,7 +102,7 @@
     write(file, chart);
   }
 
-  /** A hundredth of a pixel is enough. */
+  /** Rounds to hundredths of a pixel, which are precise enough. */
   private static String formatCoordinate(double value) {
     double rounded = Math.round(value * 100) / 100.0;
     return rounded == Math.rint(rounded) ? Long.toString((long) rounded) : Double.toString(rounded);
@@ -109,7 +112,7 @@
     chart.setBackgroundPaint(Color.WHITE);
     chart.getTitle().setFont(new Font(Font.SANS_SERIF, Font.BOLD, 15));
     SVGGraphics2D svg = new SVGGraphics2D(WIDTH, HEIGHT);
-    // Ids of clips are random otherwise, and two runs that brought the same would differ.
+    // Otherwise the ids of clips are random, and the charts of two runs with equal results would differ.
     svg.setDefsKeyPrefix("c");
     svg.setGeomDoubleConverter(Charts::formatCoordinate);
     svg.setTransformDoubleConverter(Charts::formatCoordinate);
--- a/lab/src/main/java/lemondeal/lab/experiment/Condition.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Condition.java
@@ -3,23 +3,26 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What an experiment's author expects, such as {@code served of lemondeal >= 0.8}; held to the means over the seeds. */
+/**
+ * An expectation of an experiment's author, such as {@code served of lemondeal >= 0.8}, checked against the means over
+ * the seeds.
+ */
 record Condition(String text, Side left, String comparison, Side right) {
 
   /**
-   * One side: a number, or a figure of a policy times a number.
+   * One side of the comparison: a number, or a figure of a policy times a number.
    *
    * @param figure null for a number
    * @param policy null for the experiment's first policy
    */
   record Side(String figure, String policy, double number) {}
 
-  /** How it came out. */
+  /** The result of a condition. */
   record Verdict(String condition, boolean holds, String comparedValues) {}
 
   /**
-   * @param means by policy, then by figure
-   * @param first the policy that is meant where none is named
+   * @param means the means by policy, then by figure
+   * @param firstPolicy the policy of sides that name none
    */
   Verdict evaluate(Map<String, Map<String, Double>> means, String firstPolicy) {
     double leftValue = value(left, means, firstPolicy);
--- a/lab/src/main/java/lemondeal/lab/experiment/ExperimentFile.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExperimentFile.java
@@ -18,9 +18,13 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** An experiment's file as a tree, held to its schema; what is allowed at a place is the schema's own description. */
+/**
+ * Reads an experiment's file as a tree and validates it against its schema. The allowed values in an error message are
+ * the schema's description of the location.
+ */
 final class ExperimentFile {
-  private static final YAMLMapper YAML = YAMLMapper.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+  private static final YAMLMapper YAML = YAMLMapper.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+      .build();
   private static final int MAX_SHOWN_LENGTH = 60;
   private static final JsonSchema SCHEMA = schema();
 
@@ -34,7 +38,7 @@
     }
   }
 
-  /** The file's tree, or {@link FileFaults} with all that the schema finds. */
+  /** Reads and validates the file; throws {@link InvalidFileException} with all errors found. */
   static JsonNode read(Path file) {
     JsonNode root;
     try {
@@ -42,9 +46,9 @@
     } catch (JsonProcessingException e) {
       throw new InvalidFileException(file, List.of(e.getLocation() == null ? e.getOriginalMessage()
           : "line " + e.getLocation().getLineNr() + ", column " + e.getLocation().getColumnNr() + ": "
-              + e.getOriginalMessage().lines().findFirst().orElse("no YAML")));
+              + e.getOriginalMessage().lines().findFirst().orElse("invalid YAML")));
     } catch (IOException e) {
-      throw new InvalidFileException(file, List.of("can't be read: " + e.getMessage()));
+      throw new InvalidFileException(file, List.of("cannot be read: " + e.getMessage()));
     }
     List<String> errors = validate(root);
     if (!errors.isEmpty()) {
@@ -53,7 +57,7 @@
     return root;
   }
 
-  /** What the schema finds wrong with a tree, in the order of places; empty where nothing is. */
+  /** The errors that the schema finds in a tree, in alphabetical order; empty if it is valid. */
   static List<String> validate(JsonNode root) {
     TreeSet<String> errors = new TreeSet<>();
     for (ValidationMessage message : SCHEMA.validate(root)) {
--- a/lab/src/main/java/lemondeal/lab/experiment/ExperimentReader.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExperimentReader.java
@@ -12,13 +12,16 @@
 import lemondeal.lab.emulator.Simulation;
 import lemondeal.lab.emulator.policy.Policies;
 
-/** Reads an experiment's file: the schema first, then what a schema can't say; all faults at once, with their places. */
+/**
+ * Reads an experiment's file: validates it against the schema, and then checks what the schema cannot express. Reports
+ * all errors of a stage at once, with their locations.
+ */
 final class ExperimentReader {
   private static final int MAX_RUNS = 100_000;
 
   private final List<String> errors = new ArrayList<>();
 
-  /** The experiment, or {@link FileFaults} with all that is wrong with its file. */
+  /** Reads the experiment; throws {@link InvalidFileException} with all errors of its file. */
   static Experiment read(Path path) {
     ExperimentReader reader = new ExperimentReader();
     Experiment experiment = reader.experiment(ExperimentFile.read(path));
@@ -43,7 +46,7 @@
         addError("policies", "found '" + name + "'; allowed: " + String.join(", ", Policies.names()));
       }
       if (policies.contains(name)) {
-        addError("policies", "'" + name + "' stands twice; allowed: each policy once");
+        addError("policies", "'" + name + "' is listed twice; allowed: each policy once");
       }
       policies.add(name);
     }
@@ -63,15 +66,15 @@
       }
       reportedFigures.add(name.asText());
     }
-    Experiment experiment = new Experiment(root.path("name").asText(), root.path("question").asText(), policies, baseline,
-        points, seeds(root.path("seeds")), reportedFigures, conditions(root, figureNames, policies), root);
+    Experiment experiment = new Experiment(root.path("name").asText(), root.path("question").asText(), policies,
+        baseline, points, seeds(root.path("seeds")), reportedFigures, conditions(root, figureNames, policies), root);
     if (experiment.runCount() > MAX_RUNS) {
       addError("the file", "found " + experiment.runCount() + " runs; allowed: " + MAX_RUNS);
     }
     return experiment;
   }
 
-  /** The names of a run's figures: those of a run in which nobody comes. */
+  /** The names of a run's figures, from a run without clients. */
   private static List<String> figureNames(Experiment.Point point) {
     var scenario = point.scenario();
     var empty = new lemondeal.lab.emulator.Scenario(0, 0, 1, 1, scenario.pools().subList(0, 1), scenario.classes(), 0,
@@ -105,7 +108,7 @@
 
   // ---- Sweeps -----------------------------------------------------------------------------------
 
-  /** Every point with every combination of the sweep's values, each value put where its path leads. */
+  /** Combines every point with every combination of the sweep's values, and sets each value at its path. */
   private List<Experiment.Point> points(JsonNode root) {
     List<Map<String, JsonNode>> combinations = new ArrayList<>();
     for (JsonNode pointNode : root.path("points")) {
@@ -134,14 +137,15 @@
       Map<String, String> namingValues = new LinkedHashMap<>();
       values.forEach((path, value) -> {
         setValue(copy.path("scenario"), path, value);
-        // Of a point that changes several things together the first names it; a sweep's values all do.
+        // The first value of a point with several values names it; a sweep's values all appear in the name.
         if (namingValues.isEmpty() || root.path("sweep").has(path)) {
           namingValues.put(path, value.asText());
         }
       });
       ExperimentFile.validate(copy).forEach(error -> addError("sweep " + namingValues, error));
       if (errors.isEmpty()) {
-        points.add(new Experiment.Point(pointName(namingValues), namingValues, new ScenarioReader(this::addError).read(copy.path("scenario"))));
+        points.add(new Experiment.Point(pointName(namingValues), namingValues,
+            new ScenarioReader(this::addError).read(copy.path("scenario"))));
       }
     }
     return points;
@@ -153,20 +157,22 @@
     return String.join(", ", parts);
   }
 
-  /** Puts a value at a path such as {@code fleets.0.cores}, all of which but its last step must be there. */
+  /** Sets a value at a path such as {@code fleets.0.cores}; all of the path but its last step must exist. */
   private void setValue(JsonNode scenario, String path, JsonNode value) {
     String[] steps = path.split("\\.");
     JsonNode parent = scenario;
     for (int i = 0; i < steps.length - 1; i++) {
-      parent = parent.isArray() && steps[i].matches("[0-9]{1,4}") ? parent.path(Integer.parseInt(steps[i])) : parent.path(steps[i]);
+      parent = parent.isArray() && steps[i].matches("[0-9]{1,4}") ? parent.path(Integer.parseInt(steps[i]))
+          : parent.path(steps[i]);
     }
     String lastStep = steps[steps.length - 1];
     if (parent instanceof ObjectNode object) {
       object.set(lastStep, value);
-    } else if (parent instanceof ArrayNode array && lastStep.matches("[0-9]{1,4}") && Integer.parseInt(lastStep) < array.size()) {
+    } else if (parent instanceof ArrayNode array && lastStep.matches("[0-9]{1,4}")
+        && Integer.parseInt(lastStep) < array.size()) {
       array.set(Integer.parseInt(lastStep), value);
     } else {
-      addError("sweep", "found '" + path + "', which leads nowhere in scenario; allowed: a path such as per_second or "
+      addError("sweep", "found '" + path + "', which does not exist in scenario; allowed: a path such as per_second or "
           + "fleets.0.cores");
     }
   }
--- a/lab/src/main/java/lemondeal/lab/experiment/ExperimentRunner.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExperimentRunner.java
@@ -15,7 +15,7 @@
 import lemondeal.lab.emulator.Simulation;
 import lemondeal.lab.emulator.policy.Policies;
 
-/** Plays an experiment's runs on several threads, each run on one; rows go to disk as they come in. */
+/** Executes an experiment's runs on several threads, one thread for each run; saves each row as soon as it is ready. */
 final class ExperimentRunner {
   private static final int PROGRESS_LINES = 20;
 
@@ -30,12 +30,15 @@
     this.progress = progress;
   }
 
-  /** All rows, in the experiment's order whatever the order in which they came in; those in the file are not played again. */
+  /**
+   * Returns all rows in the experiment's order, whatever the order in which the runs finished. Runs whose rows are
+   * already in the file are not repeated.
+   */
   List<Row> run(Path file) throws IOException, InterruptedException {
     Map<String, Row> rows = RowFile.read(file);
     finishedRuns = rows.size();
     if (finishedRuns > 0) {
-      progress.println(finishedRuns + " of " + experiment.runCount() + " runs are there already");
+      progress.println(finishedRuns + " of " + experiment.runCount() + " runs are already done");
     }
     Map<String, Future<Row>> futures = new LinkedHashMap<>();
     ExecutorService pool = Executors.newFixedThreadPool(threads);
--- a/lab/src/main/java/lemondeal/lab/experiment/ExpressionException.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExpressionException.java
@@ -1,6 +1,6 @@
 package lemondeal.lab.experiment;
 
-/** An expression that can't be read: where, what was found, what is allowed. */
+/** An invalid expression. The message says where the error is, what was found and what is allowed. */
 public final class ExpressionException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/lemondeal/lab/experiment/Expressions.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Expressions.java
@@ -13,11 +13,11 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
-/** Reads the expressions of an experiment's file, and says of a mistake where it is, what was found, what is allowed. */
+/** Parses the expressions of an experiment's file. Errors say where they are, what was found and what is allowed. */
 final class Expressions {
   private Expressions() {}
 
-  /** Ends the reading at the first mistake, and keeps it. */
+  /** Stops the parser at the first syntax error, and keeps the error. */
   private static final class FirstErrorListener extends BaseErrorListener {
     private ExpressionException firstError;
 
@@ -26,13 +26,13 @@
         RecognitionException e) {
       if (symbol instanceof Token token) {
         String allowed = ((Parser) recognizer).getExpectedTokens().toString(ExperimentGrammarParser.VOCABULARY)
-            .replace("{", "").replace("}", "").replace("TIME", "a time, as 10s").replace("NUMBER", "a number")
+            .replace("{", "").replace("}", "").replace("TIME", "a time such as 10s").replace("NUMBER", "a number")
             .replace("WORD", "a name").replace("COMPARISON", "<, <=, =, >=, >").replace("<EOF>", "the end");
         firstError = new ExpressionException(column + 1, "found " + (token.getType() == Token.EOF ? "the end"
             : "'" + token.getText() + "'") + "; allowed: " + allowed);
       } else {
-        firstError = new ExpressionException(column + 1, "found a character that no expression has; allowed: words, numbers,"
-            + " times and comparisons");
+        firstError = new ExpressionException(column + 1, "found an invalid character; allowed: words, numbers, times"
+            + " and comparisons");
       }
       throw new ParseCancellationException();
     }
@@ -56,10 +56,10 @@
   // ---- Faults -----------------------------------------------------------------------------------
 
   /**
-   * One fault.
+   * Parses a fault.
    *
-   * @param fleets names of which a fault may say "of"
-   * @param zones how many zones there are
+   * @param poolNames names of server pools that can be a fault's target
+   * @param zoneCount number of zones
    */
   static Fault parseFault(String text, Collection<String> poolNames, int zoneCount) throws ExpressionException {
     ExperimentGrammarParser.FaultContext context = parse(text, ExperimentGrammarParser::fault);
@@ -67,7 +67,8 @@
     long duration = context.TIME().size() > 1 ? parseMicros(context.TIME(1).getText()) : 0;
     ExperimentGrammarParser.WhatContext kindContext = context.what();
     if (kindContext instanceof ExperimentGrammarParser.SlowContext matched) {
-      return parseTargets(startTime, Fault.Kind.SLOW, matched.some(), parseNumber(matched.NUMBER()), duration, poolNames, false);
+      return parseTargets(startTime, Fault.Kind.SLOW, matched.some(), parseNumber(matched.NUMBER()), duration,
+          poolNames, false);
     } else if (kindContext instanceof ExperimentGrammarParser.HangContext matched) {
       return parseTargets(startTime, Fault.Kind.HANG, matched.some(), 1, duration, poolNames, false);
     } else if (kindContext instanceof ExperimentGrammarParser.KillContext matched) {
@@ -97,13 +98,13 @@
     return new Fault(startTime, Fault.Kind.RECONNECT, 0, "clients", share, duration);
   }
 
-  private static Fault parseTargets(long startTime, Fault.Kind kind, ExperimentGrammarParser.SomeContext context, double factor, long duration,
-      Collection<String> poolNames, boolean allowProxies) throws ExpressionException {
+  private static Fault parseTargets(long startTime, Fault.Kind kind, ExperimentGrammarParser.SomeContext context,
+      double factor, long duration, Collection<String> poolNames, boolean allowProxies) throws ExpressionException {
     String target = context.name().getText();
     boolean known = poolNames.contains(target) || target.equals("servers") || allowProxies && target.equals("proxies");
     if (!known) {
-      throw new ExpressionException(column(context.name()), "found '" + target + "'; allowed: " + String.join(", ", poolNames)
-          + ", servers" + (allowProxies ? ", proxies" : ""));
+      throw new ExpressionException(column(context.name()), "found '" + target + "'; allowed: "
+          + String.join(", ", poolNames) + ", servers" + (allowProxies ? ", proxies" : ""));
     }
     if (factor <= 0) {
       throw new ExpressionException(1, "found a factor of 0; allowed: above 0");
@@ -116,7 +117,7 @@
     return new Fault(startTime, kind, (int) count, target, factor, duration);
   }
 
-  /** Microseconds of a time such as 10s, 1.5s, 200ms or 2m. */
+  /** Parses a time such as 10s, 1.5s, 200ms or 2m; returns microseconds. */
   static long parseMicros(String text) {
     double unit = text.endsWith("ms") ? 1_000 : text.endsWith("s") ? 1_000_000 : 60_000_000;
     return Math.round(Double.parseDouble(text.replaceAll("[a-z]", "")) * unit);
@@ -124,7 +125,7 @@
 
   // ---- Conditions -------------------------------------------------------------------------------
 
-  /** One condition over figures of these names and policies. */
+  /** Parses a condition that can use these figures and policies. */
   static Condition parseCondition(String text, Collection<String> figureNames, Collection<String> policyNames)
       throws ExpressionException {
     ExperimentGrammarParser.ConditionContext context = parse(text, ExperimentGrammarParser::condition);
--- a/lab/src/main/java/lemondeal/lab/experiment/HtmlPage.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/HtmlPage.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A report's Markdown as one HTML page with its charts inside: what the reports use of Markdown, and no more. */
+/** Renders a report's Markdown as one HTML page with embedded charts. Supports only the Markdown that reports use. */
 final class HtmlPage {
   private static final String STYLE = "body{font-family:sans-serif;max-width:60em;margin:2em auto;padding:0 1em}"
       + "table{border-collapse:collapse;font-size:90%}td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}"
@@ -27,17 +27,18 @@
       html.append(inTable && !row ? "</table>\n" : "").append(inList && !item ? "</ul>\n" : "");
       html.append(item && !inList ? "<ul>\n" : "");
       if (row) {
-        html.append(inTable ? "" : "<table>\n").append(line.startsWith("| ---") ? "" : tableRow(line, inTable ? "td" : "th"));
+        html.append(inTable ? "" : "<table>\n")
+            .append(line.startsWith("| ---") ? "" : tableRow(line, inTable ? "td" : "th"));
       } else if (item) {
         html.append("<li>").append(escape(line.substring(2))).append("</li>\n");
       } else if (line.startsWith("![")) {
         String file = line.substring(line.indexOf('(') + 1, line.indexOf(')'));
-        html.append(Files.readString(folder.resolve(file)).replaceFirst("<\\?xml[^>]*>", "").replaceFirst("<!DOCTYPE[^>]*>", ""))
-            .append('\n');
+        html.append(Files.readString(folder.resolve(file)).replaceFirst("<\\?xml[^>]*>", "")
+            .replaceFirst("<!DOCTYPE[^>]*>", "")).append('\n');
       } else if (line.startsWith("#")) {
         int level = line.indexOf(' ');
-        html.append("<h").append(level).append('>').append(escape(line.substring(level + 1))).append("</h").append(level)
-            .append(">\n");
+        html.append("<h").append(level).append('>').append(escape(line.substring(level + 1))).append("</h")
+            .append(level).append(">\n");
       } else if (!line.isBlank()) {
         html.append("<p>").append(escape(line)).append("</p>\n");
       }
--- a/lab/src/main/java/lemondeal/lab/experiment/InvalidFileException.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/InvalidFileException.java
@@ -3,7 +3,10 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Thrown with all that is wrong with a file: a line each, with the place, what was found, what is allowed. */
+/**
+ * Thrown with all errors of a file. The message has a line for each, with the location, the value found and the allowed
+ * values.
+ */
 public final class InvalidFileException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -14,7 +17,7 @@
     this.errors = List.copyOf(errors);
   }
 
-  /** Without the file's name. */
+  /** The errors without the file's name. */
   public List<String> errors() {
     return errors;
   }
--- a/lab/src/main/java/lemondeal/lab/experiment/PlacementTable.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/PlacementTable.java
@@ -21,9 +21,9 @@
 import lemondeal.lab.emulator.policy.Policies;
 
 /**
- * The claims of "Weighted HRW and its applications" as one table: how near each server's share of the keys comes to its
- * weight, and how many keys move when a server leaves, joins or changes its weight, beside what has to move at least.
- * Keys are placed by the policies themselves, one after the other, with nothing open and nothing failing.
+ * Checks the claims of "Weighted HRW and its applications" in one table: how close each server's share of the keys is
+ * to its weight, and how many keys move when a server leaves, joins or changes its weight, compared with the minimum
+ * that has to move. The policies themselves place the keys, one at a time, without open connections and failures.
  */
 final class PlacementTable {
   private static final long SECOND = 1_000_000;
@@ -37,7 +37,7 @@
     this.weights = weights.clone();
   }
 
-  /** Markdown. */
+  /** The table as Markdown. */
   String markdown() {
     double totalWeight = 0;
     for (double weight : weights) {
@@ -51,18 +51,19 @@
     double[] withHeavierLast = weights.clone();
     withHeavierLast[lastIndex] *= 2;
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
-        %d keys, %d servers. Shares: the largest distance of a server's share of the keys from its share of the weights, as a
-        part of the latter. Moved: the share of all keys that go to another server than before.
+        %d keys, %d servers. Shares: the largest deviation of a server's share of the keys from its share of the
+        weights, relative to the latter. Moved: the share of all keys that are placed on another server than before.
 
         | policy | shares | moved: first leaves | moved: one joins | moved: last twice as heavy |
         | --- | --- | --- | --- | --- |
-        | what must be | 0.000 | %.4f | %.4f | %.4f |
+        | minimum | 0.000 | %.4f | %.4f | %.4f |
         """, keys, weights.length, weights[0] / totalWeight, weights[0] / (totalWeight + weights[0]),
         2 * weights[lastIndex] / (totalWeight + weights[lastIndex]) - weights[lastIndex] / totalWeight));
     for (String policy : POLICIES) {
       Map<String, String> before = placeKeys(policy, weights);
-      table.append(String.format(Locale.ROOT, "| %s | %.3f | %.4f | %.4f | %.4f |%n", policy, largestShareError(before, totalWeight),
-          movedShare(before, placeKeys(policy, withoutFirst)), movedShare(before, placeKeys(policy, withNewServer)),
+      table.append(String.format(Locale.ROOT, "| %s | %.3f | %.4f | %.4f | %.4f |%n", policy,
+          largestShareError(before, totalWeight), movedShare(before, placeKeys(policy, withoutFirst)),
+          movedShare(before, placeKeys(policy, withNewServer)),
           movedShare(before, placeKeys(policy, withHeavierLast))));
     }
     return table.toString();
@@ -91,11 +92,11 @@
     return "10.0.0." + index + ":80";
   }
 
-  /** The server of each key, as a proxy with this list places it. */
+  /** The server of each key, as placed by a proxy whose list has servers of these weights; 0 for a server left out. */
   private Map<String, String> placeKeys(String policy, double[] listedWeights) {
     Balancer module = Policies.byName(policy).create(0, null);
-    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, SECOND,
-        2 * SECOND, 1, 0);
+    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL,
+        0, SECOND, 2 * SECOND, 1, 0);
     module.on(0, new Start(1, new Balancer.Settings(0, 1, 0, List.of(requestClass), List.of(),
         new Balancer.Rules(20_000, SECOND, 4, 2 * SECOND, 1, 0, 0),
         new Balancer.Limits(1, true, false, false, false, true, SECOND, SECOND), new Balancer.Prices(0, 0, 0, 0, 0),
@@ -110,10 +111,10 @@
     Map<String, String> serverByKey = new HashMap<>();
     for (int i = 0; i < keys; i++) {
       String key = "key-" + i;
-      // Far enough apart that nothing of the request before counts any more.
+      // The requests are far enough apart that the previous one no longer has an effect.
       long now = (i + 1) * SECOND;
-      for (Action action : module.on(now, new Arrived(new Request(key, now + 2 * SECOND, 0, key, null, Double.NaN, false,
-          false, 0, false)))) {
+      for (Action action : module.on(now, new Arrived(new Request(key, now + 2 * SECOND, 0, key, null, Double.NaN,
+          false, false, 0, false)))) {
         if (action instanceof Send send) {
           serverByKey.put(key, send.server());
           module.on(now + 1_000, new Established(key, 0, send.server(), 1_000));
--- a/lab/src/main/java/lemondeal/lab/experiment/Report.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Report.java
@@ -13,7 +13,10 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** What an experiment's rows say: tables, charts and a verdict, as a folder that can be read without this program. */
+/**
+ * The report of an experiment's rows: tables, charts and a verdict, in a folder that can be read without this
+ * program.
+ */
 final class Report {
   private final Experiment experiment;
   private final List<Row> rows;
@@ -23,7 +26,10 @@
     this.rows = rows;
   }
 
-  /** Whether every expectation held and the first policy kept every rule: that baselines break some may be the finding. */
+  /**
+   * Whether every expectation held and the first policy kept every rule. Breaches of the baselines do not count,
+   * because they may be what the experiment shows.
+   */
   boolean isSuccessful() {
     String first = experiment.policies().get(0);
     return evaluateExpectations().stream().allMatch(Condition.Verdict::holds)
@@ -50,10 +56,11 @@
       }
       means.put(policy, byFigure);
     }
-    return experiment.expectations().stream().map(expectation -> expectation.evaluate(means, experiment.policies().get(0))).toList();
+    return experiment.expectations().stream()
+        .map(expectation -> expectation.evaluate(means, experiment.policies().get(0))).toList();
   }
 
-  /** Breaches by policy and rule, with the first of each. */
+  /** The breaches by policy and rule: their number and the first of each. */
   private Map<String, String> breachSummaries() {
     Map<String, Integer> counts = new LinkedHashMap<>();
     Map<String, String> firstBreaches = new LinkedHashMap<>();
@@ -65,34 +72,38 @@
       });
     }
     Map<String, String> summaries = new LinkedHashMap<>();
-    counts.forEach((policyAndRule, count) -> summaries.put(policyAndRule, count + " times, first: " + firstBreaches.get(policyAndRule)));
+    counts.forEach((policyAndRule, count) -> summaries.put(policyAndRule,
+        count + " times, first: " + firstBreaches.get(policyAndRule)));
     return summaries;
   }
 
   // ---- Text -------------------------------------------------------------------------------------
 
-  /** The report as Markdown; charts are named beside it. */
+  /** The report as Markdown, with references to the charts' files. */
   String markdown() {
     StringBuilder text = new StringBuilder("# " + experiment.name() + "\n\n" + experiment.question() + "\n\n"
         + experiment.runCount() + " runs: " + experiment.policies().size() + " policies, " + experiment.points().size()
         + " point" + (experiment.points().size() == 1 ? "" : "s") + ", " + experiment.seeds().size()
         + " seeds. Means with their 95% intervals; differences are paired by seed against " + experiment.baseline()
-        + ", and called one only where their interval leaves 0 out.\n");
+        + ", and marked only if their interval excludes 0.\n");
     for (Experiment.Point point : experiment.points()) {
-      text.append("\n## ").append(point.name().isEmpty() ? "Figures" : point.name()).append("\n\n").append(table(point));
+      text.append("\n## ").append(point.name().isEmpty() ? "Figures" : point.name()).append("\n\n")
+          .append(table(point));
     }
     text.append("\n## Verdict\n\n");
     Map<String, String> breachSummaries = breachSummaries();
     if (breachSummaries.isEmpty()) {
       text.append("- every rule was kept in every run\n");
     }
-    breachSummaries.forEach((policyAndRule, summary) -> text.append("- BROKEN by ").append(policyAndRule).append(": ").append(summary).append('\n'));
+    breachSummaries.forEach((policyAndRule, summary) -> text.append("- BROKEN by ").append(policyAndRule).append(": ")
+        .append(summary).append('\n'));
     for (Condition.Verdict verdict : evaluateExpectations()) {
       text.append("- ").append(verdict.holds() ? "holds: " : "DOES NOT HOLD: ").append(verdict.condition()).append(" (")
           .append(verdict.comparedValues()).append(")\n");
     }
     text.append("\n## Charts\n\n![course](course.svg)\n");
-    experiment.reportedFigures().forEach(figure -> text.append("\n![").append(figure).append("](").append(figure).append(".svg)\n"));
+    experiment.reportedFigures().forEach(figure -> text.append("\n![").append(figure).append("](").append(figure)
+        .append(".svg)\n"));
     return text.toString();
   }
 
@@ -106,14 +117,16 @@
         List<Double> values = values(policy, point.name(), figure);
         table.append(' ').append(format(Statistics.mean(values)));
         if (!policy.equals(experiment.baseline())) {
-          Statistics.Mean difference = Statistics.difference(values, values(experiment.baseline(), point.name(), figure));
+          Statistics.Mean difference = Statistics.difference(values,
+              values(experiment.baseline(), point.name(), figure));
           table.append(difference.isSignificant() ? difference.mean() > 0 ? " ▲" : " ▼" : "");
         }
         table.append(" |");
       }
       table.append('\n');
     }
-    return table.append("\n▲ and ▼: clearly above or below ").append(experiment.baseline()).append(".\n").toString();
+    return table.append("\n▲ and ▼: significantly above or below ").append(experiment.baseline()).append(".\n")
+        .toString();
   }
 
   private static String format(Statistics.Mean mean) {
@@ -122,9 +135,9 @@
         + (Double.isNaN(mean.halfWidth()) ? "" : " ±" + String.format(Locale.ROOT, format, mean.halfWidth()));
   }
 
-  // ---- The folder -------------------------------------------------------------------------------
+  // ---- Files ------------------------------------------------------------------------------------
 
-  /** Writes everything but the rows, which are there. */
+  /** Writes all files but the rows, which are already in the folder. */
   void write(Path folder) throws IOException {
     new YAMLMapper().writeValue(folder.resolve("experiment.yaml").toFile(), experiment.source());
     Files.writeString(folder.resolve("machine.txt"), machineDescription());
@@ -170,7 +183,7 @@
     Charts.servedOverTime(folder.resolve("course.svg"), experiment.points().get(0).name(), servedByPolicy);
   }
 
-  /** The mean course of all seeds. */
+  /** The mean over all seeds of the share served over time. */
   private List<double[]> meanServedOverTime(String policy, String point) {
     List<double[]> sum = new ArrayList<>();
     int count = 0;
--- a/lab/src/main/java/lemondeal/lab/experiment/Row.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Row.java
@@ -4,19 +4,20 @@
 import java.util.Map;
 
 /**
- * What one run brought.
+ * The results of one run, as saved in the rows file.
  *
- * @param point the sweep's point by name, "" where nothing is swept
+ * @param point name of the sweep's point, "" without a sweep
  * @param figures all figures by name
- * @param course seconds and the share of the worth served around them
- * @param breaches how many of each rule
- * @param firstBreach the first of them, "" where there is none
- * @param digest of all events, in hexadecimal: alike for two runs in which the same happened
+ * @param course samples over time: seconds, and the share of the requested worth that was served then
+ * @param breaches number of breaches of each rule
+ * @param firstBreach description of the first breach, "" if there is none
+ * @param digest digest of all events, in hexadecimal: equal for two runs with the same events
+ * @param events number of events
  */
 record Row(String policy, String point, long seed, Map<String, Double> figures, List<double[]> course,
     Map<String, Integer> breaches, String firstBreach, String digest, long events) {
 
-  /** Which run it was; a key of the results. */
+  /** Identifies the run among an experiment's results. */
   String key() {
     return key(policy, point, seed);
   }
--- a/lab/src/main/java/lemondeal/lab/experiment/RowFile.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/RowFile.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * Rows on disk as they come in, one JSON object a line, so that a run that was broken off goes on where it stopped. A last
- * line that is cut off is dropped: that run is played again.
+ * The file of an experiment's rows, one JSON object a line, written as the runs finish, so that an interrupted
+ * experiment resumes where it stopped. An incomplete last line is dropped, and its run is repeated.
  */
 final class RowFile implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -25,7 +25,7 @@
     this.writer = writer;
   }
 
-  /** The rows that are there, by their keys. */
+  /** Reads the existing rows by their keys, and truncates an incomplete last line. */
   static Map<String, Row> read(Path file) throws IOException {
     Map<String, Row> rows = new LinkedHashMap<>();
     if (!Files.exists(file)) {
@@ -40,7 +40,7 @@
         Row row = JSON.readValue(line, Row.class);
         rows.put(row.key(), row);
       } catch (JsonProcessingException e) {
-        throw new IOException(file + " holds a line that is no row: " + e.getOriginalMessage(), e);
+        throw new IOException(file + " holds an invalid row: " + e.getOriginalMessage(), e);
       }
       completeBytes += line.getBytes(StandardCharsets.UTF_8).length;
     }
@@ -52,7 +52,7 @@
     return rows;
   }
 
-  /** Opens it to add rows. */
+  /** Opens the file to append rows. */
   static RowFile append(Path file) throws IOException {
     return new RowFile(Files.newBufferedWriter(file, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
         StandardOpenOption.APPEND));
--- a/lab/src/main/java/lemondeal/lab/experiment/Statistics.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/Statistics.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** Means with their confidence intervals, and differences of paired runs (Student's t; 95%). */
+/** Means and differences of paired runs, with their 95% confidence intervals (Student's t). */
 final class Statistics {
   private static final double TAIL = 0.025;
 
   /**
-   * A mean and how far the true one may lie from it.
+   * A mean and its confidence interval.
    *
-   * @param half half the width of the 95% interval; not a number for a single value
+   * @param halfWidth half the width of the 95% confidence interval; not a number for a single value
    */
   record Mean(double mean, double halfWidth, int count) {
-    /** Whether the interval leaves 0 out: only then is a difference called one. */
+    /** Whether the interval excludes 0. */
     boolean isSignificant() {
       return count > 1 && Math.abs(mean) > halfWidth;
     }
@@ -39,7 +39,7 @@
     return new Mean(mean, standardError * TDistribution.of(count - 1).inverseSurvivalProbability(TAIL), count);
   }
 
-  /** The mean of the differences of two lists, paired by place. */
+  /** The mean of the differences of two lists, paired by index. */
   static Mean difference(List<Double> first, List<Double> second) {
     List<Double> differences = new java.util.ArrayList<>();
     for (int i = 0; i < first.size(); i++) {
--- a/lab/src/test/java/lemondeal/lab/emulator/ModelsTest.java
+++ b/lab/src/test/java/lemondeal/lab/emulator/ModelsTest.java
@@ -9,16 +9,17 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.junit.jupiter.api.Test;
 
-/** The emulator's models against what theory says of them. */
+/** Compares the emulator's models with queueing theory. */
 class ModelsTest {
   private static final long SECOND = Scenario.SECOND;
 
-  private static Server server(EventScheduler scheduler, double cores, double coldCapacityShare, long warmUpTime, long startedAt) {
-    return new Server(scheduler, "s", new Scenario.ServerPool("f", 1, cores, 1, 1_000_000, 1_000_000, coldCapacityShare, warmUpTime, 0), 0, 0, 0,
-        1, startedAt);
+  private static Server server(EventScheduler scheduler, double cores, double coldCapacityShare, long warmUpTime,
+      long startedAt) {
+    return new Server(scheduler, "s", new Scenario.ServerPool("f", 1, cores, 1, 1_000_000, 1_000_000, coldCapacityShare,
+        warmUpTime, 0), 0, 0, 0, 1, startedAt);
   }
 
-  /** The probability that a job waits in an M/M/c queue (Erlang's C formula). */
+  /** The probability that a job waits in an M/M/c queue (Erlang C formula). */
   private static double erlangC(int cores, double offeredLoad) {
     double term = 1;
     double sum = 1;
@@ -30,7 +31,9 @@
     return waitingTerm / (sum + waitingTerm);
   }
 
-  /** Mean time in an M/M/c queue, for one, three and eight cores at several loads, against Erlang's formula. */
+  /**
+   * Compares the mean time in an M/M/c queue with the Erlang C formula, for one, three and eight cores at two loads.
+   */
   @Test
   void setUpTimesMatchErlangC() {
     double serviceSeconds = 0.02;
@@ -55,13 +58,15 @@
         scheduler.at(0, nextArrival[0]);
         scheduler.runUntil(Long.MAX_VALUE / 2);
         double meanTime = times.stream().mapToLong(Long::longValue).average().orElseThrow() / SECOND;
-        double expected = serviceSeconds + erlangC(cores, utilization * cores) * serviceSeconds / (cores * (1 - utilization));
-        assertEquals(1, meanTime / expected, 0.05, cores + " cores at " + utilization + ": " + meanTime + " against " + expected);
+        double expected = serviceSeconds
+            + erlangC(cores, utilization * cores) * serviceSeconds / (cores * (1 - utilization));
+        assertEquals(1, meanTime / expected, 0.05,
+            cores + " cores at utilization " + utilization + ": " + meanTime + " s, expected " + expected + " s");
       }
     }
   }
 
-  /** What a cold server works off in its warm-up: the integral of its rising capacity. */
+  /** During its warm-up a cold server does as much work as the integral of its rising capacity. */
   @Test
   void coldServerProcessesTheIntegralOfItsCapacity() {
     EventScheduler scheduler = new EventScheduler();
@@ -76,12 +81,12 @@
     nextJob[0].run();
     scheduler.runUntil(8 * SECOND);
     double expected = 2 * 1_000.0 * 8 * (0.25 + 1) / 2;
-    assertEquals(1, finishedJobs[0] / expected, 0.01, finishedJobs[0] + " jobs against " + expected);
+    assertEquals(1, finishedJobs[0] / expected, 0.01, finishedJobs[0] + " jobs, expected " + expected);
     assertEquals(1, server.warmUpShare(8 * SECOND));
     assertEquals(0.625, server.warmUpShare(4 * SECOND), 1e-9);
   }
 
-  /** Load beyond the capacity piles up and is worked off when there is room: messages wait for it. */
+  /** Load above the capacity builds up a backlog, for which messages wait, and which is worked off when load drops. */
   @Test
   void loadAboveCapacityBuildsABacklog() {
     EventScheduler scheduler = new EventScheduler();
@@ -91,7 +96,7 @@
     scheduler.runUntil(4 * SECOND);
     server.update();
     assertEquals(2, server.backlogSeconds(), 1e-6);
-    assertEquals(0, server.shareInTime(SECOND), "behind by more than the aim");
+    assertEquals(0, server.shareInTime(SECOND), "the backlog is longer than the latency target");
     server.changeLoad(-1 * SECOND);
     scheduler.runUntil(6 * SECOND);
     server.update();
@@ -100,10 +105,10 @@
     server.update();
     assertEquals(0, server.backlogSeconds(), 1e-6);
     server.setSlowdown(4);
-    assertEquals(2, server.utilization(), 1e-9, "four times slower at half its load");
+    assertEquals(2, server.utilization(), 1e-9, "half load at a slowdown of four");
   }
 
-  /** A set-up that is called off at the very instant of its end does not end, and one cancelled twice is no fault. */
+  /** An event cancelled at its own time does not run, and a second cancel has no effect. */
   @Test
   void cancelAtTheSameInstantTakesEffect() {
     EventScheduler scheduler = new EventScheduler();
@@ -137,7 +142,7 @@
     for (int i = 0; i < 200_000; i++) {
       sum += logNormal.sample();
     }
-    assertEquals(5, sum / 200_000, 0.15, "the mean is the mean whatever the sigma");
+    assertEquals(5, sum / 200_000, 0.15, "the mean must not depend on sigma");
     int[] counts = new int[2];
     var weighted = first.weighted("weights", new double[] {3, 1});
     for (int i = 0; i < 40_000; i++) {
@@ -146,7 +151,7 @@
     assertEquals(3, counts[0] / (double) counts[1], 0.15);
   }
 
-  /** The store is one queue with a fixed rate: a burst waits its turn. */
+  /** The session store is one queue with a fixed rate, so calls of a burst wait. */
   @Test
   void sessionStoreIsOneQueue() {
     EventScheduler scheduler = new EventScheduler();
--- a/lab/src/test/java/lemondeal/lab/emulator/Scenarios.java
+++ b/lab/src/test/java/lemondeal/lab/emulator/Scenarios.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Small worlds for tests. */
+/** Small scenarios for tests. */
 final class Scenarios {
   static final long SECOND = Scenario.SECOND;
   static final Scenario.Network NETWORK = new Scenario.Network(500, 1_500);
@@ -18,11 +18,11 @@
   }
 
   static Scenario.ClientClass chat(double loadMillisPerSecond) {
-    return new Scenario.ClientClass("chat", 1, loadMillisPerSecond * 1_000, 0.8, 0.4, 8 * SECOND, 20 * SECOND, 1, 15_000, false,
-        500_000, 300_000, 2 * SECOND, 1);
+    return new Scenario.ClientClass("chat", 1, loadMillisPerSecond * 1_000, 0.8, 0.4, 8 * SECOND, 20 * SECOND, 1,
+        15_000, false, 500_000, 300_000, 2 * SECOND, 1);
   }
 
-  /** Two fleets of four in two zones behind four proxies, at about half of what they can bear. */
+  /** Two pools of four servers in two zones behind four proxies, at about half of their capacity. */
   static Scenario site(int seconds, Fault... faults) {
     return new Scenario(seconds, 5, 2, 4, List.of(pool("large", 4, 4), pool("small", 4, 1)), List.of(chat(10)), 45,
         List.of(), 0, 0, 0, NETWORK, NO_STORE, DISCOVERY, FRONT_END, RULES, List.of(faults));
--- a/lab/src/test/java/lemondeal/lab/emulator/SimulationTest.java
+++ b/lab/src/test/java/lemondeal/lab/emulator/SimulationTest.java
@@ -19,7 +19,10 @@
 import lemondeal.lab.emulator.policy.Policies;
 import org.junit.jupiter.api.Test;
 
-/** Whole runs: the same twice, through every fault, and each rule's breach caught. */
+/**
+ * Whole runs: they are repeatable, the project's policy keeps the rules during every fault, and breaches are
+ * detected.
+ */
 class SimulationTest {
   private static final long SECOND = Scenario.SECOND;
 
@@ -44,7 +47,7 @@
     }
   }
 
-  /** Arrivals, lives and loads are draws of their own: what a policy does leaves them alone. */
+  /** Arrivals, lifetimes and loads have random streams of their own, which the policy's decisions do not affect. */
   @Test
   void allPoliciesGetTheSameClients() {
     Scenario scenario = Scenarios.site(20);
@@ -54,7 +57,7 @@
     }
   }
 
-  /** The project's own policy keeps every rule through every fault there is, some at once. */
+  /** The project's own policy keeps every rule during each kind of fault, alone and with several faults at once. */
   @Test
   void lemondealKeepsAllRulesDuringEveryFault() {
     List<Fault> faults = List.of(new Fault(6 * SECOND, Fault.Kind.SLOW, 2, "large", 4, 4 * SECOND),
@@ -79,25 +82,28 @@
     }
   }
 
-  /** Days on which nothing can be done: none is a fault of the emulator's, and every request has its answer. */
+  /** Without working servers or proxies the emulator reports no breach, and every request gets its answer. */
   @Test
   void runsEndWithoutWorkingServersOrProxies() {
-    Simulation.Result withoutServers = simulate(Scenarios.site(20, new Fault(2 * SECOND, Fault.Kind.KILL, 0, "servers", 1, 0)), "lemondeal", 1);
+    Simulation.Result withoutServers = simulate(
+        Scenarios.site(20, new Fault(2 * SECOND, Fault.Kind.KILL, 0, "servers", 1, 0)), "lemondeal", 1);
     assertEquals(Map.of(), withoutServers.breachCounts(), withoutServers.breaches().toString());
-    assertTrue(withoutServers.figures().get("served") < 0.3, "nobody serves");
-    Simulation.Result withSlowServers = simulate(Scenarios.site(20, new Fault(2 * SECOND, Fault.Kind.SLOW, 0, "servers", 20, 0)), "lemondeal", 1);
+    assertTrue(withoutServers.figures().get("served") < 0.3, "no server is left");
+    Simulation.Result withSlowServers = simulate(
+        Scenarios.site(20, new Fault(2 * SECOND, Fault.Kind.SLOW, 0, "servers", 20, 0)), "lemondeal", 1);
     assertEquals(Map.of(), withSlowServers.breachCounts(), withSlowServers.breaches().toString());
-    Simulation.Result withoutProxies = simulate(Scenarios.site(20, new Fault(2 * SECOND, Fault.Kind.KILL, 0, "proxies", 1, 0)), "lemondeal", 1);
+    Simulation.Result withoutProxies = simulate(
+        Scenarios.site(20, new Fault(2 * SECOND, Fault.Kind.KILL, 0, "proxies", 1, 0)), "lemondeal", 1);
     assertEquals(Map.of(), withoutProxies.breachCounts(), withoutProxies.breaches().toString());
-    Simulation.Result withoutClients = simulate(new Scenario(5, 0, 1, 1, List.of(Scenarios.pool("f", 1, 1)), List.of(Scenarios.chat(1)), 0,
-        List.of(), 0, 0, 0, Scenarios.NETWORK, Scenarios.NO_STORE, Scenarios.DISCOVERY, Scenarios.FRONT_END, Scenarios.RULES,
-        List.of()), "lemondeal", 1);
+    Simulation.Result withoutClients = simulate(new Scenario(5, 0, 1, 1, List.of(Scenarios.pool("f", 1, 1)),
+        List.of(Scenarios.chat(1)), 0, List.of(), 0, 0, 0, Scenarios.NETWORK, Scenarios.NO_STORE, Scenarios.DISCOVERY,
+        Scenarios.FRONT_END, Scenarios.RULES, List.of()), "lemondeal", 1);
     assertEquals(0, withoutClients.figures().get("clients"));
   }
 
-  // ---- Policies that break a rule each ----------------------------------------------------------
+  // ---- Policies that break one rule each --------------------------------------------------------
 
-  /** Random choice, which spares nobody, with its answers changed on their way out. */
+  /** The random policy, which does not protect cold servers, with its actions changed so that they break a rule. */
   private abstract static class ManipulatedPolicy implements Balancer {
     private final Balancer module = Policies.byName("random").create(0, null);
 
@@ -128,14 +134,16 @@
       }
     }, 2);
     assertTrue(result.breachCounts().containsKey(rule), rule + " in " + result.breachCounts());
-    Breach firstBreach = result.breaches().stream().filter(breach -> breach.rule().equals(rule)).findFirst().orElseThrow();
+    Breach firstBreach = result.breaches().stream().filter(breach -> breach.rule().equals(rule)).findFirst()
+        .orElseThrow();
     assertTrue(firstBreach.time() > 0 && !firstBreach.subject().isEmpty(), firstBreach.toString());
   }
 
   @Test
   void eachRulesBreachIsDetectedWithItsTimeAndSubject() {
     Scenario withoutFaults = Scenarios.site(10);
-    assertBreachDetected("one-final-answer", withoutFaults, (now, event, actions) -> actions.removeIf(action -> action instanceof Send));
+    assertBreachDetected("one-final-answer", withoutFaults,
+        (now, event, actions) -> actions.removeIf(action -> action instanceof Send));
     assertBreachDetected("one-final-answer", withoutFaults, (now, event, actions) -> {
       if (event instanceof Arrived arrived) {
         actions.add(new Refuse(arrived.request().id(), 0));
@@ -156,7 +164,8 @@
         throw new IllegalStateException("broken");
       }
     });
-    assertBreachDetected("policy", withoutFaults, (now, event, actions) -> actions.add(now > SECOND ? null : new Balancer.Log("not yet")));
+    assertBreachDetected("policy", withoutFaults,
+        (now, event, actions) -> actions.add(now > SECOND ? null : new Balancer.Log("not yet")));
     Fault drain = new Fault(3 * SECOND, Fault.Kind.DRAIN, 1, "large", 1, 6 * SECOND);
     String[] drainingServer = new String[1];
     assertBreachDetected("drain", Scenarios.site(10, drain), (now, event, actions) -> {
@@ -165,7 +174,8 @@
             .forEach(entry -> drainingServer[0] = entry.server());
       }
       if (drainingServer[0] != null) {
-        actions.replaceAll(action -> action instanceof Send send ? new Send(send.id(), drainingServer[0], send.timeout()) : action);
+        actions.replaceAll(action ->
+            action instanceof Send send ? new Send(send.id(), drainingServer[0], send.timeout()) : action);
       }
     });
     Fault replace = new Fault(3 * SECOND, Fault.Kind.REPLACE, 1, "small", 1, SECOND);
@@ -176,17 +186,19 @@
             .forEach(entry -> coldServer[0] = entry.server());
       }
       if (coldServer[0] != null) {
-        actions.replaceAll(action -> action instanceof Send send ? new Send(send.id(), coldServer[0], send.timeout()) : action);
+        actions.replaceAll(action ->
+            action instanceof Send send ? new Send(send.id(), coldServer[0], send.timeout()) : action);
       }
     });
   }
 
-  /** A retry while the attempt before has ended is none: the checkers do not cry over what is allowed. */
+  /** A retry after the previous attempt has ended is allowed, so the checkers must report no breach. */
   @Test
   void sequentialAttemptsAreNoBreach() {
-    Simulation.Result result = simulate(Scenarios.site(15, new Fault(4 * SECOND, Fault.Kind.KILL, 2, "large", 1, 0)), "random", 3);
+    Simulation.Result result = simulate(
+        Scenarios.site(15, new Fault(4 * SECOND, Fault.Kind.KILL, 2, "large", 1, 0)), "random", 3);
     assertEquals(Map.of(), result.breachCounts(), result.breaches().toString());
-    assertTrue(result.figures().get("sends-per-setup") > 1.01, "some were sent again");
+    assertTrue(result.figures().get("sends-per-setup") > 1.01, "no attempt was repeated");
     assertTrue(result.figures().get("ended-no-connection") > 0);
   }
 }
--- a/lab/src/test/java/lemondeal/lab/emulator/policy/PoliciesTest.java
+++ b/lab/src/test/java/lemondeal/lab/emulator/policy/PoliciesTest.java
@@ -23,16 +23,16 @@
 import lemondeal.Balancer.Start;
 import org.junit.jupiter.api.Test;
 
-/** Each baseline behaves as its literature says. */
+/** Each baseline behaves as described in the literature. */
 class PoliciesTest {
   private static final int KEYS = 20_000;
   private int requestCount;
 
   private static Balancer.Settings settings() {
-    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, 500_000,
-        2_000_000, 1, 0);
-    return new Balancer.Settings(0, 1, 0, List.of(requestClass), List.of(), new Balancer.Rules(20_000, 1_000_000, 4, 2_000_000,
-        0.35, 9_000_000, 0), new Balancer.Limits(3, true, true, false, false, true, 2_000_000, 1_000_000),
+    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL,
+        0, 500_000, 2_000_000, 1, 0);
+    return new Balancer.Settings(0, 1, 0, List.of(requestClass), List.of(), new Balancer.Rules(20_000, 1_000_000, 4,
+        2_000_000, 0.35, 9_000_000, 0), new Balancer.Limits(3, true, true, false, false, true, 2_000_000, 1_000_000),
         new Balancer.Prices(0, 0, 0, 0, 0), Balancer.WeightMeaning.ROUGH, true, false, false, false, false, 1);
   }
 
@@ -88,7 +88,7 @@
     return movedKeys;
   }
 
-  /** Shares by weight, and only the keys of what changed are moved. */
+  /** Keys are distributed by weight, and a change of one server moves only keys from or to that server. */
   @Test
   void rendezvousFollowsWeightsWithMinimalDisruption() {
     Map<String, String> before = placeKeys(startPolicy("rendezvous", 1, 2, 3, 4));
@@ -97,28 +97,31 @@
       assertEquals((i + 1) / 10.0, counts.get("s" + i) / (double) KEYS, 0.012);
     }
     Map<String, String> withoutThird = placeKeys(startPolicy("rendezvous", 1, 2, 0, 4));
-    assertEquals(counts.get("s2"), countMoved(before, withoutThird), "only the keys of the one that left");
+    assertEquals(counts.get("s2"), countMoved(before, withoutThird), "only the removed server's keys may move");
     Map<String, String> withHeavierLast = placeKeys(startPolicy("rendezvous", 1, 2, 3, 8));
-    before.forEach((key, server) -> assertTrue(server.equals(withHeavierLast.get(key)) || withHeavierLast.get(key).equals("s3"),
-        "keys move to the one that grew alone"));
-    assertEquals(placeKeys(startPolicy("rendezvous", 1, 2, 3, 4)), before, "any proxy ranks alike");
+    before.forEach((key, server) -> assertTrue(
+        server.equals(withHeavierLast.get(key)) || withHeavierLast.get(key).equals("s3"),
+        "keys may move only to the server with the larger weight"));
+    assertEquals(placeKeys(startPolicy("rendezvous", 1, 2, 3, 4)), before, "all proxies must rank alike");
   }
 
-  /** Maglev's table: places by weight, and little beyond the keys of the one that left is moved. */
+  /** The table's entries are distributed by weight, and a removal moves few keys besides the removed server's. */
   @Test
   void maglevDividesItsTableByWeight() {
     Policies.Maglev maglev = new Policies.Maglev();
     maglev.on(0, new Start(1, settings()));
     maglev.on(0, list(1, 1, 2));
-    assertEquals(0.5, maglev.entryCount("s2") / (double) (maglev.entryCount("s0") + maglev.entryCount("s1") + maglev.entryCount("s2")), 0.01);
+    assertEquals(0.5, maglev.entryCount("s2")
+        / (double) (maglev.entryCount("s0") + maglev.entryCount("s1") + maglev.entryCount("s2")), 0.01);
     Map<String, String> before = placeKeys(startPolicy("maglev", 1, 1, 1, 1, 1, 1, 1, 1, 1, 1));
     Map<String, String> after = placeKeys(startPolicy("maglev", 1, 1, 1, 1, 0, 1, 1, 1, 1, 1));
     int keysOfRemoved = counts(before).get("s4");
     int movedKeys = countMoved(before, after);
-    assertTrue(movedKeys >= keysOfRemoved && movedKeys < 2.5 * keysOfRemoved, movedKeys + " moved, " + keysOfRemoved + " had to");
+    assertTrue(movedKeys >= keysOfRemoved && movedKeys < 2.5 * keysOfRemoved,
+        movedKeys + " keys moved; at least " + keysOfRemoved + " have to");
   }
 
-  /** Nobody has more than a quarter over its share, also of connections that stand. */
+  /** No server gets more than 1.25 times its share, with established connections counted. */
   @Test
   void boundedLoadRingKeepsItsBound() {
     Balancer module = startPolicy("ring-bounded", 1, 1, 1, 1, 1);
@@ -133,7 +136,10 @@
     }
   }
 
-  /** Two choices spread far better than one (balls into bins), least connections best of all by their own count. */
+  /**
+   * Two choices balance much better than one (balls into bins). Least connections and round robin, with a single proxy,
+   * balance perfectly.
+   */
   @Test
   void twoChoicesBalanceBetterThanRandom() {
     int bins = 100;
@@ -151,10 +157,11 @@
     assertEquals(10, maxConnections.get("least-connections"));
     assertEquals(10, maxConnections.get("round-robin"));
     assertTrue(maxConnections.get("two-choices") <= 13, maxConnections.toString());
-    assertTrue(maxConnections.get("random") >= 16, maxConnections + ": the fullest of 100 bins with 10 balls each on average");
+    assertTrue(maxConnections.get("random") >= 16,
+        maxConnections + ": fullest of 100 bins with 10 balls each on average");
   }
 
-  /** A failed attempt goes to another server, and when the attempts are used up the client is told when to come. */
+  /** A failed attempt is followed by one on another server, and the last one by a refusal with a retry-after time. */
   @Test
   void attemptsUseOtherServersAndEndWithRetryAfter() {
     for (String policy : Policies.names()) {
@@ -165,8 +172,8 @@
       Request request = request("k");
       List<String> triedServers = new ArrayList<>(List.of(sendRequest(module, request)));
       for (int attempt = 0; attempt < 3; attempt++) {
-        Action action = module.on(2, new Ended(request.id(), attempt, triedServers.get(attempt), Outcome.NO_CONNECTION, 1, false,
-            null)).get(0);
+        Action action = module.on(2, new Ended(request.id(), attempt, triedServers.get(attempt), Outcome.NO_CONNECTION,
+            1, false, null)).get(0);
         if (action instanceof Send send) {
           triedServers.add(send.server());
         } else {
--- a/lab/src/test/java/lemondeal/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/lemondeal/lab/experiment/ExperimentTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** Experiments from their file to their folder: every mistake told, the same result however it was played. */
+/** Experiments from their file to their result folder: errors in the file, repeatable results, and the commands. */
 class ExperimentTest {
   private static final String VALID = """
       version: 1
@@ -63,29 +63,33 @@
   void everyErrorIsReportedWithItsLocationAndAllowedValues() throws IOException {
     assertEquals(List.of("scenario.fleets[0].cores: found 0; allowed: cores, above 0 to 1024"),
         readErrors(replaced("count: 3, cores: 2", "count: 3, cores: 0")));
-    assertEquals(List.of("scenario: unknown key 'sonds'; allowed: " + "the keys seconds, settle, zones, proxies, fleets, "
+    assertEquals(List.of("scenario: unknown key 'sonds'; allowed: the keys seconds, settle, zones, proxies, fleets, "
         + "classes, per_second, bursts, groups, network, store, discovery, front, rules and faults"),
         readErrors(replaced("zones: 2", "sonds: 2")));
     assertEquals(List.of("scenario: the key 'seconds' is missing; allowed: a whole number of seconds, 1 to 86400"),
         readErrors(replaced("  seconds: 8\n", "")));
-    assertEquals(List.of("policies: found 'best'; allowed: lemondeal, random, round-robin, least-connections, two-choices, "
-        + "rendezvous, modulo, carp, ring, ring-bounded, maglev, full-knowledge"), readErrors(replaced("[lemondeal, random]", "[lemondeal, best]")));
-    assertEquals(List.of("policies: 'random' stands twice; allowed: each policy once"),
+    assertEquals(List.of("policies: found 'best'; allowed: lemondeal, random, round-robin, least-connections, two-choices"
+        + ", rendezvous, modulo, carp, ring, ring-bounded, maglev, full-knowledge"),
+        readErrors(replaced("[lemondeal, random]", "[lemondeal, best]")));
+    assertEquals(List.of("policies: 'random' is listed twice; allowed: each policy once"),
         readErrors(replaced("[lemondeal, random]", "[random, random]")));
     assertEquals(List.of("scenario.faults[0]: column 17: found 'huge'; allowed: large, small, servers"),
         readErrors(replaced("slow 1 of large", "slow 1 of huge")));
-    assertTrue(readErrors(replaced("[served, setup-p99-ms]", "[sold]")).get(0).startsWith("measure: found 'sold'; allowed: served, worst-10s"));
+    assertTrue(readErrors(replaced("[served, setup-p99-ms]", "[sold]")).get(0)
+        .startsWith("measure: found 'sold'; allowed: served, worst-10s"));
     assertEquals(List.of("expect[0]: column 11: found the policy 'maglev'; allowed: lemondeal, random"),
         readErrors(replaced("served of lemondeal > 0.5", "served of maglev > 0.5")));
-    assertEquals(List.of("baseline: found 'maglev'; allowed: lemondeal, random"), readErrors(VALID + "baseline: maglev\n"));
-    assertEquals(List.of("sweep: found 'fleets.9.cores', which leads nowhere in scenario; allowed: a path such as per_second "
-        + "or fleets.0.cores"), readErrors(VALID + "sweep: {fleets.9.cores: [1, 2]}\n"));
+    assertEquals(List.of("baseline: found 'maglev'; allowed: lemondeal, random"),
+        readErrors(VALID + "baseline: maglev\n"));
+    assertEquals(List.of("sweep: found 'fleets.9.cores', which does not exist in scenario; allowed: a path such as "
+        + "per_second or fleets.0.cores"), readErrors(VALID + "sweep: {fleets.9.cores: [1, 2]}\n"));
     assertTrue(readErrors(VALID + "sweep: {fleets.0.cores: [1, -2]}\n").get(0)
         .contains("sweep {fleets.0.cores=-2}: scenario.fleets[0].cores: found -2; allowed: cores, above 0 to 1024"));
-    assertTrue(readErrors("version: 1\nversion: 1\n").get(0).startsWith("line 2"), "a key that stands twice");
-    assertTrue(readErrors("a: [").get(0).startsWith("line "), "no YAML");
+    assertTrue(readErrors("version: 1\nversion: 1\n").get(0).startsWith("line 2"), "a duplicate key");
+    assertTrue(readErrors("a: [").get(0).startsWith("line "), "invalid YAML");
     assertTrue(readErrors("").get(0).contains("found"));
-    assertEquals(2, readErrors(replaced("zones: 2", "zones: 0").replace("per_second: 30", "per_second: many")).size(), "all at once");
+    assertEquals(2, readErrors(replaced("zones: 2", "zones: 0").replace("per_second: 30", "per_second: many")).size(),
+        "all errors must be reported at once");
   }
 
   @Test
@@ -108,7 +112,8 @@
     StringBuilder description = new StringBuilder();
     try (PrintStream quiet = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8)) {
       List<Row> resultRows = new ExperimentRunner(experiment, threads, quiet).run(rows);
-      resultRows.forEach(row -> description.append(row.key()).append(' ').append(row.digest()).append(' ').append(row.figures()).append('\n'));
+      resultRows.forEach(row -> description.append(row.key()).append(' ').append(row.digest()).append(' ')
+          .append(row.figures()).append('\n'));
       description.append(new Report(experiment, resultRows).markdown());
     }
     return description.toString();
@@ -119,7 +124,7 @@
     assertEquals(runAndDescribe(1, folder.resolve("one")), runAndDescribe(8, folder.resolve("eight")));
   }
 
-  /** Broken off at any byte of its rows and played on: as if it had never been. */
+  /** An experiment interrupted at any byte of its rows file gives the same result after it is resumed. */
   @Test
   void interruptedExperimentResumes() throws Exception {
     Path rows = folder.resolve("rows");
@@ -133,7 +138,7 @@
       assertEquals(complete, runAndDescribe(4, rows), "cut at " + length);
     }
     Files.writeString(rows, "no row\n");
-    assertTrue(assertThrows(IOException.class, () -> RowFile.read(rows)).getMessage().contains("no row"));
+    assertTrue(assertThrows(IOException.class, () -> RowFile.read(rows)).getMessage().contains("invalid row"));
   }
 
   private static int runLab(StringWriter output, String... arguments) {
@@ -155,20 +160,23 @@
         "experiment.yaml", "machine.txt")) {
       assertTrue(Files.size(folder.resolve("results/one").resolve(name)) > 20, name);
     }
-    assertEquals(9, Files.readAllLines(folder.resolve("results/one/rows.csv")).size(), "a head and a row a run");
+    assertEquals(9, Files.readAllLines(folder.resolve("results/one/rows.csv")).size(),
+        "a header and one row for each run");
     assertEquals(0, runLab(output = new StringWriter(), "list", folder.resolve("results").toString()));
     assertTrue(output.toString().contains("one: 8 runs; Does it play?"), output.toString());
     writeFile(replaced("served of lemondeal > 0.5", "served of lemondeal > 1"));
     assertEquals(2, runLab(output = new StringWriter(), "run", file.toString(), "--out", firstFolder));
     assertTrue(output.toString().contains("holds the rows of another experiment"), output.toString());
     String secondFolder = folder.resolve("results/two").toString();
-    assertEquals(1, runLab(output = new StringWriter(), "run", file.toString(), "--out", secondFolder), "an expectation does not hold");
+    assertEquals(1, runLab(output = new StringWriter(), "run", file.toString(), "--out", secondFolder),
+        "an expectation does not hold");
     assertTrue(output.toString().contains("DOES NOT HOLD: served of lemondeal > 1"), output.toString());
     assertEquals(0, runLab(output = new StringWriter(), "compare", firstFolder, secondFolder));
-    assertFalse(output.toString().contains("| lemondeal | served"), "the same runs do not differ: " + output);
+    assertFalse(output.toString().contains("| lemondeal | served"), "equal runs must not differ: " + output);
     writeFile(replaced("per_second: 30", "per_second: 80"));
     String thirdFolder = folder.resolve("results/three").toString();
-    assertEquals(0, runLab(output = new StringWriter(), "run", file.toString(), "--out", thirdFolder), output.toString());
+    assertEquals(0, runLab(output = new StringWriter(), "run", file.toString(), "--out", thirdFolder),
+        output.toString());
     assertEquals(0, runLab(output = new StringWriter(), "compare", firstFolder, thirdFolder));
     assertTrue(output.toString().contains("| lemondeal | clients |"), output.toString());
     assertEquals(2, runLab(output = new StringWriter(), "compare", firstFolder, folder.toString()));
@@ -179,7 +187,10 @@
     assertEquals(2, runLab(new StringWriter(), "run", file.toString(), "--threads", "0"));
   }
 
-  /** Student's t for ten values, as tables have it, and a difference that is one only when its interval says so. */
+  /**
+   * The interval of ten values matches tables of Student's t; a difference is significant only if its interval
+   * excludes 0.
+   */
   @Test
   void meansHaveConfidenceIntervals() {
     Statistics.Mean mean = Statistics.mean(List.of(1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 10.0));
@@ -188,6 +199,6 @@
     assertTrue(Statistics.difference(List.of(1.1, 2.1, 3.2), List.of(1.0, 2.0, 3.0)).mean() > 0);
     assertFalse(Statistics.difference(List.of(1.0, 3.0, 2.0), List.of(2.0, 1.0, 2.5)).isSignificant());
     assertTrue(Statistics.difference(List.of(2.0, 3.0, 4.1), List.of(1.0, 2.0, 3.0)).isSignificant());
-    assertFalse(Statistics.mean(List.of(3.0)).isSignificant(), "one value says nothing of its spread");
+    assertFalse(Statistics.mean(List.of(3.0)).isSignificant(), "a single value has no variance");
   }
 }
