--- a/lab/src/main/java/lemondeal/lab/emulator/Client.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Client.java
@@ -7,7 +7,7 @@
  * precedence.
  */
 final class Client {
-  enum State { AWAY, WAITING, CONNECTED, GONE }
+  enum State { DISCONNECTED, WAITING, CONNECTED, LEFT }
 
   private final Simulation simulation;
   private final long number;
@@ -17,7 +17,7 @@
   private final String key;
   private final double load;
   private final long leaveTime;
-  private State state = State.AWAY;
+  private State state = State.DISCONNECTED;
   private int rejections;
   private int requestCount;
   private boolean reconnecting;
@@ -87,7 +87,7 @@
 
   /** Requests a connection through the front end balancer; retries later if no proxy is available. */
   void requestConnection() {
-    if (state != State.AWAY) {
+    if (state != State.DISCONNECTED) {
       return;
     }
     if (simulation.scheduler().now() >= leaveTime) {
@@ -136,7 +136,7 @@
 
   /** The request was refused or failed; {@code retryAfter} is the proxy's advice, 0 if it gave none. */
   void rejected(long retryAfter) {
-    state = State.AWAY;
+    state = State.DISCONNECTED;
     Scenario.FrontEnd frontEnd = simulation.scenario().frontEnd();
     if (++rejections >= frontEnd.maxRejections()) {
       simulation.figures().gaveUp(classIndex);
@@ -153,7 +153,7 @@
     cancelLoadChange();
     connection = null;
     reconnecting = true;
-    state = State.AWAY;
+    state = State.DISCONNECTED;
     simulation.scheduler().after(
         (long) (simulation.scenario().frontEnd().reconnectDelay() * (0.5 + simulation.nextRetryJitter())),
         this::requestConnection);
@@ -161,8 +161,8 @@
 
   private void leave() {
     cancelLoadChange();
-    if (state != State.GONE) {
-      state = State.GONE;
+    if (state != State.LEFT) {
+      state = State.LEFT;
       simulation.clientLeft(this);
     }
   }
