--- a/lab/src/main/java/lemondeal/lab/emulator/RuleCheckers.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/RuleCheckers.java
@@ -103,7 +103,7 @@
 
   // ---- Rules ------------------------------------------------------------------------------------
 
-  /** Each request gets exactly one final answer, by its deadline. */
+  /** Each request gets exactly one final answer, at the latest at its deadline plus the answer slack. */
   static final class OneFinalAnswer extends Checker {
     private final Set<String> unanswered = new HashSet<>();
 
--- a/lab/src/test/java/lemondeal/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/lemondeal/lab/experiment/ExperimentTest.java
@@ -68,8 +68,8 @@
         readErrors(replaced("zones: 2", "sonds: 2")));
     assertEquals(List.of("scenario: the key 'seconds' is missing; allowed: a whole number of seconds, 1 to 86400"),
         readErrors(replaced("  seconds: 8\n", "")));
-    assertEquals(List.of("policies: found 'best'; allowed: lemondeal, random, round-robin, least-connections, two-choices"
-        + ", rendezvous, modulo, carp, ring, ring-bounded, maglev, full-knowledge"),
+    assertEquals(List.of("policies: found 'best'; allowed: lemondeal, random, round-robin, least-connections, "
+        + "two-choices, rendezvous, modulo, carp, ring, ring-bounded, maglev, full-knowledge"),
         readErrors(replaced("[lemondeal, random]", "[lemondeal, best]")));
     assertEquals(List.of("policies: 'random' is listed twice; allowed: each policy once"),
         readErrors(replaced("[lemondeal, random]", "[random, random]")));
--- a/lab/src/test/java/lemondeal/lab/experiment/ExpressionsTest.java
+++ b/lab/src/test/java/lemondeal/lab/experiment/ExpressionsTest.java
@@ -80,8 +80,8 @@
   }
 
   private static final String[] WORDS = {"at", "1s", "200ms", "slow", "kill", "3", "0.5", "of", "large", "all", "by",
-      "for", "cut", "zone", "store", "discovery", "down", "reconnect", "clients", "served", ">=", "*", "random", "§", "-",
-      "\t"};
+      "for", "cut", "zone", "store", "discovery", "down", "reconnect", "clients", "served", ">=", "*", "random",
+      "§", "-", "\t"};
 
   /** Any sequence of words is parsed, or rejected with a message that says what is allowed. */
   @Property(seed = "3", tries = 2000)
