--- a/lab/src/main/java/lemondeal/lab/soak/Attempt.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Attempt.java
@@ -1,21 +1,21 @@
 package lemondeal.lab.soak;
 
-/** One first line that reached a server, as that server saw it. Times are of {@link System#nanoTime}. */
+/** One attempt of a request, as the server that received it saw it. Times are of {@link System#nanoTime}. */
 final class Attempt {
   final ServerIdentity server;
   final int proxy;
   final long receivedAt;
-  /** Whether it came over a network that may hold, lose or cut it: its times and ends are not the proxy's alone then. */
+  /** Whether it came through a relay, which may delay, reset or cut it: its times and end are not the proxy's alone. */
   final boolean relayed;
-  /** Whether the server may have acted on it: all but those that it turned away. */
+  /** Whether the server may have executed it; false only for requests that it refused. */
   volatile boolean mayHaveRun = true;
-  /** Whether the server would see the proxy end this connection. */
+  /** Whether the server would notice that the proxy closes this connection. */
   volatile boolean closeDetectable = true;
   /** When the connection ended, or 0. */
   volatile long endedAt;
   /** Whether the server ended it, or stopped answering on it, before the proxy did. */
   volatile boolean abandonedByServer;
-  /** When the server stopped to serve it, or 0. */
+  /** When the server stopped serving it, or 0. */
   volatile long abandonedAt;
   volatile String receipt;
 
@@ -27,7 +27,7 @@
     closeDetectable = !relayed;
   }
 
-  /** The server serves this connection no more, in whatever way. */
+  /** Records that the server no longer serves this connection, for whatever reason. */
   void markAbandoned() {
     if (abandonedAt == 0) {
       abandonedAt = System.nanoTime();
--- a/lab/src/main/java/lemondeal/lab/soak/BadClient.java
+++ b/lab/src/main/java/lemondeal/lab/soak/BadClient.java
@@ -6,19 +6,18 @@
 import java.util.concurrent.TimeUnit;
 import lemondeal.lab.LineConnection;
 
-/** A client that does not keep to the protocol, and is owed an error or an end within three seconds. */
+/** A client that violates the protocol. The proxy must answer with an error or close the connection within 3 s. */
 final class BadClient implements Runnable {
-  /** What it does. */
   enum Kind {
-    /** Connects and says nothing. */
+    /** Connects and sends nothing. */
     SILENT(""),
-    /** Stops in the middle of its first line. */
+    /** Stops sending in the middle of the request line. */
     HALF_LINE("OPEN 00000000"),
     GARBAGE("\u0001\u0002 what is this\r\n"),
     UNKNOWN_CLASS("OPEN %016x key c=nothing,d=500\r\n"),
     NO_DEADLINE("OPEN %016x key c=read\r\n"),
     ENDLESS("x".repeat(64 * 1024)),
-    /** Sends on without waiting for its answer. */
+    /** Sends more data without waiting for its answer. */
     IMPATIENT("OPEN %016x key c=nothing,d=500\r\nmore\r\n"),
     ENDS_AT_ONCE("OPEN");
 
@@ -31,7 +30,7 @@
 
   private static final long MAX_KEPT_MILLIS = 3_000;
   private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
-  /** Ids of bad clients, apart from those of others. */
+  /** Start of the range of ids for bad clients, separate from the ids of other clients. */
   private static final long FIRST_ID = 0x7f00000000000000L;
 
   private final RuleChecker checker;
@@ -68,7 +67,7 @@
             + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt) + " ms");
       }
     } catch (IOException e) {
-      // An end, if not a polite one.
+      // The proxy has closed the connection, with a reset; that is allowed.
     }
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/DiscoveryEndpoint.java
+++ b/lab/src/main/java/lemondeal/lab/soak/DiscoveryEndpoint.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Discovery as one proxy sees it, over HTTP at an address of its own, so that it can fail for this proxy alone. */
+/** Discovery for one proxy: an HTTP server on a separate port, so that discovery can fail for this proxy alone. */
 final class DiscoveryEndpoint implements AutoCloseable {
-  /** How it answers. All but UP count as out of reach. */
+  /** How it answers. In every mode but UP, discovery counts as unreachable. */
   enum Mode { UP, DOWN, SILENT, SLOW, UNAVAILABLE, DRIBBLES }
 
   private static final int BACKLOG = 64;
@@ -29,9 +29,9 @@
   private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
   private volatile ServerSocket socket;
   private volatile Mode mode = Mode.UP;
-  /** Watches of an earlier epoch have fallen silent. */
+  /** Watches that were opened in an earlier epoch send nothing any more. */
   private volatile int watchEpoch;
-  /** Counts the proxy's processes: what is still written to one that has ended tells the next one nothing. */
+  /** Number of the proxy's current process: data written to an earlier process does not notify the current one. */
   private volatile int processNumber;
 
   DiscoveryEndpoint(ServerListing listing, DrainChecker drainChecker, int proxy) throws IOException {
@@ -47,7 +47,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  /** From now on it answers so; a watch ends when it goes down. */
+  /** Sets the mode. DOWN also closes all open watches. */
   synchronized void mode(Mode newMode) throws IOException {
     boolean wasDown = mode == Mode.DOWN;
     boolean wasUp = mode == Mode.UP;
@@ -60,19 +60,19 @@
       accept(socket);
     }
     if (!wasUp && !wasDown) {
-      // A call or watch of before may be silent still.
+      // A request or watch opened in the previous mode may still receive nothing.
       drainChecker.watchesStalled(proxy);
     }
     drainChecker.setReachable(proxy, newMode == Mode.UP);
   }
 
-  /** All open watches fall silent and stay open; new calls are answered. */
+  /** Open watches receive nothing any more but stay open; new requests are answered. */
   void stallWatches() {
     watchEpoch++;
     drainChecker.watchesStalled(proxy);
   }
 
-  /** The proxy's process begins. */
+  /** Called when a new process of the proxy has been started. */
   void processStarted() {
     processNumber++;
   }
@@ -92,7 +92,7 @@
           Threads.start("discovery", () -> answer(accepted));
         }
       } catch (IOException e) {
-        // Closed.
+        // The listening socket was closed.
       }
     });
   }
@@ -134,18 +134,18 @@
       } else {
         ServerListing.Changes all = listing.currentList();
         String body = ServerListing.json(all, true, proxy);
-        write(accepted, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length() + "\r\n\r\n"
-            + body);
+        write(accepted, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
+            + "\r\n\r\n" + body);
         recordNotified(callerProcessNumber, all);
       }
     } catch (IOException | InterruptedException e) {
-      // The proxy ended the call, or discovery went down.
+      // The proxy closed the connection, or discovery went down.
     } finally {
       openConnections.remove(accepted);
     }
   }
 
-  /** The request's head, or null at the end of the connection. */
+  /** Returns the head of the request, or null at the end of the connection. */
   private static String readRequest(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     for (int b = in.read(); b >= 0; b = in.read()) {
@@ -174,7 +174,10 @@
     }
   }
 
-  /** What is written to a watch that the proxy has ended, or that its process has left, is told to nobody. */
+  /**
+   * Whether the proxy has closed this watch, or its process has ended. Data written to such a watch would wrongly count
+   * as received.
+   */
   private static boolean isClosedByProxy(Socket accepted) throws IOException {
     accepted.setSoTimeout(1);
     try {
@@ -186,7 +189,8 @@
     }
   }
 
-  private void watch(Socket accepted, int callerProcessNumber, long sinceVersion) throws IOException, InterruptedException {
+  private void watch(Socket accepted, int callerProcessNumber, long sinceVersion)
+      throws IOException, InterruptedException {
     int openedInEpoch = watchEpoch;
     write(accepted, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
     ServerListing.Changes changes = sinceVersion <= 0 ? listing.currentList() : listing.changes(sinceVersion);
--- a/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
+++ b/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
@@ -4,11 +4,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Until when each proxy may send to a server that drains or has been removed. Times are of {@link System#nanoTime}. */
+/**
+ * Checks that each proxy stops sending to a server soon after the server drains or is removed from the list. Times are
+ * of {@link System#nanoTime}.
+ */
 final class DrainChecker {
-  /** Whatever call failed, a change counts as told so long after discovery had it and could be reached. */
+  /** A proxy must know of a change this long after discovery has it and is reachable, whatever request failed. */
   private static final long MAX_NOTIFICATION_SECONDS = 6;
-  /** STANDING: after SIGHUP what is pushed counts so much later. */
+  /** STANDING: after SIGHUP, pushed changes count as received only after this time. */
   private static final long PUSH_AFTER_RELOAD_SECONDS = 4;
   private static final long SLACK_MILLIS = 50;
 
@@ -20,10 +23,13 @@
   private final boolean pushed;
   private final Map<ServerAndProxy, Long> recordNotified = new ConcurrentHashMap<>();
   private final Map<Integer, Long> reachableSince = new ConcurrentHashMap<>();
-  /** From when on what is pushed to a proxy counts at once. */
+  /** The time from which a change pushed to a proxy counts as received at once, by proxy. */
   private final Map<Integer, Long> pushEffectiveFrom = new ConcurrentHashMap<>();
 
-  /** {@code pushed}: what discovery has counts as told to a proxy that can reach it, whether or not a watch is open. */
+  /**
+   * @param pushed whether a proxy that can reach discovery counts as notified of a change at once, with or without an
+   *     open watch
+   */
   DrainChecker(ServerListing listing, RuleChecker checker, long graceMillis, boolean pushed) {
     this.listing = listing;
     this.checker = checker;
@@ -31,18 +37,18 @@
     this.pushed = pushed;
   }
 
-  /** The proxy's process begins: it has been told nothing, and can reach discovery from now on. */
+  /** The proxy's process was started: it knows of no change yet, and can reach discovery from now on. */
   void processStarted(int proxy) {
     recordNotified.keySet().removeIf(key -> key.proxy == proxy);
     reachableSince.put(proxy, System.nanoTime());
   }
 
-  /** Its watches fall silent: what they miss counts as told so much later. */
+  /** The proxy's watches send nothing any more: changes count as received only after the longest notification time. */
   void watchesStalled(int proxy) {
     pushEffectiveFrom.merge(proxy, System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_NOTIFICATION_SECONDS), Math::max);
   }
 
-  /** It is told to read its configuration anew. */
+  /** The proxy is about to be ordered to reload its configuration. */
   void reloaded(int proxy) {
     pushEffectiveFrom.merge(proxy, System.nanoTime() + TimeUnit.SECONDS.toNanos(PUSH_AFTER_RELOAD_SECONDS), Math::max);
   }
@@ -60,12 +66,12 @@
     }
   }
 
-  /** From now on the proxy can reach its discovery, or not until told otherwise. */
+  /** Sets whether the proxy can reach its discovery. */
   void setReachable(int proxy, boolean reachable) {
     reachableSince.put(proxy, reachable ? System.nanoTime() : Long.MAX_VALUE);
   }
 
-  /** A server got a first line from a proxy. */
+  /** Checks a request that a server received from a proxy. */
   void checkReceived(String server, int proxy) {
     long now = System.nanoTime();
     ServerListing.Entry entry = listing.entry(server);
@@ -78,12 +84,16 @@
     long limitMillis = graceMillis + SLACK_MILLIS + checker.allowanceMillis();
     long afterMillis = TimeUnit.NANOSECONDS.toMillis(now - notifiedNanos);
     if (notifiedNanos != Long.MAX_VALUE && afterMillis > limitMillis) {
-      checker.reportViolation(Rule.SENT_TO_DRAINING, server + " (" + entry.lifecycle() + ") got a request from proxy " + proxy + " "
-          + afterMillis + " ms after that proxy was told, " + limitMillis + " allowed");
+      checker.reportViolation(Rule.SENT_TO_DRAINING, server + " (" + entry.lifecycle()
+          + ") received a request from proxy " + proxy + " " + afterMillis
+          + " ms after that proxy was notified, " + limitMillis + " ms allowed");
     }
   }
 
-  /** When the change counts as told, whether or not it was written; without end while discovery is out of reach. */
+  /**
+   * When the proxy is assumed to know of the change even if discovery has not written it to the proxy; never
+   * ({@link Long#MAX_VALUE}) while discovery is unreachable.
+   */
   private long assumedNotificationNanos(int proxy, long reachableNanos, ServerListing.Entry entry) {
     if (reachableNanos == Long.MAX_VALUE) {
       return Long.MAX_VALUE;
--- a/lab/src/main/java/lemondeal/lab/soak/Fault.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Fault.java
@@ -3,17 +3,16 @@
 /**
  * One fault of a plan.
  *
- * @param atMillis when it begins, from the start of the soak's traffic
- * @param forMillis how long it lasts, for those that last
- * @param target the proxy or server that it hits, by number
- * @param amount what else was drawn for it: a count, a choice or a size
+ * @param startMillis when it starts, relative to the start of the fault plan
+ * @param durationMillis how long it lasts, for kinds that have a duration
+ * @param target the number of the proxy or server that it affects
+ * @param drawnValue a random number from which the fault derives a count, a choice or a size
  */
 record Fault(Kind kind, long startMillis, long durationMillis, int target, int drawnValue) {
-  /** What can go wrong. */
   enum Kind {
     // Proxies.
     STOP, KILL, RELOAD_SETTINGS, RELOAD_DISCOVERY, PAUSE, TWO_RELOADS_AND_A_STOP,
-    // Their system.
+    // The operating system below a proxy.
     CLOCK_STEP, ACCEPT_FAILS, SOCKET_FAILS, CONNECT_FAILS, WAIT_INTERRUPTED, SHORT_IO,
     // Discovery.
     DISCOVERY_DOWN, DISCOVERY_SILENT, DISCOVERY_SLOW, DISCOVERY_UNAVAILABLE, DISCOVERY_DRIBBLES, WATCHES_FALL_SILENT,
--- a/lab/src/main/java/lemondeal/lab/soak/FaultInjector.java
+++ b/lab/src/main/java/lemondeal/lab/soak/FaultInjector.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import lemondeal.lab.site.NetworkConditions;
 
-/** Makes the faults of a plan happen, each on a thread of its own, and takes them back when their time is over. */
+/** Injects the faults of a plan and ends each one when its time is over. Each fault runs on a separate thread. */
 final class FaultInjector {
-  /** What a clock is stepped by, in turn. */
-  private static final List<Duration> CLOCK_STEPS = List.of(Duration.ofSeconds(2), Duration.ofSeconds(-2), Duration.ofHours(1),
-      Duration.ofHours(-1));
+  /** The steps of the wall clock; a fault's drawn value selects one. */
+  private static final List<Duration> CLOCK_STEPS = List.of(Duration.ofSeconds(2), Duration.ofSeconds(-2),
+      Duration.ofHours(1), Duration.ofHours(-1));
   private static final List<Errno> ACCEPT_ERRORS = List.of(Errno.ENFILE, Errno.ENOBUFS, Errno.ECONNABORTED);
   private static final List<Errno> CONNECT_ERRORS = List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.EAGAIN);
   private static final List<Errno> SOCKET_ERRORS = List.of(Errno.ENFILE, Errno.ENOBUFS);
   private static final int MAX_FAILING_CALLS = 6;
   private static final int MAX_SOCKET_BYTES = 32;
-  /** STANDING: a proxy may be held up for up to this long between reading its clock and writing. */
+  /** STANDING: the system may suspend a proxy for up to this long between reading its clock and writing. */
   private static final long MAX_PAUSE_MILLIS = 150;
-  /** More than any proxy of a soak has descriptors for. */
+  /** More than the descriptor limit of any proxy of a soak. */
   private static final int MAX_IDLE_CONNECTIONS = 600;
   private static final int BURST_CLIENTS = 40;
   private static final long NETWORK_DELAY_MILLIS = 30;
@@ -35,7 +35,6 @@
   private final ClientStarter clientStarter;
   private final Object[] proxyLocks;
 
-  /** Starts clients on demand. */
   interface ClientStarter {
     void startClient(SoakProxy proxy, SoakClient.Behavior behavior);
   }
@@ -54,7 +53,7 @@
     }
   }
 
-  /** Carries the fault out; returns when it is over. */
+  /** Injects the fault and returns when it is over. */
   void inject(Fault fault) {
     checker.increment(RuleChecker.Counter.FAULTS);
     try {
@@ -64,7 +63,7 @@
         injectAtProxy(fault, proxies.get(fault.target()));
       }
     } catch (IOException e) {
-      throw new IllegalStateException("the soak could not carry out " + fault, e);
+      throw new IllegalStateException("cannot inject the fault " + fault, e);
     }
   }
 
@@ -83,11 +82,13 @@
         case SERVER_SPOILT -> applyServerMode(fault, server, ServerMode.SPOILT);
         case SERVER_SLOW -> applyServerMode(fault, server, ServerMode.SLOW);
         case SERVER_CLOSES_IDLE -> applyServerMode(fault, server, ServerMode.CLOSES_IDLE);
-        case SERVER_NETWORK_DELAYS -> applyNetworkCondition(fault, server, NetworkConditions.delayed(NETWORK_DELAY_MILLIS, NETWORK_JITTER_MILLIS));
+        case SERVER_NETWORK_DELAYS -> applyNetworkCondition(fault, server,
+            NetworkConditions.delayed(NETWORK_DELAY_MILLIS, NETWORK_JITTER_MILLIS));
         case SERVER_NETWORK_LOSES -> applyNetworkCondition(fault, server, NetworkConditions.lossy(RESET_SHARE));
         case SERVER_NETWORK_STALLS -> applyNetworkCondition(fault, server, NetworkConditions.STALLED);
         case SERVER_NETWORK_CUT -> applyNetworkCondition(fault, server, NetworkConditions.CUT);
-        case SERVER_NETWORK_SLOW -> applyNetworkCondition(fault, server, NetworkConditions.throttled(SLOW_NETWORK_BYTES_PER_SECOND));
+        case SERVER_NETWORK_SLOW -> applyNetworkCondition(fault, server,
+            NetworkConditions.throttled(SLOW_NETWORK_BYTES_PER_SECOND));
         case SERVER_CRASHES -> {
           server.crash();
           Threads.sleepMillis(fault.durationMillis());
@@ -113,7 +114,7 @@
     }
   }
 
-  /** The network between the proxies and the server; a server that nothing stands before is left alone. */
+  /** Degrades the network between the proxies and the server; does nothing for a server without relays. */
   private static void applyNetworkCondition(Fault fault, SoakServer server, NetworkConditions condition) {
     if (server.setNetworkCondition(condition)) {
       Threads.sleepMillis(fault.durationMillis());
@@ -175,7 +176,8 @@
       case BAD_CLIENTS -> startBadClients(proxy, fault.drawnValue());
       case LEAVERS -> startBurst(proxy, SoakClient.Behavior.RESETS_EARLY, SoakClient.Behavior.LEAVES_EARLY);
       case BURST -> startBurst(proxy, SoakClient.Behavior.STAYS, SoakClient.Behavior.WRITES_IN_PIECES);
-      case IDLE_CROWD -> openIdleConnections(proxy, fault.durationMillis(), 1 + fault.drawnValue() % MAX_IDLE_CONNECTIONS);
+      case IDLE_CROWD -> openIdleConnections(proxy, fault.durationMillis(),
+          1 + fault.drawnValue() % MAX_IDLE_CONNECTIONS);
       default -> throw new IllegalArgumentException(fault.toString());
     }
   }
@@ -188,7 +190,7 @@
     void run() throws IOException;
   }
 
-  /** Orders to one process follow one another; one that is not up yet is left alone. */
+  /** Runs the actions on one process one after another; does nothing if the proxy is not in service. */
   private void runIfInService(SoakProxy proxy, ProcessAction action) throws IOException {
     synchronized (proxyLocks[proxy.number()]) {
       if (proxy.isInService()) {
@@ -238,14 +240,14 @@
     }
   }
 
-  /** Connections that say nothing, closed at the end all at once. */
+  /** Opens connections that send nothing, and closes all of them at the end. */
   private void openIdleConnections(SoakProxy proxy, long millis, int count) {
     List<Socket> connections = new ArrayList<>();
     for (int i = 0; i < count && proxy.isInService(); i++) {
       try {
         connections.add(new Socket(proxy.address().getAddress(), proxy.address().getPort()));
       } catch (IOException e) {
-        // It ends just now.
+        // The process is ending.
       }
     }
     Threads.sleepMillis(millis);
@@ -253,7 +255,7 @@
       try {
         connection.close();
       } catch (IOException e) {
-        // Closed by the proxy.
+        // The proxy has closed it already.
       }
     }
   }
--- a/lab/src/main/java/lemondeal/lab/soak/FaultShim.java
+++ b/lab/src/main/java/lemondeal/lab/soak/FaultShim.java
@@ -14,11 +14,11 @@
 import java.util.Map;
 
 /**
- * The library {@code fault_shim.c}, compiled once, and the control file with which one process's system calls are made
- * to fail and its wall clock is stepped. The layout of the file is the C structure's.
+ * Control of the preloaded library {@code fault_shim.c} in one process. The library makes system calls of the process
+ * fail and steps its wall clock, as its control file says. The file has the layout of the C structure {@code control}.
  */
 final class FaultShim {
-  /** The calls that can be made to fail, by their place in the control file. */
+  /** The system calls that can be made to fail, with their offsets in the control file. */
   enum SystemCall {
     ACCEPT(8), SOCKET(16), CONNECT(24), WAIT(32), FILE_WRITE(40), FILE_SYNC(48);
 
@@ -49,7 +49,7 @@
   /**
    * Compiles the library into this folder with the system's C compiler.
    *
-   * @throws IOException if there is none, or it fails; its words are in the message
+   * @throws IOException if there is no compiler, or it fails; the message has its output
    */
   static Path compile(Path folder) throws IOException, InterruptedException {
     Path source = folder.resolve("fault_shim.c");
@@ -61,12 +61,12 @@
         "-ldl").redirectErrorStream(true).start();
     String compilerOutput = new String(compiler.getInputStream().readAllBytes());
     if (compiler.waitFor() != 0) {
-      throw new IOException("the fault shim does not compile: " + compilerOutput);
+      throw new IOException("cannot compile the fault shim: " + compilerOutput);
     }
     return library;
   }
 
-  /** Makes the control file of one process, in which nothing fails. */
+  /** Creates the control file of one process, with no fault set. */
   static FaultShim create(Path library, Path controlFile) throws IOException {
     Files.write(controlFile, new byte[CONTROL_SIZE]);
     try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
@@ -78,28 +78,28 @@
     }
   }
 
-  /** What the process is to be started with. */
+  /** Returns the environment variables that load the library into the process. */
   Map<String, String> environment() {
     return Map.of("LD_PRELOAD", library.toString(), CONTROL_VARIABLE, controlFile.toString());
   }
 
-  /** From now on the wall clock differs by this from the machine's; the monotonic clock runs on. */
+  /** Sets the offset of the process's wall clock from the machine's; the monotonic clock is not changed. */
   void stepWallClock(Duration offset) {
     control.putLong(WALL_CLOCK_OFFSET, offset.toNanos());
   }
 
-  /** So many of the next calls fail with this error. */
+  /** Makes the next {@code count} calls fail with this error. */
   void failNext(SystemCall call, Errno error, int count) {
     control.putInt(call.offset, error.number);
     control.putInt(call.offset + FAILURE_COUNT_OFFSET, count);
   }
 
-  /** From now on no socket is read or written in larger pieces; 0 for no bound. */
+  /** Limits how many bytes one socket read or write moves; 0 removes the limit. */
   void limitSocketBytes(int max) {
     control.putInt(BYTES_AT_ONCE_OFFSET, max);
   }
 
-  /** All is well again but for the wall clock, which stays where it was stepped to. */
+  /** Removes all faults but the wall clock's offset. */
   void clearFaults() {
     for (SystemCall call : SystemCall.values()) {
       control.putInt(call.offset + FAILURE_COUNT_OFFSET, 0);
--- a/lab/src/main/java/lemondeal/lab/soak/LagMonitor.java
+++ b/lab/src/main/java/lemondeal/lab/soak/LagMonitor.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * How late this machine runs threads that are due. The rules' time limits are widened by it, so that a busy machine
- * is not taken for a broken rule.
+ * Measures how late this machine schedules threads. The rules' time limits are extended by this lag, so that a busy
+ * machine does not cause false violations.
  */
 final class LagMonitor implements AutoCloseable {
   private static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
-  /** Beside what was measured: pauses of the proxies' own collections, and of pipes and schedulers between. */
+  /** Added to the measured lag, for garbage collection in the proxies and for delays in pipes and schedulers. */
   private static final long MARGIN_MILLIS = 150;
-  /** The worst lag counts for this long. */
+  /** How long the worst lag remains in effect. */
   private static final long WORST_LAG_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final AtomicLong worstLagNanos = new AtomicLong();
@@ -35,7 +35,7 @@
     }
   }
 
-  /** By how many milliseconds a limit is to be widened now. */
+  /** Returns by how many milliseconds a time limit is to be extended at present. */
   long allowanceMillis() {
     return MARGIN_MILLIS + TimeUnit.NANOSECONDS.toMillis(worstLagNanos.get());
   }
--- a/lab/src/main/java/lemondeal/lab/soak/ListeningSockets.java
+++ b/lab/src/main/java/lemondeal/lab/soak/ListeningSockets.java
@@ -5,14 +5,17 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 
-/** Listening sockets that come back at an address that they had before. */
+/** Reopens listening sockets at the address that they had before. */
 final class ListeningSockets {
   private static final int MAX_BIND_RETRIES = 250;
   private static final long BIND_RETRY_DELAY_MILLIS = 20;
 
   private ListeningSockets() {}
 
-  /** The connections of before, and others that were given the port meanwhile, may hold the address for some seconds. */
+  /**
+   * Binds to the address, with retries: earlier connections, and other sockets that got the port meanwhile, may occupy
+   * it for some seconds.
+   */
   static ServerSocket rebind(InetSocketAddress address, int backlog) throws IOException {
     for (int i = 0; ; i++) {
       ServerSocket socket = new ServerSocket();
--- a/lab/src/main/java/lemondeal/lab/soak/RequestClass.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RequestClass.java
@@ -1,7 +1,7 @@
 package lemondeal.lab.soak;
 
 /**
- * The classes of requests in a soak, one of each effect that the wire page knows.
+ * The request classes of a soak: one for each kind of idempotency and deduplication scope that the wire page defines.
  *
  * @see SoakConfig
  */
@@ -22,12 +22,12 @@
     this.group = group;
   }
 
-  /** Whether a client may be told that trying again is harmless once its request may have run. */
+  /** Whether a request that may have been executed may still be refused, which promises the client a safe retry. */
   boolean mayBeRefusedAfterRunning() {
     return this == READ || this == KEYED_ALL;
   }
 
-  /** Whether a second server may run what a first one may have run. */
+  /** Whether the second server may get a request that the first one may have executed. */
   boolean mayRepeatAt(ServerIdentity first, ServerIdentity second) {
     return switch (this) {
       case READ, KEYED_ALL -> true;
@@ -37,7 +37,7 @@
     };
   }
 
-  /** Whether a repeat window binds repeats of this class. */
+  /** Whether repeats of this class are allowed only within the deduplication window. */
   boolean hasRepeatWindow() {
     return semantics.equals("deduplicated");
   }
--- a/lab/src/main/java/lemondeal/lab/soak/RequestRecord.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RequestRecord.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All that is known from outside of one request: what its client did, and the attempts that servers saw. */
+/** What was observed of one request from outside the proxy: its client's actions, and the attempts that servers saw. */
 final class RequestRecord {
   final String id;
   final RequestClass requestClass;
-  /** When the client closed its connection before an answer, or 0. */
+  /** When the client closed its connection before it had an answer, or 0. */
   volatile long clientClosedAt;
   private final List<Attempt> attempts = new ArrayList<>();
 
--- a/lab/src/main/java/lemondeal/lab/soak/RuleChecker.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RuleChecker.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The oracle: what clients and servers saw, held against the rules as it comes. Nothing that a proxy says of itself
- * goes in here but what it counts as its own violations.
+ * The test oracle: records what clients and servers observe and checks it against the rules at once. The only data that
+ * comes from the proxies themselves are their logs, their exit codes and the violations that they count.
  */
 final class RuleChecker {
-  /** WIRE: an attempt must end before the next begins; the protocol page lengthens every limit by this. */
+  /** WIRE: an attempt must end before the next one starts; the protocol page extends every time limit by this. */
   private static final long SLACK_MILLIS = 50;
-  /** A client that closes or cancels has gone: no attempt begins later than this. */
+  /** No attempt may start later than this after its client has closed the connection or cancelled the request. */
   private static final long MAX_START_AFTER_CLOSE_MILLIS = 100;
-  /** Violations kept with their details; beyond, only counts go up. */
+  /** Violations that are kept with their details; later ones are dropped. */
   private static final int MAX_KEPT_VIOLATIONS = 200;
 
   private final long startedAt = System.nanoTime();
@@ -28,7 +28,7 @@
   private final long repeatWindowMillis;
   private volatile boolean closed;
 
-  /** What a soak counts, so that a run that tested nothing can be told from a clean one. */
+  /** The events that a soak counts, so that a run that tested nothing differs from a run without violations. */
   enum Counter {
     REQUESTS, SERVED, REFUSED, FAILED, EXCUSED, BAD_CLIENTS, LEAVERS, MOVED, LINES, ATTEMPTS, REPEATS, FAULTS, STARTS
   }
@@ -57,7 +57,7 @@
     return counters.get(counter).get();
   }
 
-  /** Nothing is judged any more: what ends now ends with the soak. */
+  /** Stops the checks: connections that end from now on end because the soak does. */
   void close() {
     closed = true;
   }
@@ -84,11 +84,14 @@
     return request;
   }
 
-  /** A first line came to a server whole; returns the attempt that it begins, or null for an id that no client sent. */
+  /**
+   * Records that a server received a complete request line. Returns the new attempt, or null for an id that no client
+   * sent.
+   */
   Attempt recordAttempt(String id, ServerIdentity server, int proxy, boolean relayed) {
     RequestRecord request = requests.get(id);
     if (request == null) {
-      reportViolation(Rule.FALSE_RECEIPT, server.id() + " got a request that no client sent: " + id);
+      reportViolation(Rule.FALSE_RECEIPT, server.id() + " received a request that no client sent: " + id);
       return null;
     }
     increment(Counter.ATTEMPTS);
@@ -107,37 +110,38 @@
   private void checkClientPresent(RequestRecord request, Attempt attempt) {
     long lateMillis = TimeUnit.NANOSECONDS.toMillis(attempt.receivedAt - request.clientClosedAt);
     if (request.clientClosedAt != 0 && lateMillis > MAX_START_AFTER_CLOSE_MILLIS + allowanceMillis()) {
-      reportViolation(Rule.SENT_FOR_GONE_CLIENT, "request " + request.id + " from proxy " + attempt.proxy + " came to "
-          + attempt.server.id() + " " + lateMillis + " ms after its client had closed");
+      reportViolation(Rule.SENT_FOR_GONE_CLIENT, "request " + request.id + " from proxy " + attempt.proxy + " reached "
+          + attempt.server.id() + " " + lateMillis + " ms after its client had closed the connection");
     }
   }
 
   private void checkRepeat(RequestRecord request, Attempt earlier, Attempt later) {
     if (earlier.mayHaveRun && !request.requestClass.mayRepeatAt(earlier.server, later.server)) {
-      reportViolation(Rule.REPEATED, request.requestClass.label + " request " + request.id + " from proxy " + later.proxy
-          + " was sent to " + later.server + " after it may have run at " + earlier.server);
+      reportViolation(Rule.REPEATED, request.requestClass.label + " request " + request.id + " from proxy "
+          + later.proxy + " was sent to " + later.server + " after it may have run at " + earlier.server);
     }
     if (later.relayed) {
-      // It may have been held on its way since before the other one was sent.
+      // The relay may have delayed it, so that it was sent before the other one.
       return;
     }
     long gapMillis = TimeUnit.NANOSECONDS.toMillis(later.receivedAt - earlier.receivedAt);
     if (earlier.mayHaveRun && request.requestClass.hasRepeatWindow()
         && gapMillis > repeatWindowMillis + SLACK_MILLIS + allowanceMillis()) {
-      reportViolation(Rule.REPEATED, "keyed request " + request.id + " was repeated " + gapMillis + " ms after its first attempt");
+      reportViolation(Rule.REPEATED,
+          "keyed request " + request.id + " was repeated " + gapMillis + " ms after its first attempt");
     }
     if (earlier.closeDetectable && earlier.endedAt == 0) {
       Threads.start("parallel-check", () -> {
         Threads.sleepMillis(SLACK_MILLIS + allowanceMillis());
         if (earlier.closeDetectable && earlier.endedAt == 0) {
-          reportViolation(Rule.PARALLEL_ATTEMPTS, "request " + request.id + " came to " + later.server.id() + " while "
-              + earlier.server.id() + " still had it, from proxy " + later.proxy);
+          reportViolation(Rule.PARALLEL_ATTEMPTS, "request " + request.id + " reached " + later.server.id() + " while "
+              + earlier.server.id() + " still processed it, from proxy " + later.proxy);
         }
       });
     }
   }
 
-  /** A client was told {@code BUSY}. */
+  /** Records that a client received {@code BUSY}. */
   void recordRefusal(RequestRecord request) {
     increment(Counter.REFUSED);
     boolean mayHaveRun = request.attempts().stream().anyMatch(attempt -> attempt.mayHaveRun);
@@ -147,7 +151,7 @@
     }
   }
 
-  /** A client was told {@code UP}; returns the attempt that serves it, or null if no server said so. */
+  /** Records that a client received {@code UP}; returns the attempt with its receipt, null if no server issued it. */
   Attempt recordServed(RequestRecord request, String receipt) {
     increment(Counter.SERVED);
     for (Attempt attempt : request.attempts()) {
@@ -155,15 +159,17 @@
         return attempt;
       }
     }
-    reportViolation(Rule.FALSE_RECEIPT, "request " + request.id + " was served with '" + receipt + "', which no server gave");
+    reportViolation(Rule.FALSE_RECEIPT,
+        "request " + request.id + " was served with '" + receipt + "', which no server issued");
     return null;
   }
 
-  /** In one line, for a report. */
+  /** Returns all counters on one line, for a report. */
   String summary() {
     StringBuilder text = new StringBuilder();
     for (Counter counter : Counter.values()) {
-      text.append(text.isEmpty() ? "" : ", ").append(counter.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '))
+      text.append(text.isEmpty() ? "" : ", ")
+          .append(counter.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '))
           .append(' ').append(value(counter));
     }
     return text.toString();
--- a/lab/src/main/java/lemondeal/lab/soak/ServerIdentity.java
+++ b/lab/src/main/java/lemondeal/lab/soak/ServerIdentity.java
@@ -1,4 +1,4 @@
 package lemondeal.lab.soak;
 
-/** A server as discovery names it: the same id, zone and cell for every proxy. */
+/** A server's identity in discovery: the same id, zone and cell for every proxy. */
 record ServerIdentity(String id, String zone, int cell) {}
--- a/lab/src/main/java/lemondeal/lab/soak/ServerListing.java
+++ b/lab/src/main/java/lemondeal/lab/soak/ServerListing.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Discovery's list with its versions. Every proxy sees the same servers, each at an address of its own. */
+/** Discovery's versioned server list. All proxies see the same servers, but each proxy at different addresses. */
 final class ServerListing {
-  /** One server of the list, as of the version that changed it last. */
+  /** One server of the list; {@code version} is the list's version that changed it last. */
   record Entry(SoakServer server, String lifecycle, long startedAtMillis, long version, long changedAtNanos) {}
 
-  /** Changes from one version on, and the version that they lead to. */
+  /** The entries changed since some version, and the version that results from them. */
   record Changes(long version, List<Entry> entries) {}
 
   static final String IN_SERVICE = "in_service";
@@ -39,7 +39,7 @@
     return entries.get(server);
   }
 
-  /** Waits until there is something newer than that version, or the time is over. */
+  /** Waits until the list is newer than that version or the time is over, and returns the changes. */
   synchronized Changes awaitChanges(long sinceVersion, long millis) throws InterruptedException {
     if (version <= sinceVersion) {
       wait(millis);
@@ -57,7 +57,7 @@
     return new Changes(version, newer);
   }
 
-  /** The whole list, without what has ended. */
+  /** Returns the full list, without terminated servers. */
   synchronized Changes currentList() {
     List<Entry> listed = new ArrayList<>();
     for (Entry entry : entries.values()) {
@@ -68,7 +68,7 @@
     return new Changes(version, listed);
   }
 
-  /** In discovery's form, on one line. */
+  /** Formats changes as discovery's JSON, on one line. */
   static String json(Changes changes, boolean fullList, int proxy) {
     StringBuilder text = new StringBuilder();
     for (Entry entry : changes.entries) {
@@ -76,8 +76,8 @@
       InetSocketAddress address = entry.server.addressFor(proxy);
       text.append(text.isEmpty() ? "" : ",").append(("{\"instanceId\":\"%s\",\"hostPort\":\"%s:%d\",\"zone\":\"%s\","
           + "\"machineType\":\"m\",\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d}").formatted(
-          identity.id(), address.getAddress().getHostAddress(), address.getPort(), identity.zone(), identity.cell(), entry.lifecycle,
-          entry.startedAtMillis));
+          identity.id(), address.getAddress().getHostAddress(), address.getPort(), identity.zone(), identity.cell(),
+          entry.lifecycle, entry.startedAtMillis));
     }
     return "{\"generation\":%d,\"reset\":%b,\"instances\":[%s]}".formatted(changes.version, fullList, text);
   }
--- a/lab/src/main/java/lemondeal/lab/soak/ServerMode.java
+++ b/lab/src/main/java/lemondeal/lab/soak/ServerMode.java
@@ -1,29 +1,32 @@
 package lemondeal.lab.soak;
 
-/** How a stand-in server behaves towards what comes; connections that stand are served on but in {@link #FROZEN}. */
+/**
+ * How a stand-in server treats new connections and requests. Established connections are still served in all modes but
+ * {@link #FROZEN}.
+ */
 enum ServerMode {
   NORMAL(true),
-  /** Each set-up takes some hundred milliseconds. */
+  /** Each setup takes some hundred milliseconds. */
   SLOW(true),
-  /** Reads the first line and says nothing. */
+  /** Reads the request line and sends nothing. */
   HANGS(false),
-  /** Says nothing on connections that stand either, from then on. */
+  /** Sends nothing on new connections, and nothing more on established ones. */
   FROZEN(false),
   ERRORS(false),
-  /** Turns requests away unseen. */
+  /** Refuses requests with BUSY, without executing them. */
   FULL(true),
-  /** Resets the connection behind the first line. */
+  /** Resets the connection after the request line. */
   RESETS(false),
-  /** Ends the connection behind the first line. */
+  /** Closes the connection after the request line. */
   ENDS(false),
-  /** Writes half of its answer and says nothing more. */
+  /** Sends half of its answer and nothing more. */
   HALF_ANSWER(false),
-  /** Answers with what the protocol does not have, or without end, or twice. */
+  /** Sends answers that the protocol does not define, endless answers, or two answers. */
   SPOILT(false),
-  /** Closes probe connections as soon as it has answered one. */
+  /** Closes a probe connection as soon as it has answered one probe. */
   CLOSES_IDLE(true);
 
-  /** Whether most requests are served, or refused harmlessly. */
+  /** Whether most requests are served, or refused without harm. */
   final boolean servesRequests;
 
   ServerMode(boolean servesRequests) {
--- a/lab/src/main/java/lemondeal/lab/soak/Soak.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Soak.java
@@ -13,35 +13,35 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One soak of one seed: starts the proxies, sends traffic, makes the faults of the plan happen, lets the fleet come to
- * rest, and stops it. The same seed draws the same plan; what the machine makes of it differs from run to run.
+ * One soak test with one seed: starts the proxies, sends traffic, injects the faults of the plan, waits for the fleet
+ * to recover, and stops it. The same seed draws the same plan; the timing on the machine differs from run to run.
  */
 public final class Soak {
   /**
-   * How large a soak is.
+   * The size of a soak.
    *
-   * @param proxies real processes, 1 to 40
-   * @param servers stand-in servers
-   * @param millis how long faults come
+   * @param proxies number of proxy processes, 1 to 40
+   * @param servers number of stand-in servers
+   * @param faultMillis for how long faults are injected
    */
   public record Size(int proxies, int servers, long faultMillis) {}
 
   /**
-   * What came of a soak.
+   * The result of a soak.
    *
-   * @param served requests that a server took up
-   * @param summary all counts, for a reader
+   * @param served number of requests that were answered with UP
+   * @param summary all counters on one line, for a report
    */
   public record Result(long seed, List<Violation> violations, long served, String summary) {}
 
-  /** Time at the end without new faults: the list's clock and pauses of servers are over by then. */
+  /** Time without new faults at the end, enough for delayed list updates and for pauses of servers to end. */
   private static final long SETTLE_MILLIS = 3_000;
   private static final long RECOVERY_CHECK_MILLIS = 2_000;
   private static final double MIN_SERVED_SHARE = 0.8;
   private static final double REQUESTS_PER_SECOND_PER_PROXY = 8;
   private static final long START_TIMEOUT_SECONDS = 30;
   private static final long INSPECT_INTERVAL_MILLIS = 250;
-  /** One in so many servers stands behind a network that can fail. */
+  /** One in this many servers is behind relays, whose network can fail. */
   private static final int RELAYED_ONE_IN = 3;
 
   private final long seed;
@@ -71,19 +71,20 @@
   }
 
   /**
-   * Runs one.
+   * Runs one soak.
    *
-   * @param folder where configurations and logs go; made if it is not there
-   * @param out what happens, line by line
+   * @param folder where plan, configurations and logs are written; created if it does not exist
+   * @param out receives the soak's progress output
    * @throws IOException if the machine lacks what a soak needs (a C compiler, ports, processes)
    */
-  public static Result run(long seed, Size size, Path folder, PrintStream out) throws IOException, InterruptedException {
+  public static Result run(long seed, Size size, Path folder, PrintStream out)
+      throws IOException, InterruptedException {
     Files.createDirectories(folder);
     return new Soak(seed, size, folder, out).run();
   }
 
   private Result run() throws IOException, InterruptedException {
-    // Proxies end with their owner, however it ends.
+    // Proxy processes must not outlive this one, however it ends.
     Thread shutdownHook = new Thread(() -> proxies.forEach(SoakProxy::close), "kill-proxies");
     Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
@@ -105,14 +106,15 @@
     return new Result(seed, checker.violations(), checker.value(RuleChecker.Counter.SERVED), checker.summary());
   }
 
-  // ---- Beginning ----
+  // ---- Start ----
 
   private void prepare() throws IOException, InterruptedException {
     out.println("seed " + seed + ": " + config);
     Path library = FaultShim.compile(folder);
     for (int i = 0; i < size.servers; i++) {
       ServerIdentity identity = new ServerIdentity("s" + i, SoakConfig.ZONES.get(i % SoakConfig.ZONES.size()), i % 4);
-      SoakServer server = new SoakServer(identity, checker, drainChecker, i % RELAYED_ONE_IN == 0 ? size.proxies : 0, config.tells());
+      SoakServer server = new SoakServer(identity, checker, drainChecker,
+          i % RELAYED_ONE_IN == 0 ? size.proxies : 0, config.tells());
       servers.add(server);
       listing.put(server, ServerListing.IN_SERVICE, 0);
     }
@@ -129,7 +131,7 @@
     long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
     while (!proxies.stream().allMatch(SoakProxy::isInService)) {
       if (System.nanoTime() > giveUpAt) {
-        throw new IOException("the proxies did not all start; their logs are in " + folder);
+        throw new IOException("not all proxies became ready; their logs are in " + folder);
       }
       Threads.sleepMillis(20);
     }
@@ -142,7 +144,8 @@
       UniformRandomProvider clientRandom = RandomSource.XO_SHI_RO_256_PP.create(seed * size.proxies + proxy.number());
       Threads.start("traffic", () -> {
         while (!finished) {
-          Threads.sleepMillis((long) (-Math.log(1 - clientRandom.nextDouble()) * 1_000 / REQUESTS_PER_SECOND_PER_PROXY));
+          Threads.sleepMillis(
+              (long) (-Math.log(1 - clientRandom.nextDouble()) * 1_000 / REQUESTS_PER_SECOND_PER_PROXY));
           startClient(proxy, drawBehavior(clientRandom), clientRandom);
         }
       });
@@ -197,7 +200,7 @@
     }
   }
 
-  /** Without new faults, most requests are served again after a while. */
+  /** Checks that most requests are served again some time after all faults are over. */
   private void checkRecovery() throws IOException {
     servers.forEach(server -> {
       server.mode(ServerMode.NORMAL);
@@ -210,7 +213,8 @@
     requests = checker.value(RuleChecker.Counter.REQUESTS) - checker.value(RuleChecker.Counter.LEAVERS) - requests;
     served = checker.value(RuleChecker.Counter.SERVED) - served;
     if (served < MIN_SERVED_SHARE * requests) {
-      checker.reportViolation(Rule.NO_RECOVERY, served + " of " + requests + " requests were served after all faults were over");
+      checker.reportViolation(Rule.NO_RECOVERY,
+          served + " of " + requests + " requests were served after all faults were over");
     }
   }
 
--- a/lab/src/main/java/lemondeal/lab/soak/SoakClient.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakClient.java
@@ -9,37 +9,37 @@
 import lemondeal.lab.LineConnection;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** One client: sends its request to one proxy, and stays for a while if it is served. Runs on a thread of its own. */
+/** One client, on its own thread: sends a request to one proxy, and stays connected for a while if it is served. */
 final class SoakClient implements Runnable {
-  /** How a client behaves that keeps to the protocol. */
+  /** How a client behaves; all of these conform to the protocol. */
   enum Behavior {
     STAYS, LEAVES_EARLY, RESETS_EARLY, WRITES_IN_PIECES,
-    /** Ends its sending and waits for its answer. */
+    /** Closes its sending direction and waits for the answer. */
     HALF_CLOSES,
-    /** Rests for about as long as a proxy lets it, and then sends its request. */
+    /** Stays idle for about as long as a proxy allows, and then sends its request. */
     RESTS_FIRST,
-    /** Has next to no time left. */
+    /** Sends a request with a very short deadline. */
     HURRIES
   }
 
-  /** Up to so long after its deadline an answer only earns nothing; later, the request is lost. */
+  /** An answer up to this long after the deadline is merely late; after that, the request counts as lost. */
   private static final long MAX_LATE_MILLIS = 500;
   private static final long LINE_INTERVAL_MILLIS = 400;
   private static final long MAX_LINE_DELAY_MILLIS = 1_000;
   /** PROTOCOL: a connection whose server has ended it must be ended or moved within a second. */
   private static final long MAX_KEPT_AFTER_END_MILLIS = 1_000;
-  /** The same for one on which a running server brings nothing back. */
+  /** The same for a connection on which a running server sends nothing back. */
   private static final long MAX_SILENCE_MILLIS = 7_000;
   private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
   private static final long MIN_DEADLINE_MILLIS = 100;
-  /** A connection that rests is ended after 2.3 s. */
+  /** A proxy closes a connection that sends no request for 2.3 s. */
   private static final long MIN_IDLE_MILLIS = 2_200;
   private static final long IDLE_SPREAD_MILLIS = 200;
   private static final long PIECE_INTERVAL_MILLIS = 20;
   private static final int GROUPS = 12;
-  /** By its hint, in microseconds of work a second. */
+  /** The load that a client announces in its request, in microseconds of work per second. */
   private static final int LOAD_HINT = 20_000;
-  /** One in so many comes again after a break. */
+  /** One in this many clients announces that it reconnects after a disconnect. */
   private static final int RECONNECTING_ONE_IN = 4;
   private static final AtomicLong LAST_ID = new AtomicLong();
 
@@ -52,7 +52,7 @@
   private final long leaveAfterMillis;
   private final long idleMillis;
   private final String key;
-  /** What its line says beside class and deadline. */
+  /** Further fields of the request line, after class and deadline. */
   private final String extraFields;
 
   SoakClient(RuleChecker checker, SoakProxy proxy, RequestClass requestClass, Behavior behavior, SoakConfig config,
@@ -77,16 +77,17 @@
     SoakProxy.Incarnation target = proxy.incarnation();
     Socket socket = new Socket();
     try {
-      socket.connect(new InetSocketAddress(proxy.address().getAddress(), proxy.address().getPort()), CONNECT_TIMEOUT_MILLIS);
+      socket.connect(new InetSocketAddress(proxy.address().getAddress(), proxy.address().getPort()),
+          CONNECT_TIMEOUT_MILLIS);
     } catch (IOException e) {
-      // Nobody has taken it: it is not owed anything.
+      // No proxy accepted the connection, so no answer is due.
       close(socket);
       return;
     }
     try (LineConnection lines = new LineConnection(socket)) {
       runRequest(lines, target);
     } catch (IOException e) {
-      // It could not be sent: the process ended under it.
+      // The request could not be sent because the process ended.
       excuseOrReportLost(target, e.toString());
     }
   }
@@ -109,7 +110,7 @@
     try {
       send(lines, "OPEN " + id + " " + key + " c=" + requestClass.label + ",d=" + deadlineMillis + extraFields);
     } catch (IOException e) {
-      // PROTOCOL: a request is taken when its last byte has been written, and this one's was not.
+      // PROTOCOL: a request counts as accepted once its last byte has been written, which did not happen here.
       checker.increment(RuleChecker.Counter.EXCUSED);
       return;
     }
@@ -146,7 +147,8 @@
     request.clientClosedAt = System.nanoTime();
   }
 
-  private void awaitAnswer(LineConnection lines, RequestRecord request, SoakProxy.Incarnation target) throws IOException {
+  private void awaitAnswer(LineConnection lines, RequestRecord request, SoakProxy.Incarnation target)
+      throws IOException {
     long sentAt = System.nanoTime();
     long timeoutMillis = deadlineMillis + MAX_LATE_MILLIS + checker.allowanceMillis();
     lines.setReadTimeout((int) timeoutMillis);
@@ -154,7 +156,8 @@
     try {
       answer = lines.readLine();
     } catch (SocketTimeoutException e) {
-      reportLost(target, request, "no answer " + timeoutMillis + " ms after it was sent, with a deadline of " + deadlineMillis);
+      reportLost(target, request,
+          "no answer " + timeoutMillis + " ms after it was sent, with a deadline of " + deadlineMillis);
       return;
     } catch (IOException e) {
       reportLost(target, request, "reset " + millisSince(sentAt) + " ms after it was sent: " + e.getMessage());
@@ -179,23 +182,25 @@
   }
 
   private void reportLost(SoakProxy.Incarnation target, RequestRecord request, String cause) {
-    excuseOrReportLost(target, requestClass.label + " request " + request.id + ", " + behavior + ", " + cause + ", attempts "
-        + request.attempts().stream().map(attempt -> attempt.server.id()).toList());
+    excuseOrReportLost(target, requestClass.label + " request " + request.id + ", " + behavior + ", " + cause
+        + ", attempts " + request.attempts().stream().map(attempt -> attempt.server.id()).toList());
   }
 
-  /** Whatever a killed process held is left to its clients. */
+  /** Reports a request as lost, unless its process was killed or replaced: its clients must retry by themselves. */
   private void excuseOrReportLost(SoakProxy.Incarnation target, String cause) {
     Threads.sleepMillis(50);
     SoakProxy.Incarnation current = proxy.incarnation();
     if (target.killed() || current.killed() || current != target) {
       checker.increment(RuleChecker.Counter.EXCUSED);
     } else {
-      checker.reportViolation(Rule.LOST, "proxy " + proxy.number() + ", stopping " + (target.stopRequestedAt != 0) + ": " + cause);
+      checker.reportViolation(Rule.LOST,
+          "proxy " + proxy.number() + ", stopping " + (target.stopRequestedAt != 0) + ": " + cause);
     }
   }
 
-  /** Sends lines that the server sends back, until it has stayed long enough or the connection ends. */
-  private void exchangeLines(LineConnection lines, RequestRecord request, Attempt attempt, SoakProxy.Incarnation target) {
+  /** Sends lines, which the server echoes, until the client has stayed long enough or the connection ends. */
+  private void exchangeLines(LineConnection lines, RequestRecord request, Attempt attempt,
+      SoakProxy.Incarnation target) {
     long leaveAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(stayMillis);
     for (int i = 0; System.nanoTime() < leaveAt; i++) {
       long sentAt = System.nanoTime();
@@ -217,7 +222,7 @@
       } catch (SocketTimeoutException e) {
         if (!attempt.relayed && (!isEndExcused(attempt, target) || attempt.abandonedByServer)) {
           checker.reportViolation(Rule.DEAD_CONNECTION_KEPT, "request " + request.id + " at " + attempt.server.id()
-              + " had no line for " + millisSince(sentAt) + " ms, from proxy " + proxy.number());
+              + " received no line for " + millisSince(sentAt) + " ms, from proxy " + proxy.number());
         }
         return;
       } catch (IOException e) {
@@ -232,13 +237,14 @@
     String[] fields = echo.split(" ");
     long delayMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) - Long.parseLong(fields[1]);
     if (delayMillis > MAX_LINE_DELAY_MILLIS + checker.allowanceMillis()) {
-      checker.reportViolation(Rule.LINE_HELD, "a line of request " + request.id + " from " + attempt.server.id() + " was held "
-          + delayMillis + " ms by proxy " + proxy.number());
+      checker.reportViolation(Rule.LINE_HELD, "a line of request " + request.id + " from " + attempt.server.id()
+          + " was held " + delayMillis + " ms by proxy " + proxy.number());
     }
   }
 
-  /** {@code last} is MOVE, or null where the connection ended without a word. */
-  private void checkConnectionEnd(RequestRecord request, Attempt attempt, SoakProxy.Incarnation target, String lastLine) {
+  /** {@code lastLine} is MOVE, or null if the connection ended without a final line. */
+  private void checkConnectionEnd(RequestRecord request, Attempt attempt, SoakProxy.Incarnation target,
+      String lastLine) {
     if (lastLine != null) {
       checker.increment(RuleChecker.Counter.MOVED);
     } else if (!isEndExcused(attempt, target)) {
@@ -246,13 +252,14 @@
           + proxy.number() + ", stopping " + (target.stopRequestedAt != 0));
     }
     long keptMillis = attempt.endedAt == 0 ? 0 : millisSince(attempt.endedAt);
-    if (attempt.abandonedByServer && !attempt.relayed && keptMillis > MAX_KEPT_AFTER_END_MILLIS + LINE_INTERVAL_MILLIS + checker.allowanceMillis()) {
-      checker.reportViolation(Rule.DEAD_CONNECTION_KEPT, "request " + request.id + " was kept " + keptMillis + " ms after "
-          + attempt.server.id() + " had ended it");
+    if (attempt.abandonedByServer && !attempt.relayed
+        && keptMillis > MAX_KEPT_AFTER_END_MILLIS + LINE_INTERVAL_MILLIS + checker.allowanceMillis()) {
+      checker.reportViolation(Rule.DEAD_CONNECTION_KEPT, "request " + request.id + " was kept " + keptMillis
+          + " ms after " + attempt.server.id() + " had ended it");
     }
   }
 
-  /** Whether the connection's end is the server's doing, or that of a SIGKILL. */
+  /** Whether the server, a relay or a SIGKILL may have caused the connection's end. */
   private boolean isEndExcused(Attempt attempt, SoakProxy.Incarnation target) {
     Threads.sleepMillis(50);
     return attempt.abandonedByServer || target.killed() || !attempt.closeDetectable || attempt.relayed;
--- a/lab/src/main/java/lemondeal/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakCommand.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code lab soak}: the randomized fault soak for many seeds, one after another. */
+/** {@code lab soak}: runs the randomized fault soak for several seeds, one after another. */
 @Command(name = "soak", mixinStandardHelpOptions = true, exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {"0:no rule was broken", "1:one was, told in a line each", "2:bad use"},
-    description = "Run real proxies under drawn, overlapping faults and check every rule from outside.")
+    exitCodeList = {"0:no rule was broken", "1:a rule was broken; each violation is on a line", "2:invalid usage"},
+    description = "Run real proxies under random, overlapping faults and check every rule from outside.")
 public final class SoakCommand implements Callable<Integer> {
   private static final int MAX_PROXIES = 40;
   private static final int MAX_SERVERS = 64;
@@ -20,20 +20,21 @@
   @Option(names = "--from", defaultValue = "1", description = "The first seed (${DEFAULT-VALUE}).")
   private long firstSeed;
 
-  @Option(names = "--seeds", defaultValue = "1", description = "How many seeds (${DEFAULT-VALUE}).")
+  @Option(names = "--seeds", defaultValue = "1", description = "Number of seeds (${DEFAULT-VALUE}).")
   private int seedCount;
 
-  @Option(names = "--proxies", defaultValue = "10", description = "Real processes (${DEFAULT-VALUE}).")
+  @Option(names = "--proxies", defaultValue = "10", description = "Number of proxy processes (${DEFAULT-VALUE}).")
   private int proxyCount;
 
-  @Option(names = "--servers", defaultValue = "8", description = "Stand-in servers (${DEFAULT-VALUE}).")
+  @Option(names = "--servers", defaultValue = "8", description = "Number of stand-in servers (${DEFAULT-VALUE}).")
   private int serverCount;
 
-  @Option(names = "--seconds", defaultValue = "15", description = "How long faults come, for each seed (${DEFAULT-VALUE}).")
+  @Option(names = "--seconds", defaultValue = "15",
+      description = "Seconds of fault injection for each seed (${DEFAULT-VALUE}).")
   private int seconds;
 
   @Option(names = "--out", paramLabel = "FOLDER", defaultValue = "target/soak",
-      description = "Where plans, configurations and logs go (${DEFAULT-VALUE}).")
+      description = "Folder for plans, configurations and logs (${DEFAULT-VALUE}).")
   private Path folder;
 
   @CommandLine.Spec
--- a/lab/src/main/java/lemondeal/lab/soak/SoakConfig.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakConfig.java
@@ -6,26 +6,26 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The platform's configuration of the proxies in a soak. What customers set differently is drawn, so that seeds are
- * deployments that differ.
+ * The platform's configuration of the proxies in a soak. Settings that differ between customers are drawn at random, so
+ * that each seed is a different deployment. The soak prints this record, so its components keep their names.
  *
- * @param pushed whether lists come unasked
- * @param probes whether servers may be asked for their load
- * @param cancelling whether an attempt may be given up before its time
+ * @param pushed whether discovery pushes changes of the list without a subscription
+ * @param probes whether proxies may ask servers for their load
+ * @param cancelling whether a proxy may cancel an attempt before it times out
  * @param groups whether clients belong to groups that share a server's work
- * @param tells what servers tell of a connection among its lines
- * @param longestDeadlineMillis how long a client waits at most
- * @param drainGraceMillis within which sends to a draining server must end
- * @param repeatWindowMillis within which servers drop repeats of keyed requests
- * @param dialMillis until a connection to a server must be up
- * @param keepaliveMillis after which idle connections are closed
- * @param askEveryMillis how long a proxy without a watch may go without asking for the list
- * @param sockets descriptors that a proxy may hold
+ * @param tells what servers report about a connection among its lines
+ * @param longestDeadlineMillis the longest deadline of a client
+ * @param drainGraceMillis grace period within which a proxy must stop sending to a draining server
+ * @param repeatWindowMillis time during which servers drop repeats of keyed requests
+ * @param dialMillis timeout for connecting to a server
+ * @param keepaliveMillis time after which idle connections are closed
+ * @param askEveryMillis longest time between two list requests of a proxy without a watch
+ * @param sockets limit of a proxy's descriptors
  */
 record SoakConfig(int proxies, boolean pushed, boolean probes, boolean cancelling, boolean groups, LoadReports tells,
     long longestDeadlineMillis, long drainGraceMillis, long repeatWindowMillis, long dialMillis, long keepaliveMillis,
     long askEveryMillis, int sockets) {
-  /** The pages' terms on what servers send as LOAD among the lines of a connection. */
+  /** What the LOAD lines that servers send on a connection mean: none are sent, loads, delays, or either. */
   enum LoadReports { NOTHING, LOADS, DELAYS, BOTH }
 
   static final long WARM_WITHIN_MILLIS = 5_000;
@@ -45,7 +45,7 @@
   private static final long MIN_ASK_EVERY = 2_000;
   private static final long ASK_EVERY_SPREAD = 8_000;
 
-  /** The settings of a deployment like no other. */
+  /** Draws the settings of a random deployment. */
   static SoakConfig draw(UniformRandomProvider random, int proxies) {
     return new SoakConfig(proxies, random.nextBoolean(), random.nextBoolean(), random.nextInt(4) > 0,
         random.nextInt(3) == 0, LoadReports.values()[random.nextInt(LoadReports.values().length)],
@@ -55,13 +55,13 @@
         MIN_SOCKETS + random.nextInt(MIN_SOCKETS));
   }
 
-  /** The configuration of one proxy; {@code attemptsMost} is what reloads change. */
+  /** Returns the configuration of one proxy; {@code maxAttempts} is the setting that reloads change. */
   String json(int proxy, InetSocketAddress listen, InetSocketAddress discovery, String known, int maxAttempts) {
     List<String> classes = new ArrayList<>();
     for (RequestClass requestClass : RequestClass.values()) {
       classes.add(("{\"name\":\"%s\",\"semantics\":\"%s\",\"group\":\"%s\",\"aim\":300000,\"hardLimit\":%d,"
-          + "\"dedupWindow\":%d,\"gain\":1.0,\"streamed\":true}").formatted(requestClass.label, requestClass.semantics, requestClass.group,
-          longestDeadlineMillis * 1000, repeatWindowMillis * 1000));
+          + "\"dedupWindow\":%d,\"gain\":1.0,\"streamed\":true}").formatted(requestClass.label, requestClass.semantics,
+          requestClass.group, longestDeadlineMillis * 1000, repeatWindowMillis * 1000));
     }
     return """
         {"name":"p%d","listen":"%s:%d","admin_addr":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"%x",
@@ -77,9 +77,11 @@
            "rules":{"answerSlack":20000,"drainGrace":%d,"fallMultiple":4.0,"overloadFor":2000000,
              "coldFrom":0.35,"warmWithin":%d,"askEvery":%d},
            "prices":{"crossZone":0.03,"waste":0.2,"probe":0.0023,"moves":0.01}}}
-        """.formatted(proxy, listen.getHostString(), listen.getPort(), discovery.getPort(), proxy + 1, MEMORY_MB, sockets, known, proxy, proxies,
-        proxy % ZONES.size(), pushed ? "automatic" : "subscribe", groups, tells == LoadReports.DELAYS || tells == LoadReports.BOTH,
-        tells == LoadReports.LOADS || tells == LoadReports.BOTH, String.join(",", classes), dialMillis * 1000, keepaliveMillis * 1000,
-        cancelling, probes, maxAttempts, drainGraceMillis * 1000, WARM_WITHIN_MILLIS * 1000, askEveryMillis * 1000);
+        """.formatted(proxy, listen.getHostString(), listen.getPort(), discovery.getPort(), proxy + 1, MEMORY_MB,
+        sockets, known, proxy, proxies, proxy % ZONES.size(), pushed ? "automatic" : "subscribe", groups,
+        tells == LoadReports.DELAYS || tells == LoadReports.BOTH,
+        tells == LoadReports.LOADS || tells == LoadReports.BOTH, String.join(",", classes), dialMillis * 1000,
+        keepaliveMillis * 1000, cancelling, probes, maxAttempts, drainGraceMillis * 1000, WARM_WITHIN_MILLIS * 1000,
+        askEveryMillis * 1000);
   }
 }
--- a/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
@@ -18,21 +18,21 @@
 import lemondeal.lab.ProxyProcess;
 
 /**
- * One proxy of a soak: its process, which may be started again and again at the same address, and what becomes of each
- * start. A start is an {@link Incarnation}.
+ * One proxy of a soak. Its process may be restarted any number of times at the same address; each started process is an
+ * {@link Incarnation}.
  */
 final class SoakProxy implements AutoCloseable {
-  /** PROTOCOL: SIGKILL comes no earlier than the longest deadline, counted as this where it is longer, and 0.7 s. */
+  /** PROTOCOL: SIGKILL follows SIGTERM no earlier than the longest deadline, at most this long, plus 0.7 s. */
   private static final long MAX_DEADLINE_MILLIS = 3_000;
   private static final long STOP_MARGIN_MILLIS = 700;
-  /** The network of addresses on which proxies listen: 127.8.0.n. */
+  /** Prefix of the addresses on which proxies listen: 127.8.0.n. */
   private static final String PROXY_NETWORK = "127.8.0.";
   private static final long READY_TIMEOUT_MILLIS = 10_000;
   private static final Pattern FAILURE_LINE = Pattern.compile(
       "failed inside|OutOfMemory|StackOverflow|Too many open files(?! in system)|rule broken|Exception in thread");
   private static final Pattern ADDRESS_WITH_PORT = Pattern.compile(".*[0-9.]+:([0-9]+)$");
 
-  /** One start of the process. */
+  /** One started process of the proxy. */
   static final class Incarnation {
     final Process process;
     final long startedAt = System.nanoTime();
@@ -40,7 +40,7 @@
     volatile boolean listening;
     volatile boolean ready;
     volatile InetSocketAddress adminAddress;
-    /** When it was told to stop, or killed; 0 before. */
+    /** When it got SIGTERM, or 0. */
     volatile long stopRequestedAt;
     volatile long killedAt;
 
@@ -48,7 +48,7 @@
       this.process = process;
     }
 
-    /** Whether it ended, or may have ended, such that clients are owed nothing any more. */
+    /** Whether it got SIGKILL, or is about to: its clients need not be answered any more. */
     boolean killed() {
       return killedAt != 0;
     }
@@ -74,11 +74,11 @@
   private volatile int descriptorLimit;
   private int maxAttempts = 3;
   private volatile Incarnation incarnation;
-  /** No process is started any more: a fault that is being carried out may be about to. */
+  /** Prevents a fault that is still in progress from starting another process. */
   private boolean closed;
 
-  SoakProxy(int number, SoakConfig config, RuleChecker checker, DrainChecker drainChecker, ServerListing listing, FaultShim shim,
-      Path folder) throws IOException {
+  SoakProxy(int number, SoakConfig config, RuleChecker checker, DrainChecker drainChecker, ServerListing listing,
+      FaultShim shim, Path folder) throws IOException {
     this.number = number;
     this.config = config;
     this.checker = checker;
@@ -87,14 +87,14 @@
     this.shim = shim;
     configFile = folder.resolve("proxy-" + number + ".json");
     logFile = folder.resolve("proxy-" + number + ".log");
-    // Of an earlier soak of the same seed.
+    // A log of an earlier soak with the same seed may exist.
     Files.deleteIfExists(logFile);
     address = freeAddress(number);
     discoveryEndpoints.add(new DiscoveryEndpoint(listing, drainChecker, number));
     discoveryEndpoints.add(new DiscoveryEndpoint(listing, drainChecker, number));
   }
 
-  /** On an address of its own, where no other socket of the machine is given this port until the process starts again. */
+  /** Each proxy has its own loopback address, so that no other socket gets its port while the process is down. */
   private static InetSocketAddress freeAddress(int number) throws IOException {
     InetAddress loopbackAddress = InetAddress.getByName(PROXY_NETWORK + (number + 1));
     try (ServerSocket socket = new ServerSocket(0, 1, loopbackAddress)) {
@@ -118,7 +118,7 @@
     return incarnation;
   }
 
-  /** Discovery as its configuration names it now. */
+  /** Returns the discovery endpoint that the configuration names at present. */
   DiscoveryEndpoint activeDiscovery() {
     return discoveryEndpoints.get(activeDiscovery);
   }
@@ -131,10 +131,10 @@
         java.nio.file.StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Starts the process; the one before has ended. */
+  /** Starts the process; the previous one must have ended. */
   synchronized Incarnation start() throws IOException {
     if (closed) {
-      throw new IOException("the soak is over");
+      throw new IOException("cannot start a proxy: the soak has ended");
     }
     writeConfig();
     List<String> serveCommand = ProxyProcess.command("serve");
@@ -157,7 +157,7 @@
     return started;
   }
 
-  /** Where the program runs from a class path and not from its one jar, each library holds a descriptor. */
+  /** Number of class path entries: each holds a descriptor if the program runs from a class path instead of one jar. */
   private static int classPathEntries(List<String> command) {
     int optionIndex = command.indexOf("-cp");
     return optionIndex < 0 ? 0 : command.get(optionIndex + 1).split(File.pathSeparator).length;
@@ -191,11 +191,11 @@
       source.adminAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(),
           Integer.parseInt(ADDRESS_WITH_PORT.matcher(line).replaceAll("$1")));
     } else if (FAILURE_LINE.matcher(line).find()) {
-      checker.reportViolation(Rule.INTERNAL_FAILURE, "proxy " + number + " said: " + line);
+      checker.reportViolation(Rule.INTERNAL_FAILURE, "proxy " + number + " logged: " + line);
     }
   }
 
-  /** Sees to it that the process comes ready in time and ends only when it is told to. */
+  /** Checks that the process becomes ready in time and ends only on request. */
   private void supervise(Incarnation supervised) {
     long limitMillis = READY_TIMEOUT_MILLIS + checker.allowanceMillis();
     while (!supervised.ready && supervised.process.isAlive() && ageMillis(supervised) < limitMillis) {
@@ -203,13 +203,15 @@
       supervised.ready = supervised.listening && answersPing();
     }
     if (!supervised.ready && supervised.stopRequestedAt == 0 && !supervised.killed()) {
-      checker.reportViolation(Rule.NOT_READY, "proxy " + number + " did not serve " + ageMillis(supervised) + " ms after its start");
+      checker.reportViolation(Rule.NOT_READY,
+          "proxy " + number + " was not ready " + ageMillis(supervised) + " ms after its start");
     }
     try {
       int exitCode = supervised.process.waitFor();
       boolean stopRequested = supervised.stopRequestedAt != 0;
       if (!supervised.killed() && (!stopRequested || exitCode != 0)) {
-        checker.reportViolation(Rule.CRASH, "proxy " + number + " ended with exit code " + exitCode + (stopRequested ? " after SIGTERM" : ""));
+        checker.reportViolation(Rule.CRASH,
+            "proxy " + number + " ended with exit code " + exitCode + (stopRequested ? " after SIGTERM" : ""));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -230,7 +232,7 @@
     }
   }
 
-  /** Whether the front sends clients here. */
+  /** Whether clients are sent to this proxy: it is ready and neither stopping nor killed. */
   boolean isInService() {
     Incarnation current = incarnation;
     return current != null && current.ready && current.stopRequestedAt == 0 && current.killedAt == 0;
@@ -244,16 +246,17 @@
     }
   }
 
-  /** SIGTERM; waits for the end, and kills the process where it may be killed. */
+  /** Sends SIGTERM and waits for the end; kills the process after the time allowed for a shutdown. */
   void stop() throws IOException {
     Incarnation stopped = incarnation;
     stopped.stopRequestedAt = System.nanoTime();
-    // Through its handle: the process object would close the pipe of the log, too.
+    // Uses the process handle because Process.destroy would also close the pipe of the log.
     stopped.process.toHandle().destroy();
     long limitMillis = Math.min(MAX_DEADLINE_MILLIS, config.longestDeadlineMillis()) + STOP_MARGIN_MILLIS;
     try {
       if (!stopped.process.waitFor(limitMillis + checker.allowanceMillis(), TimeUnit.MILLISECONDS)) {
-        checker.reportViolation(Rule.SLOW_STOP, "proxy " + number + " still ran " + limitMillis + " ms after SIGTERM");
+        checker.reportViolation(Rule.SLOW_STOP,
+            "proxy " + number + " was still running " + limitMillis + " ms after SIGTERM");
         kill();
       }
     } catch (InterruptedException e) {
@@ -261,7 +264,7 @@
     }
   }
 
-  /** SIGKILL. */
+  /** Sends SIGKILL and waits for the end. */
   void kill() {
     incarnation.killedAt = System.nanoTime();
     incarnation.process.destroyForcibly();
@@ -272,7 +275,7 @@
     }
   }
 
-  /** Rewrites the configuration, with discovery elsewhere or other settings, and sends SIGHUP. */
+  /** Rewrites the configuration, with another discovery address or another setting, and sends SIGHUP. */
   void reload(boolean switchDiscovery) throws IOException {
     Incarnation reloaded = incarnation;
     int earlierReloads = reloaded.logLines("configuration read anew").size();
@@ -290,19 +293,21 @@
         return;
       }
       if (System.nanoTime() > giveUpAt) {
-        checker.reportViolation(Rule.RELOAD_IGNORED, "proxy " + number + " did not read its configuration after SIGHUP");
+        checker.reportViolation(Rule.RELOAD_IGNORED,
+            "proxy " + number + " did not reload its configuration after SIGHUP");
         return;
       }
       Threads.sleepMillis(10);
     }
   }
 
-  /** What it counts itself, and what the system says that it holds. */
+  /** Checks the violations that the proxy itself counts, and the number of its open descriptors. */
   void inspect() {
     Incarnation inspected = incarnation;
     String[] descriptors = new File("/proc/" + inspected.process.pid() + "/fd").list();
     if (descriptors != null && descriptors.length > descriptorLimit) {
-      checker.reportViolation(Rule.DESCRIPTORS, "proxy " + number + " holds " + descriptors.length + " of " + config.sockets());
+      checker.reportViolation(Rule.DESCRIPTORS,
+          "proxy " + number + " holds " + descriptors.length + " descriptors, limit " + config.sockets());
     }
     if (inspected.adminAddress == null || !isInService()) {
       return;
@@ -312,11 +317,11 @@
       lines.writeLines("show-stat");
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
         if (line.startsWith("violations.") && !line.endsWith("=0")) {
-          checker.reportViolation(Rule.SELF_REPORTED, "proxy " + number + " counts " + line);
+          checker.reportViolation(Rule.SELF_REPORTED, "proxy " + number + " reports " + line);
         }
       }
     } catch (IOException e) {
-      // It ends just now; whether it may is looked at elsewhere.
+      // The process is ending; supervise checks whether it may.
     }
   }
 
--- a/lab/src/main/java/lemondeal/lab/soak/SoakServer.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakServer.java
@@ -18,17 +18,17 @@
 import lemondeal.lab.site.Relay;
 
 /**
- * A stand-in server. It listens on all of the loopback network and has another address for each proxy, so that it can
- * tell which one a connection comes from.
+ * A stand-in server. It listens on all loopback addresses and gives each proxy a different one, which identifies the
+ * proxy that a connection comes from.
  */
 final class SoakServer implements AutoCloseable {
   private static final int BACKLOG = 512;
   private static final int LOAD_REPORT_ONE_IN = 4;
-  /** Under half of the aim: a server that says more is to be left alone, and nothing would be served. */
+  /** Under half of the message latency target: proxies avoid servers with longer delays, so nothing would be served. */
   private static final int MAX_DELAY_MILLIS = 400;
   private static final int MAX_LOAD = 40_000;
   private static final int OVERLONG_LINE_BYTES = 16 * 1024;
-  /** The network of addresses that stand for proxies: 127.7.0.n. */
+  /** Prefix of the addresses that identify proxies: 127.7.0.n. */
   private static final String PROXY_NETWORK = "127.7.0.";
   private static final int LAST_OCTET = 3;
 
@@ -39,22 +39,22 @@
   private final AtomicInteger lastReceiptNumber = new AtomicInteger();
   private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
   private final int port;
-  /** What passes between each proxy and this server, by the proxy's number; empty where nothing stands between. */
+  /** The relays between the proxies and this server, by the proxy's number; empty if proxies connect directly. */
   private final List<Relay> relays = new ArrayList<>();
   private volatile ServerSocket socket;
   private volatile ServerMode mode = ServerMode.NORMAL;
   private volatile boolean draining;
 
-  /** One connection; its attempt is null until a first line has come. */
+  /** One connection; its attempt is null until a request line has been received. */
   private record Connection(LineConnection lines, AttemptHolder attemptHolder) {}
 
   private static final class AttemptHolder {
     volatile Attempt attempt;
   }
 
-  /** {@code relayed}: for how many proxies a relay stands before it, 0 for none. */
-  SoakServer(ServerIdentity identity, RuleChecker checker, DrainChecker drainChecker, int relayCount, SoakConfig.LoadReports loadReports)
-      throws IOException {
+  /** Opens the server; {@code relayCount} is the number of proxies that reach it through a relay, 0 for none. */
+  SoakServer(ServerIdentity identity, RuleChecker checker, DrainChecker drainChecker, int relayCount,
+      SoakConfig.LoadReports loadReports) throws IOException {
     this.loadReports = loadReports;
     this.identity = identity;
     this.checker = checker;
@@ -71,12 +71,12 @@
     return identity;
   }
 
-  /** Where a proxy, counted from 0, finds this server. */
+  /** Returns the address at which a proxy, counted from 0, reaches this server. */
   InetSocketAddress addressFor(int proxy) {
     return relays.isEmpty() ? directAddressFor(proxy) : relays.get(proxy).address();
   }
 
-  /** From now on bytes between it and all proxies pass so; false where nothing stands between. */
+  /** Sets the condition of the network to all proxies; returns false if there are no relays. */
   boolean setNetworkCondition(NetworkConditions condition) {
     relays.forEach(relay -> relay.setConditions(condition));
     return !relays.isEmpty();
@@ -99,12 +99,11 @@
           Threads.start("server", () -> serve(accepted));
         }
       } catch (IOException e) {
-        // Closed.
+        // The listening socket was closed.
       }
     });
   }
 
-  /** From now on it behaves so. */
   void mode(ServerMode newMode) {
     mode = newMode;
     if (newMode == ServerMode.FROZEN) {
@@ -120,12 +119,12 @@
     return mode;
   }
 
-  /** It is told to drain: new work is turned away, and its clients are sent away by and by. */
+  /** Starts draining: the server refuses new requests; {@link #moveClients} later moves its clients away. */
   void drain() {
     draining = true;
   }
 
-  /** Its process dies: connections are reset and new ones refused. */
+  /** Simulates a crash of the process: resets all connections and refuses new ones. */
   void crash() throws IOException {
     socket.close();
     connections.forEach(connection -> {
@@ -136,7 +135,7 @@
     });
   }
 
-  /** Its process is there again, at the same address, and remembers nothing. */
+  /** Simulates a restart of the process at the same address, without any earlier state. */
   void restart() throws IOException {
     mode = ServerMode.NORMAL;
     draining = false;
@@ -144,7 +143,7 @@
     accept(socket);
   }
 
-  /** Sends clients away, as a server does that is to end soon. */
+  /** Sends MOVE to all clients, as a server does shortly before it stops. */
   void moveClients() {
     for (Connection connection : connections) {
       Attempt attempt = connection.attemptHolder.attempt;
@@ -154,7 +153,7 @@
           connection.lines.writeLines("MOVE");
           connection.lines.shutdownOutput();
         } catch (IOException e) {
-          // Gone already.
+          // The connection has ended already.
         }
       }
     }
@@ -176,7 +175,7 @@
         handleOpen(connection, line, proxyNumber(accepted.getLocalAddress()));
       }
     } catch (IOException e) {
-      // The proxy ended it.
+      // The proxy closed the connection.
     } finally {
       if (connection != null) {
         connections.remove(connection);
@@ -187,14 +186,15 @@
     }
   }
 
-  /** False if the connection is to end behind the answer. */
+  /** Returns false if the connection is to be closed after the answer. */
   private boolean answerProbe(LineConnection lines, String line) throws IOException {
     switch (mode) {
       case HANGS, FROZEN, HALF_ANSWER -> readToEnd(lines);
       case ERRORS -> lines.writeLines("ERR");
       case RESETS -> lines.reset();
       case SPOILT -> lines.writeLines("what?");
-      default -> lines.writeLines("PONG" + (line.equals("STATS") ? " served_ps=1,inflight=" + connections.size() + ",x0=0.1" : ""));
+      default -> lines.writeLines("PONG"
+          + (line.equals("STATS") ? " served_ps=1,inflight=" + connections.size() + ",x0=0.1" : ""));
     }
     return mode != ServerMode.CLOSES_IDLE;
   }
@@ -248,7 +248,7 @@
   }
 
   private void serve(LineConnection lines, Attempt attempt, long setupMillis) throws IOException {
-    // Meanwhile nothing is read, and so no end of the connection is seen.
+    // Nothing is read during the setup, so a close by the proxy goes unnoticed.
     attempt.closeDetectable = false;
     Threads.sleepMillis(setupMillis);
     attempt.closeDetectable = !attempt.relayed;
@@ -269,13 +269,14 @@
     }
   }
 
-  /** Now and then a line of its own before the answer, as the settings say: a load, or a delay in milliseconds. */
+  /** Occasionally sends a LOAD line before the answer, as configured: a load, or a delay in milliseconds. */
   private void maybeSendLoadReport(LineConnection lines) throws IOException {
     ThreadLocalRandom random = ThreadLocalRandom.current();
     if (loadReports == SoakConfig.LoadReports.NOTHING || random.nextInt(LOAD_REPORT_ONE_IN) != 0) {
       return;
     }
-    boolean delay = loadReports == SoakConfig.LoadReports.DELAYS || (loadReports == SoakConfig.LoadReports.BOTH && random.nextBoolean());
+    boolean delay = loadReports == SoakConfig.LoadReports.DELAYS
+        || (loadReports == SoakConfig.LoadReports.BOTH && random.nextBoolean());
     lines.writeLines("LOAD " + (delay ? random.nextInt(MAX_DELAY_MILLIS) : random.nextInt(MAX_LOAD)));
   }
 
--- a/lab/src/main/java/lemondeal/lab/soak/Threads.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Threads.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Small daemon threads: a soak has some hundreds of them, each blocking on one socket. */
+/** Starts daemon threads with small stacks: a soak has some hundreds of them, each blocked on one socket. */
 final class Threads {
   private static final int STACK_BYTES = 256 * 1024;
 
@@ -19,7 +19,7 @@
     sleepNanos(TimeUnit.MILLISECONDS.toNanos(millis));
   }
 
-  /** Returns at once for a time that is over; an interrupt ends the sleep and stays set. */
+  /** Returns at once if {@code nanos} is not positive; an interrupt ends the sleep and stays set. */
   static void sleepNanos(long nanos) {
     try {
       TimeUnit.NANOSECONDS.sleep(Math.max(0, nanos));
--- a/lab/src/main/java/lemondeal/lab/soak/Violation.java
+++ b/lab/src/main/java/lemondeal/lab/soak/Violation.java
@@ -1,9 +1,9 @@
 package lemondeal.lab.soak;
 
 /**
- * One breach of a rule.
+ * One violation of a rule.
  *
- * @param atMillis when it was seen, in milliseconds since the soak began
+ * @param atMillis when it was detected, in milliseconds since the start of the soak
  */
 public record Violation(Rule rule, long atMillis, String detail) {
   @Override
--- a/lab/src/main/java/lemondeal/lab/soak/package-info.java
+++ b/lab/src/main/java/lemondeal/lab/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A randomized fault soak: real proxies in processes of their own on loopback, with stand-in servers, discovery and
- * clients, under overlapping faults that are drawn from a seed. Everything that the clients and servers saw is held
- * against the rules of the protocol page afterwards; each {@link lemondeal.lab.soak.Violation} names the rule.
+ * A randomized soak test with fault injection: real proxy processes on the loopback network, with stand-in servers,
+ * discovery and clients, under overlapping faults drawn from a seed. What the clients and servers observe is checked
+ * against the rules of the protocol page; each {@link lemondeal.lab.soak.Violation} names the broken rule.
  */
 package lemondeal.lab.soak;
--- a/lab/src/main/resources/lemondeal/lab/soak/fault_shim.c
+++ b/lab/src/main/resources/lemondeal/lab/soak/fault_shim.c
@@ -1,9 +1,9 @@
 /*
- * Fault shim: loaded with LD_PRELOAD into one process under test, it steps that process's wall clock and lets
- * system calls fail in ways that Linux documents. What is to fail stands in a file that the process maps and the
- * test writes; SOAK_SHIM_CONTROL names it. Without that variable nothing is changed.
+ * Fault injection library, loaded with LD_PRELOAD into a process under test. It steps the process's wall clock and
+ * makes system calls fail with errors that Linux documents. The test writes the faults into a control file, which the
+ * process maps; SOAK_SHIM_CONTROL names the file. Without that variable nothing is changed.
  *
- * The monotonic clock always runs on. A failure is a count: so many of the next calls fail, then all is well.
+ * The monotonic clock is never changed. Each fault has a count: that many of the next calls fail, later ones succeed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -22,13 +22,13 @@
 #include <time.h>
 #include <unistd.h>
 
-/* One kind of call that is to fail: with this errno, so many times. */
+/* Fault of one system call: the errno, and how many more calls fail with it. */
 struct fault {
   int32_t error;
   int32_t left;
 };
 
-/* The mapped file; FaultShim.java writes the same layout. */
+/* The mapped control file; FaultShim.java writes the same layout. */
 struct control {
   int64_t wall_offset_ns;
   struct fault accept;
@@ -37,7 +37,7 @@
   struct fault wait;
   struct fault file_write;
   struct fault file_sync;
-  int32_t socket_bytes_at_once; /* 0: as many as asked for */
+  int32_t socket_bytes_at_once; /* 0: no limit */
 };
 
 static struct control nothing;
@@ -74,7 +74,7 @@
   }
 }
 
-/* Whether this call is one of those to fail; errno is set then. */
+/* Whether this call is to fail; if so, sets errno and decrements the count. */
 static int fails(volatile struct fault *fault) {
   int32_t left = fault->left;
   while (left > 0) {
@@ -139,7 +139,7 @@
   return now.tv_sec;
 }
 
-/* The JVM looks its clock up by name in one library, past whatever was preloaded. */
+/* The JVM looks up clock_gettime with dlsym in one library, which bypasses preloaded libraries. */
 void *dlsym(void *handle, const char *name) {
   if (strcmp(name, "clock_gettime") == 0) {
     return (void *) clock_gettime;
@@ -192,7 +192,7 @@
   return next(descriptor, bytes, at_once(descriptor, count), flags);
 }
 
-/* ---- Files, and sockets, which are written in the same way ---- */
+/* ---- Files; write is also used for sockets ---- */
 
 ssize_t write(int descriptor, const void *bytes, size_t count) {
   REAL(ssize_t, write, int, const void *, size_t)
--- a/lab/src/test/java/lemondeal/lab/soak/ClockStepTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/ClockStepTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A real proxy whose wall clock is stepped while it runs, as that of all machines is. */
+/** A real proxy whose wall clock is stepped while it runs, as clock synchronization does on any machine. */
 @Timeout(120)
 class ClockStepTest {
   private static final int REQUESTS = 60;
-  /** Of two servers alike, one gets about half of the requests once it is warm. */
+  /** Each of two equal servers gets about half of the requests once its slow start is over. */
   private static final int MIN_SERVED = REQUESTS / 6;
 
   @TempDir
   Path folder;
 
-  /** Slow start is a span of real time: a server that starts after a step is warm when that span is over. */
+  /** Slow start must take real time: a server that starts after a clock step is warm once that time has passed. */
   @ParameterizedTest
   @ValueSource(longs = {0, 2, 3_600, -2, -3_600})
   void slowStartEndsOnTimeAfterAClockStep(long seconds) throws Exception {
@@ -40,7 +40,7 @@
     }
   }
 
-  /** How many of the clients that come and go one after another are served there. */
+  /** Connects clients one after another and returns how many of them this server serves. */
   private static int servedBy(OneProxySite site, SoakServer server) throws Exception {
     int served = 0;
     for (int i = 0; i < REQUESTS; i++) {
--- a/lab/src/test/java/lemondeal/lab/soak/FailingDiskTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/FailingDiskTest.java
@@ -24,15 +24,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Claims on a disk whose writes and syncs fail for a while, in a process that is killed: what was taken on is owed. */
+/** Acknowledged claims must survive failing disk writes and syncs followed by a kill of the process. */
 @Timeout(120)
 class FailingDiskTest {
   private static final long NOW = 1_000_000;
   private static final int MAX_CLAIMS = 100_000;
   private static final int TIMEOUT_SECONDS = 20;
-  /** Claims that are made before the process is killed. */
+  /** Number of claims made before the process is killed. */
   private static final int CLAIMS_BEFORE_KILL = 600;
-  /** Before one in so many claims some of the next calls begin to fail. */
+  /** Before one in this many claims, a fault is injected into the next calls. */
   private static final int FAULT_ONE_IN = 25;
   private static final String WRITTEN_PREFIX = "written ";
 
@@ -51,11 +51,11 @@
     BlockingQueue<CasStore.Result> answers = new LinkedBlockingQueue<>();
     call.accept(answers::add);
     CasStore.Result answer = answers.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    assertTrue(answer != null, "no answer of the store");
+    assertTrue(answer != null, "the store did not answer");
     return answer;
   }
 
-  /** Makes the claims that it is told of on standard input, one number a line, and says what came of each. */
+  /** Makes a claim for each number that it reads on standard input, one a line, and prints the result of each. */
   public static final class ClaimWriter {
     public static void main(String[] args) throws Exception {
       try (DiskStore store = DiskStore.open(Path.of(args[0]), MAX_CLAIMS, () -> NOW, new PlainLog(System.err));
@@ -70,14 +70,15 @@
   }
 
   private Process startChild(FaultShim shim) throws IOException {
-    ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
+    ProcessBuilder builder = new ProcessBuilder(
+        Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
         System.getProperty("java.class.path"), ClaimWriter.class.getName(), folder.resolve("claims").toString())
         .redirectError(ProcessBuilder.Redirect.DISCARD);
     builder.environment().putAll(shim.environment());
     return builder.start();
   }
 
-  /** Lets some of the next writes or syncs of files fail. */
+  /** Makes some of the next file writes or syncs fail. */
   private static void injectFault(FaultShim shim, UniformRandomProvider random) {
     FaultShim.SystemCall call = random.nextBoolean() ? FaultShim.SystemCall.FILE_WRITE : FaultShim.SystemCall.FILE_SYNC;
     shim.failNext(call, random.nextBoolean() ? Errno.ENOSPC : Errno.EIO, 1 + random.nextInt(5));
@@ -102,17 +103,19 @@
           acknowledged.add(i);
         }
       }
-      // One more is under way as the process is killed.
+      // One more claim is in progress when the process is killed.
       childInput.write(CLAIMS_BEFORE_KILL + "\n");
       childInput.flush();
     } finally {
       child.destroyForcibly().waitFor();
     }
-    assertTrue(acknowledged.size() > CLAIMS_BEFORE_KILL / 2 && acknowledged.size() < CLAIMS_BEFORE_KILL, acknowledged.size() + " written");
+    assertTrue(acknowledged.size() > CLAIMS_BEFORE_KILL / 2 && acknowledged.size() < CLAIMS_BEFORE_KILL,
+        acknowledged.size() + " written");
     try (DiskStore store = DiskStore.open(folder.resolve("claims"), MAX_CLAIMS, () -> NOW, new PlainLog(System.err))) {
       for (int number : acknowledged) {
         CasStore.Result read = await(callback -> store.read(session(number), callback));
-        assertEquals(new CasStore.VersionedState(1, state(number)), read.current(), "acknowledged, and lost: " + number);
+        assertEquals(new CasStore.VersionedState(1, state(number)), read.current(),
+            "an acknowledged claim was lost: " + number);
       }
     }
   }
--- a/lab/src/test/java/lemondeal/lab/soak/FaultSoakTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/FaultSoakTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The short form of the soak, with fixed seeds; {@code make soak} runs many. */
+/** A short soak with fixed seeds; {@code make soak} runs many seeds. */
 @Timeout(180)
 class FaultSoakTest {
   private static final Soak.Size SHORT_SOAK = new Soak.Size(10, 6, 8_000);
@@ -24,7 +24,7 @@
     Soak.Result result = Soak.run(seed, SHORT_SOAK, folder, System.out);
     System.out.println("soak of seed " + seed + ": " + result.summary());
     assertEquals(List.of(), result.violations());
-    // A soak that sent next to nothing has shown nothing.
+    // Guards against a soak that proves nothing because hardly any request was served.
     assertTrue(result.served() > 100, result.summary());
   }
 }
--- a/lab/src/test/java/lemondeal/lab/soak/OneProxySite.java
+++ b/lab/src/test/java/lemondeal/lab/soak/OneProxySite.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import lemondeal.lab.LineConnection;
 
-/** One proxy of a soak with its servers, for a fault that is made by hand. */
+/** One proxy of a soak with its servers, for tests that inject a single fault themselves. */
 final class OneProxySite implements AutoCloseable {
   private static final long START_TIMEOUT_MILLIS = 20_000;
   private static final long DEADLINE_MILLIS = 5_000;
@@ -41,7 +41,7 @@
     }
   }
 
-  /** A client of this class, which has sent its request and waits. */
+  /** Connects a client, sends a request of this class and returns the connection without reading the answer. */
   LineConnection sendRequest(RequestClass requestClass) throws IOException {
     LineConnection lines = LineConnection.connect(proxy.address());
     String id = "%016x".formatted(0x1000 + requestCount++);
--- a/lab/src/test/java/lemondeal/lab/soak/SystemCallsTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/SystemCallsTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A real proxy whose system calls fail for a moment, in ways that Linux documents. */
+/** A real proxy whose system calls fail for a short time, with errors that Linux documents. */
 @Timeout(120)
 class SystemCallsTest {
-  /** Failures in a row; each pause that grows with them is over by then, or it is not bounded. */
+  /** Number of consecutive failures, enough to reveal a backoff that grows without a bound. */
   private static final int CONSECUTIVE_FAILURES = 8;
 
   @TempDir
@@ -36,14 +36,17 @@
     }
   }
 
-  /** The system would reset whoever waits in its queue as the socket closes. */
+  /**
+   * When the listening socket closes, the system resets the connections in its accept queue. If accept fails during the
+   * shutdown, the proxy must still accept and answer them first.
+   */
   @Test
   void clientsInTheAcceptQueueAreAnsweredIfAcceptFailsDuringShutdown() throws Exception {
     try (OneProxySite site = new OneProxySite(folder, 2)) {
       site.proxy.shim().failNext(FaultShim.SystemCall.ACCEPT, Errno.ENFILE, Integer.MAX_VALUE);
       try (LineConnection client = site.sendRequest(RequestClass.READ)) {
         Thread stop = Threads.start("stop", () -> assertDoesNotThrow(site.proxy::stop));
-        // The socket is to close 0.45 s after the order.
+        // The socket is to close 0.45 s after SIGTERM.
         Threads.sleepMillis(700);
         site.proxy.shim().clearFaults();
         assertEquals("BUSY", client.readLine().split(" ")[0]);
@@ -65,7 +68,7 @@
     }
   }
 
-  /** A line passes whole though each read and write moves a byte at a time, and waits are interrupted. */
+  /** A line is forwarded completely even if each read and write moves one byte and waits are interrupted. */
   @Test
   void shortReadsAndWritesAndInterruptedWaitsLoseNothing() throws Exception {
     try (OneProxySite site = new OneProxySite(folder, 2)) {
