--- a/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
+++ b/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
@@ -21,7 +21,7 @@
   private final RuleChecker checker;
   private final long graceMillis;
   private final boolean pushed;
-  private final Map<ServerAndProxy, Long> recordNotified = new ConcurrentHashMap<>();
+  private final Map<ServerAndProxy, Long> notifiedAt = new ConcurrentHashMap<>();
   private final Map<Integer, Long> reachableSince = new ConcurrentHashMap<>();
   /** The time from which a change pushed to a proxy counts as received at once, by proxy. */
   private final Map<Integer, Long> pushEffectiveFrom = new ConcurrentHashMap<>();
@@ -39,7 +39,7 @@
 
   /** The proxy's process was started: it knows of no change yet, and can reach discovery from now on. */
   void processStarted(int proxy) {
-    recordNotified.keySet().removeIf(key -> key.proxy == proxy);
+    notifiedAt.keySet().removeIf(key -> key.proxy == proxy);
     reachableSince.put(proxy, System.nanoTime());
   }
 
@@ -59,9 +59,9 @@
     for (ServerListing.Entry entry : entries) {
       ServerAndProxy key = new ServerAndProxy(entry.server().identity().id(), proxy);
       if (entry.lifecycle().equals(ServerListing.IN_SERVICE)) {
-        recordNotified.remove(key);
+        notifiedAt.remove(key);
       } else {
-        recordNotified.putIfAbsent(key, now);
+        notifiedAt.putIfAbsent(key, now);
       }
     }
   }
@@ -80,7 +80,7 @@
     }
     long reachableNanos = reachableSince.getOrDefault(proxy, Long.MAX_VALUE);
     long notifiedNanos = Math.min(assumedNotificationNanos(proxy, reachableNanos, entry),
-        recordNotified.getOrDefault(new ServerAndProxy(server, proxy), Long.MAX_VALUE));
+        notifiedAt.getOrDefault(new ServerAndProxy(server, proxy), Long.MAX_VALUE));
     long limitMillis = graceMillis + SLACK_MILLIS + checker.allowanceMillis();
     long afterMillis = TimeUnit.NANOSECONDS.toMillis(now - notifiedNanos);
     if (notifiedNanos != Long.MAX_VALUE && afterMillis > limitMillis) {
--- a/lab/src/main/java/lemondeal/lab/soak/RuleChecker.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RuleChecker.java
@@ -121,7 +121,7 @@
           + later.proxy + " was sent to " + later.server + " after it may have run at " + earlier.server);
     }
     if (later.relayed) {
-      // The relay may have delayed it, so that it was sent before the other one.
+      // The relay may have delayed it, so it may have been sent before the earlier one.
       return;
     }
     long gapMillis = TimeUnit.NANOSECONDS.toMillis(later.receivedAt - earlier.receivedAt);
--- a/lab/src/main/java/lemondeal/lab/soak/SoakClient.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakClient.java
@@ -22,13 +22,13 @@
     HURRIES
   }
 
-  /** An answer up to this long after the deadline is merely late; after that, the request counts as lost. */
+  /** An answer up to this long after the deadline is late, but not lost; after that, the request counts as lost. */
   private static final long MAX_LATE_MILLIS = 500;
   private static final long LINE_INTERVAL_MILLIS = 400;
   private static final long MAX_LINE_DELAY_MILLIS = 1_000;
   /** PROTOCOL: a connection whose server has ended it must be ended or moved within a second. */
   private static final long MAX_KEPT_AFTER_END_MILLIS = 1_000;
-  /** The same for a connection on which a running server sends nothing back. */
+  /** PROTOCOL: a connection on which a running server sends nothing back must be ended or moved within this time. */
   private static final long MAX_SILENCE_MILLIS = 7_000;
   private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
   private static final long MIN_DEADLINE_MILLIS = 100;
@@ -39,7 +39,7 @@
   private static final int GROUPS = 12;
   /** The load that a client announces in its request, in microseconds of work per second. */
   private static final int LOAD_HINT = 20_000;
-  /** One in this many clients announces that it reconnects after a disconnect. */
+  /** One in this many clients says in its request that it reconnects after a broken connection. */
   private static final int RECONNECTING_ONE_IN = 4;
   private static final AtomicLong LAST_ID = new AtomicLong();
 
@@ -186,7 +186,7 @@
         + ", attempts " + request.attempts().stream().map(attempt -> attempt.server.id()).toList());
   }
 
-  /** Reports a request as lost, unless its process was killed or replaced: its clients must retry by themselves. */
+  /** Reports a request as lost, unless its process was killed or replaced: clients must then retry by themselves. */
   private void excuseOrReportLost(SoakProxy.Incarnation target, String cause) {
     Threads.sleepMillis(50);
     SoakProxy.Incarnation current = proxy.incarnation();
--- a/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
@@ -70,7 +70,7 @@
   private final Path logFile;
   private final InetSocketAddress address;
   private final List<DiscoveryEndpoint> discoveryEndpoints = new ArrayList<>();
-  private int activeDiscovery;
+  private int activeDiscoveryIndex;
   private volatile int descriptorLimit;
   private int maxAttempts = 3;
   private volatile Incarnation incarnation;
@@ -120,7 +120,7 @@
 
   /** Returns the discovery endpoint that the configuration names at present. */
   DiscoveryEndpoint activeDiscovery() {
-    return discoveryEndpoints.get(activeDiscovery);
+    return discoveryEndpoints.get(activeDiscoveryIndex);
   }
 
   private void writeConfig() throws IOException {
@@ -280,7 +280,7 @@
     Incarnation reloaded = incarnation;
     int earlierReloads = reloaded.logLines("configuration read anew").size();
     if (switchDiscovery) {
-      activeDiscovery = 1 - activeDiscovery;
+      activeDiscoveryIndex = 1 - activeDiscoveryIndex;
     } else {
       maxAttempts = 5 - maxAttempts;
     }
@@ -307,7 +307,7 @@
     String[] descriptors = new File("/proc/" + inspected.process.pid() + "/fd").list();
     if (descriptors != null && descriptors.length > descriptorLimit) {
       checker.reportViolation(Rule.DESCRIPTORS,
-          "proxy " + number + " holds " + descriptors.length + " descriptors, limit " + config.sockets());
+          "proxy " + number + " holds " + descriptors.length + " descriptors, configured limit " + config.sockets());
     }
     if (inspected.adminAddress == null || !isInService()) {
       return;
--- a/lab/src/test/java/lemondeal/lab/soak/ConsulClockStepTest.java
+++ b/lab/src/test/java/lemondeal/lab/soak/ConsulClockStepTest.java
@@ -35,7 +35,7 @@
   /** The quiet period must be real time: a clock step forward must not shorten it, and a step back not extend it. */
   @ParameterizedTest
   @ValueSource(longs = {-3_600, 3_600})
-  void aFailedServerReturnsAfterItsQuietTimeDespiteAClockStep(long seconds) throws Exception {
+  void aFailedServerReturnsAfterItsQuietPeriodDespiteAClockStep(long seconds) throws Exception {
     FaultShim shim = FaultShim.create(FaultShim.compile(folder), folder.resolve("shim"));
     String damping = "damping: {quiet: " + QUIET_SECONDS + "s, most: 8s, forget: 60s}";
     try (ConsulTestCluster site = new ConsulTestCluster(1, 2, damping, shim.environment());
