--- a/proxy/src/main/java/lemondeal/Balancer.java
+++ b/proxy/src/main/java/lemondeal/Balancer.java
@@ -41,7 +41,10 @@
   /** {@code share} is of the fleet; {@code connectionQuota} counts connections over all nodes, 0 = unknown. */
   record Tenant(double share, double requestsPerSecond, double connectionQuota) {}
 
-  /** Parameters of the four rules. {@code listPollInterval} is 0 if the list is pushed without a request. */
+  /**
+   * Parameters of the platform's rules on late answers, on sends to draining servers and on sends to cold servers.
+   * {@code listPollInterval} is 0 if the list is pushed without a request.
+   */
   record Rules(long answerSlack, long drainGrace, double overloadMultiple, long overloadWindow,
       double coldCapacityShare, long warmUpTime, long listPollInterval) {}
 
@@ -146,7 +149,7 @@
 
   sealed interface Action {}
 
-  /** Starts the request's next attempt. A timeout of 0 lasts until the client gives up. */
+  /** Starts the request's next attempt. With a timeout of 0 it lasts until the client gives up. */
   record Send(String id, String server, long timeout) implements Action {}
 
   /** Final answer: refused, a retry is safe. {@code retryAfter} 0 gives no advice. */
--- a/proxy/src/main/java/lemondeal/module/GroupShedding.java
+++ b/proxy/src/main/java/lemondeal/module/GroupShedding.java
@@ -8,7 +8,7 @@
   private static final double STEP_NEAR_TARGET = 0.1; // of the share of groups to shed
   // Measured: it is better to shed fast than to shed exactly as much as needed.
   private static final double STEP_FAR_OVER_TARGET = 0.4;
-  private static final long STEP_INTERVAL = 900_000; // just under the second between two notes
+  private static final long STEP_INTERVAL = 900_000; // just under the second between two delay reports
   // Some groups of each class are always admitted, to keep measuring the latency.
   private static final double MAX_CLASS_SHARE = 0.9;
   // Share for the class of lowest worth; beyond 1 it grows for the other classes only.
@@ -74,7 +74,8 @@
         : lowestWorth / worthPerWork(request.details.requestClass());
   }
 
-  /** Worth of a class per unit of work, if its load is known to this node. */
+  /** Worth of a class per unit of work. Until this node knows the load of every class, the worth in the
+   * settings is used as it is. */
   private double worthPerWork(int classIndex) {
     double worth = node.settings.classes().get(classIndex).worth();
     boolean asGiven = node.settings.worthIsPerWork() || classesWithLoad < meanClassLoad.length;
--- a/proxy/src/main/java/lemondeal/module/RequestLifecycle.java
+++ b/proxy/src/main/java/lemondeal/module/RequestLifecycle.java
@@ -7,7 +7,7 @@
 record RequestLifecycle(NodeState node, LoadEstimator load, Health health, GroupShedding groupShedding,
     SlowStart slowStart, SetupLimiter setupLimiter, Ranking ranking, ZoneAdmission zoneAdmission) {
   private static final long HOLD_INTERVAL = 100_000; // between two placements of a held request
-  // Time of the final answer before the client's deadline: a few timer ticks of any node.
+  // How long before the client's deadline its final answer is given: a few timer ticks of any node.
   private static final long ANSWER_MARGIN = 30_000;
 
   void arrived(Request details) {
--- a/proxy/src/main/java/lemondeal/module/ServerTotals.java
+++ b/proxy/src/main/java/lemondeal/module/ServerTotals.java
@@ -44,7 +44,7 @@
     return hintedLoad;
   }
 
-  /** Weight of the servers that are ready by the list. */
+  /** Weight of the servers that are ready according to the list. */
   double readyWeight() {
     if (Double.isNaN(readyWeight)) {
       double sum = 0;
@@ -56,7 +56,7 @@
     return readyWeight;
   }
 
-  /** Weight, times its present capacity share, of each server that accepts clients now. */
+  /** Sum over the servers that accept clients now: weight times present capacity share. */
   double acceptingWeight(LoadEstimator load, SlowStart slowStart) {
     if (Double.isNaN(acceptingWeight)) {
       double sum = 0;
--- a/proxy/src/main/java/lemondeal/module/SetupLimiter.java
+++ b/proxy/src/main/java/lemondeal/module/SetupLimiter.java
@@ -6,13 +6,13 @@
 /** Adaptive limit (AIMD) on connection set-ups in flight, and estimate of their duration. Protects the store
  * or servers that all set-ups depend on. */
 final class SetupLimiter {
-  private static final double SLOW_RATIO = 4; // times the usual time: all wait for a shared resource
+  private static final double SLOW_RATIO = 4; // times the usual time: then all wait for a shared resource
   private static final double RECENT_TIME_GAIN = 0.3; // weight of the newest sample in the recent time
   private static final double USUAL_TIME_GAIN = 0.02; // the same in the usual time
   private static final long RECENT_TIME_HALF_LIFE = 2_000_000; // without new samples
   private static final double MAX_DEADLINE_SHARE = 0.7; // of the deadline: cap of the expected time
   private static final double FALLBACK_TIMEOUT_SHARE = 0.6; // of the time left, where a fallback still fits
-  private static final double INITIAL_LIMIT = 4; // until one fails; successful set-ups are short
+  private static final double INITIAL_LIMIT = 4; // before any has failed; successful set-ups are short
   private static final double MAX_LIMIT = 32;
   private static final double LIMIT_DECREASE_FACTOR = 0.7; // after a timeout, an error or a slow success
   private static final long FIRST_BACKOFF = 50_000; // when even single set-ups fail; doubles
--- a/proxy/src/main/java/lemondeal/proxy/Generations.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generations.java
@@ -24,8 +24,8 @@
   /** How often to check whether an older generation has ended, in microseconds: what it keeps is little. */
   private static final long CHECK_INTERVAL = 1_000_000;
   /**
-   * Limit on the servers that all older settings keep in memory together: as many as the largest fleet has (STANDING),
-   * some 800 bytes each. One client that stayed was enough to keep them all.
+   * Limit on the servers that all older settings keep in memory together: as many as the largest fleet has (see the
+   * platform's page STANDING), some 800 bytes each. One client that stayed was enough to keep them all.
    */
   private static final int MAX_OLDER_SERVERS = 3_200;
 
@@ -121,7 +121,8 @@
 
   /**
    * Two sources watch discovery only until the new one has received a list, and none at an outdated address. Guards
-   * against missed drain notices: proxies that are all told to reload are served by discovery one after another.
+   * against missed drain notices: proxies that all reload together are served by discovery one after another, and until
+   * a proxy's turn only its previous watch reports drains.
    */
   private void takeOverWatch(Generation previous) {
     stopPreviousWatch();
--- a/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Whether this is the first order; its time limits apply, and another one changes nothing. */
+  /** Whether this is the first order to stop; its time limits apply, and another one changes nothing. */
   private boolean startOnce(Listener clientListener) {
     if (state != State.NOT_STARTED) {
       return false;
@@ -111,7 +111,7 @@
   }
 
   /**
-   * Moves some clients, and the others step by step. Protects the other proxies, their servers and what those need to
+   * Moves some clients now, and the others in later steps. Protects the other proxies, their servers and what those need to
    * set up connections against a thundering herd: clients that are moved reconnect within a moment, all of them
    * together.
    */
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Ends this client's connection after reading what it has written. Protects the last line to it: many connections end
-   * at once, more than may linger, and one that was closed with unread bytes was reset.
+   * Reads what this client has written, then runs an action that ends its connection. Protects the last line to the
+   * client: many connections end at once, more than may linger, and one that was closed with unread bytes was reset.
    */
   private static void readThenApply(ClientLink client, Consumer<ClientLink> action) {
     client.link().readNow();
--- a/proxy/src/main/java/lemondeal/proxy/KnownServers.java
+++ b/proxy/src/main/java/lemondeal/proxy/KnownServers.java
@@ -107,8 +107,8 @@
   }
 
   /**
-   * All servers known under the previous settings, translated to these. Names that those settings lacked are missing
-   * there, so the new configuration's own list is applied first.
+   * All servers known under the previous settings, translated to these. Names that the previous settings lacked cannot
+   * be translated, so the new configuration's own list is applied first.
    */
   ServerList takeOver(KnownServers previous, ServerList configured) {
     apply(configured);
@@ -124,9 +124,9 @@
     List<ServerEntry> kept = new ArrayList<>();
     for (ServerEntry entry : savedList.entries()) {
       ServerEntry known = entry(entry.server());
-      boolean isEnding = drainingSince.containsKey(entry.server()) && known != null
+      boolean isDrainingOrRemoved = drainingSince.containsKey(entry.server()) && known != null
           && entry.startedAt() <= known.startedAt();
-      if (!isEnding) {
+      if (!isDrainingOrRemoved) {
         kept.add(entry);
       } else if (entries.containsKey(entry.server())) {
         kept.add(draining(entry));
--- a/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
+++ b/proxy/src/main/java/lemondeal/proxy/PassiveHealthCheck.java
@@ -69,7 +69,10 @@
     }
   }
 
-  /** Where the settings say that servers report both, and the client gave no hint, a figure counts as a load. */
+  /**
+   * Where the settings say that servers report both, and the client gave no hint, a figure counts as a load unless it
+   * continues a series of delays.
+   */
   private boolean isDelay(double value) {
     return switch (context.config().loadLineMeaning()) {
       case LOADS -> false;
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -65,8 +65,8 @@
   }
 
   /** The same, with the server list from a source made by {@code sourceFactory}. */
-  public Proxy(Config config, Balancer module, EventLog log, ResumptionContext resumption, ListSource.Factory sourceFactory)
-      throws IOException {
+  public Proxy(Config config, Balancer module, EventLog log, ResumptionContext resumption,
+      ListSource.Factory sourceFactory) throws IOException {
     this(config, module, log, resumption, sourceFactory, new Clock());
   }
 
@@ -88,11 +88,12 @@
     admission = new AdmissionControl(requests);
     pendingLinks = new EvictingSet<>(() -> limits.maxPending(requests.freeSlots()), PendingLink::evict);
     generations = new Generations(new Generation.SharedServices(net, wheel, requests, sourceFactory, log, config.name(),
-        startTimes, violations, trace, resumption == null ? SessionContinuity.NonResumable::new : resumption::continuityOf), config, module,
+        startTimes, violations, trace,
+        resumption == null ? SessionContinuity.NonResumable::new : resumption::continuityOf), config, module,
         this::listReceived);
   }
 
-  /** Starts on the I/O thread; returns when the addresses are listened on, or throws the failure. */
+  /** Starts on the I/O thread; returns once this proxy listens on its addresses, or throws the failure. */
   public void start() throws IOException {
     start(config.inheritedSocket() ? Listener.inherited() : Listener.bind(config.listen()));
   }
@@ -133,7 +134,7 @@
 
   /**
    * Begins to accept once this process can serve: the module has a list from discovery, or discovery has delivered none
-   * in time and the list from before the start must do. Only then does it accept from a socket that another process may
+   * in time and the list from before the start is used. Only then does it accept from a socket that another process may
    * be accepting from.
    */
   private void startAccepting() {
--- a/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
+++ b/proxy/src/main/java/lemondeal/proxy/TimerWheel.java
@@ -96,7 +96,7 @@
     return null;
   }
 
-  /** The nearest tick with an entry, at most one round ahead: entries of later rounds are searched for then. */
+  /** The nearest tick with an entry, at most one round ahead: entries of later rounds are searched for there. */
   private void findNextTick() {
     if (size == 0) {
       // Guards against a search through all future ticks: it never ended once the wheel was empty.
--- a/proxy/src/test/java/lemondeal/benchlink/MetamorphicTest.java
+++ b/proxy/src/test/java/lemondeal/benchlink/MetamorphicTest.java
@@ -281,7 +281,7 @@
         new Balancer.Limits(3, true, false, false, false, true, 600_000 * unit, 8_000 * unit),
         new Balancer.Prices(0.03, 0.2, 0, 0, 0.02), Balancer.WeightMeaning.NOMINAL, false, random.nextBoolean(), false,
         false, false, 0.1);
-    // A server's start time is hashed into the rotation of send allowances: it stays, and times count from it.
+    // A server's start time is hashed into the rotation of send allowances: it is not scaled, and times count from it.
     long start = 1_000_000_000_000L;
     DecisionModule module = new DecisionModule();
     List<Action> all = new ArrayList<>(module.on(start, new Start(seed, settings)));
--- a/proxy/src/test/java/lemondeal/module/ColdServerBudgetTest.java
+++ b/proxy/src/test/java/lemondeal/module/ColdServerBudgetTest.java
@@ -67,7 +67,7 @@
       for (int n = 0; n < nodes; n++) {
         attemptCounts.add(new HashMap<>());
         openRequests.add(new LinkedHashMap<>());
-        // One node gets several times the mean, half of them very little.
+        // One node gets several times the mean, half of the nodes very little.
         requestRates[n] = n == 0 ? 5 : n % 2 == 0 ? 1 : 0.2;
         start(n);
       }
@@ -143,7 +143,7 @@
     }
 
     /** A burst of clients within a second, to each node in proportion to its traffic, of groups that rank a cold
-     * server first: as with a large group, or when the clients of a zone return with it. */
+     * server first, as with a large group, or when the clients of a zone return with it. */
     void burst(double share) {
       List<String> groups = new ArrayList<>();
       for (int g = 0; groups.size() < 5; g++) {
@@ -226,7 +226,7 @@
       return Math.min(1, RULES.coldCapacityShare() + (1 - RULES.coldCapacityShare()) * age / RULES.warmUpTime());
     }
 
-    /** Requests that the server can take in the window from this time on: multiple x capacity x window. */
+    /** Requests that the server can take in the window from this time on: multiple x present capacity x window. */
     double budget(String server, long from) {
       double rate = CAPACITY / RULES.warmUpTime();
       double meanCapacityShare = capacityShare(from - startedAt.get(server) + RULES.overloadWindow() / 2);
@@ -237,7 +237,7 @@
       return sendTimes.getOrDefault(server, List.of());
     }
 
-    /** In no window of the given length may the sends exceed N by more than chance explains. */
+    /** In no window of the rules' length, whenever it begins, may the sends exceed N by more than chance explains. */
     void assertBudgetKept(String description) {
       for (String server : startedAt.keySet()) {
         List<Long> times = sendsTo(server);
@@ -349,7 +349,7 @@
     for (boolean probes : new boolean[] {true, false}) {
       for (ColdFleetSimulation simulation : runAndCheckBudget(9, 0.1, probes)) {
         double connectionsToFill = CAPACITY * (1 + RULES.coldCapacityShare()) / 2;
-        // Without reports a node estimates by its open connections: the share of the capacity in use.
+        // Without reports a node estimates the capacity by its open connections, and so sees only the part in use.
         double knownCapacityShare = probes ? 1 : UTILIZATION;
         List<String> cold = simulation.startedAt.keySet().stream().filter(s -> s.startsWith("cold")).toList();
         long sent = cold.stream().flatMap(s -> simulation.sendsTo(s).stream())
--- a/proxy/src/test/java/lemondeal/module/MembershipTest.java
+++ b/proxy/src/test/java/lemondeal/module/MembershipTest.java
@@ -144,7 +144,7 @@
     assertTrue(discovery.maxCallsPerSecond() <= 3 * NODES, discovery.maxCallsPerSecond() + " calls in a second");
   }
 
-  /** Even if two more calls of each fail. */
+  /** Every process has its list in time even if two more of its calls fail. */
   @Test
   void twoFailedCallsAfterTheRecoveryLeaveTimeForAThird() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
@@ -155,7 +155,7 @@
     discovery.runUntil(28 * SECOND);
     discovery.comeUp();
     all.forEach(process -> process.failuresLeft = 2);
-    // Three of the longest back-offs and the calls' time in the queue.
+    // Time for three of the longest back-offs and for the calls' wait in the queue.
     discovery.runUntil(28 * SECOND + LIST_DEADLINE / 2);
     assertEquals(0, all.stream().filter(process -> process.listedAt < 0).count());
   }
@@ -193,7 +193,7 @@
     assertEquals(0, all.stream().filter(process -> process.calls < 3).count());
   }
 
-  /** However long the poll interval of the settings is. */
+  /** The deadline holds however long the poll interval of the settings is. */
   @Test
   void anUnansweredCallIsRepeatedWithinTheListDeadline() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
@@ -205,7 +205,7 @@
     assertEquals(2, discovery.callTimes.size());
   }
 
-  /** Without growing back-offs all nodes would call a discovery that refuses them again and again. */
+  /** Without growing back-offs, all nodes would call again and again while discovery refuses them. */
   @Test
   void backoffGrowsAndIsRandomized() {
     SimulatedDiscovery discovery = new SimulatedDiscovery(1_000, CALL_TIMEOUT);
