--- a/proxy/src/main/java/lemondeal/OperatorFeatures.java
+++ b/proxy/src/main/java/lemondeal/OperatorFeatures.java
@@ -102,7 +102,7 @@
       } catch (IOException e) {
         throw new ConfigException(operator.fleet().fault(e.getMessage()).toString());
       }
-      proxy.addFigures(this::addTo);
+      proxy.addMetrics(this::addTo);
     }
     if (evacuation != null) {
       evacuation.start(proxy);
--- a/proxy/src/main/java/lemondeal/proxy/Generation.java
+++ b/proxy/src/main/java/lemondeal/proxy/Generation.java
@@ -142,7 +142,7 @@
       return;
     }
     ServerList list = sameList ? servers.takeOver(previous.servers, configured)
-        : previous.servers.withEndsApplied(configured);
+        : previous.servers.withDrainsAndRemovals(configured);
     startedWithList = true;
     dispatcher.dispatch(new Start(seed, config.settings()));
     source.savedLists();
--- a/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
+++ b/proxy/src/main/java/lemondeal/proxy/GracefulShutdown.java
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Moves some clients now, and the others in later steps. Protects the other proxies, their servers and what those need to
-   * set up connections against a thundering herd: clients that are moved reconnect within a moment, all of them
+   * Moves some clients now, and the others in later steps. Protects the other proxies, their servers and what those
+   * need to set up connections against a thundering herd: clients that are moved reconnect within a moment, all of them
    * together.
    */
   private void moveNextBatch() {
--- a/proxy/src/main/java/lemondeal/proxy/KnownServers.java
+++ b/proxy/src/main/java/lemondeal/proxy/KnownServers.java
@@ -120,7 +120,7 @@
    * A list from a file, which may be older than what discovery has announced here: a server that was announced as
    * draining stays draining, and one that was announced as removed is left out, unless it has restarted since.
    */
-  ServerList withEndsApplied(ServerList savedList) {
+  ServerList withDrainsAndRemovals(ServerList savedList) {
     List<ServerEntry> kept = new ArrayList<>();
     for (ServerEntry entry : savedList.entries()) {
       ServerEntry known = entry(entry.server());
--- a/proxy/src/main/java/lemondeal/proxy/Proxy.java
+++ b/proxy/src/main/java/lemondeal/proxy/Proxy.java
@@ -170,7 +170,7 @@
   }
 
   /** Adds these metrics to those shown on the second address. */
-  public void addFigures(Consumer<Map<String, Long>> source) {
+  public void addMetrics(Consumer<Map<String, Long>> source) {
     net.execute(() -> extraMetrics = source);
   }
 
