--- a/proxy/src/main/java/lemondeal/proxy/KnownServers.java
+++ b/proxy/src/main/java/lemondeal/proxy/KnownServers.java
@@ -107,8 +107,8 @@
   }
 
   /**
-   * All servers known under the previous settings, translated to these. Names that those settings lacked are missing
-   * there, so the new configuration's own list is applied first.
+   * All servers known under the previous settings, translated to these. Names that the previous settings lacked cannot
+   * be translated, so the new configuration's own list is applied first.
    */
   ServerList takeOver(KnownServers previous, ServerList configured) {
     apply(configured);
@@ -120,13 +120,13 @@
    * A list from a file, which may be older than what discovery has announced here: a server that was announced as
    * draining stays draining, and one that was announced as removed is left out, unless it has restarted since.
    */
-  ServerList withEndsApplied(ServerList savedList) {
+  ServerList withDrainsAndRemovals(ServerList savedList) {
     List<ServerEntry> kept = new ArrayList<>();
     for (ServerEntry entry : savedList.entries()) {
       ServerEntry known = entry(entry.server());
-      boolean isEnding = drainingSince.containsKey(entry.server()) && known != null
+      boolean isDrainingOrRemoved = drainingSince.containsKey(entry.server()) && known != null
           && entry.startedAt() <= known.startedAt();
-      if (!isEnding) {
+      if (!isDrainingOrRemoved) {
         kept.add(entry);
       } else if (entries.containsKey(entry.server())) {
         kept.add(draining(entry));
