--- a/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
+++ b/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
@@ -9,7 +9,7 @@
  * of {@link System#nanoTime}.
  */
 final class DrainChecker {
-  /** A proxy must know of a change this long after discovery has it and is reachable, whatever request failed. */
+  /** A proxy must know of a change this long after discovery has it and is reachable, even if a request failed. */
   private static final long MAX_NOTIFICATION_SECONDS = 6;
   /** STANDING: after SIGHUP, pushed changes count as received only after this time. */
   private static final long PUSH_AFTER_RELOAD_SECONDS = 4;
@@ -43,7 +43,7 @@
     reachableSince.put(proxy, System.nanoTime());
   }
 
-  /** The proxy's watches send nothing any more: changes count as received only after the longest notification time. */
+  /** The proxy's watches deliver nothing any more: changes count as received only after the longest allowed time. */
   void watchesStalled(int proxy) {
     pushEffectiveFrom.merge(proxy, System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_NOTIFICATION_SECONDS), Math::max);
   }
--- a/lab/src/main/java/lemondeal/lab/soak/FaultInjector.java
+++ b/lab/src/main/java/lemondeal/lab/soak/FaultInjector.java
@@ -7,15 +7,16 @@
 import java.util.List;
 import lemondeal.lab.site.NetworkConditions;
 
-/** Injects the faults of a plan and ends each one when its time is over. Each fault runs on a separate thread. */
+/** Injects the faults of a plan and ends each one when its time is over. Each fault needs a thread of its own. */
 final class FaultInjector {
-  /** The steps of the wall clock; a fault's drawn value selects one. */
+  /** The offsets to which a proxy's wall clock is set; a fault's drawn value selects one. */
   private static final List<Duration> CLOCK_STEPS = List.of(Duration.ofSeconds(2), Duration.ofSeconds(-2),
       Duration.ofHours(1), Duration.ofHours(-1));
   private static final List<Errno> ACCEPT_ERRORS = List.of(Errno.ENFILE, Errno.ENOBUFS, Errno.ECONNABORTED);
   private static final List<Errno> CONNECT_ERRORS = List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.EAGAIN);
   private static final List<Errno> SOCKET_ERRORS = List.of(Errno.ENFILE, Errno.ENOBUFS);
   private static final int MAX_FAILING_CALLS = 6;
+  /** The largest limit on the bytes of one socket read or write. */
   private static final int MAX_SOCKET_BYTES = 32;
   /** STANDING: the system may suspend a proxy for up to this long between reading its clock and writing. */
   private static final long MAX_PAUSE_MILLIS = 150;
--- a/lab/src/main/java/lemondeal/lab/soak/FaultPlan.java
+++ b/lab/src/main/java/lemondeal/lab/soak/FaultPlan.java
@@ -16,7 +16,7 @@
 
   private FaultPlan() {}
 
-  /** Returns the faults for the first {@code totalMillis} of a soak, ordered by start time. */
+  /** Returns the faults of a plan that lasts {@code totalMillis}, ordered by start time. */
   static List<Fault> draw(UniformRandomProvider random, long totalMillis, int proxies, int servers) {
     Fault.Kind[] kinds = Fault.Kind.values();
     List<Fault> faults = new ArrayList<>();
--- a/lab/src/main/java/lemondeal/lab/soak/RuleChecker.java
+++ b/lab/src/main/java/lemondeal/lab/soak/RuleChecker.java
@@ -28,7 +28,7 @@
   private final long repeatWindowMillis;
   private volatile boolean closed;
 
-  /** The events that a soak counts, so that a run that tested nothing differs from a run without violations. */
+  /** The events that a soak counts, so that a run that tested nothing is not mistaken for one without violations. */
   enum Counter {
     REQUESTS, SERVED, REFUSED, FAILED, EXCUSED, BAD_CLIENTS, LEAVERS, MOVED, LINES, ATTEMPTS, REPEATS, FAULTS, STARTS
   }
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Records that a client received {@code UP}; returns the attempt with its receipt, null if no server issued it. */
+  /** Records that a client received {@code UP}; returns the attempt that issued the receipt, or null if none did. */
   Attempt recordServed(RequestRecord request, String receipt) {
     increment(Counter.SERVED);
     for (Attempt attempt : request.attempts()) {
--- a/lab/src/main/java/lemondeal/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakCommand.java
@@ -10,7 +10,7 @@
 
 /** {@code lab soak}: runs the randomized fault soak for several seeds, one after another. */
 @Command(name = "soak", mixinStandardHelpOptions = true, exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {"0:no rule was broken", "1:a rule was broken; each violation is on a line", "2:invalid usage"},
+    exitCodeList = {"0:no rule was broken", "1:a rule was broken; one line for each violation", "2:invalid usage"},
     description = "Run real proxies under random, overlapping faults and check every rule from outside.")
 public final class SoakCommand implements Callable<Integer> {
   private static final int MAX_PROXIES = 40;
--- a/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
@@ -22,7 +22,7 @@
  * {@link Incarnation}.
  */
 final class SoakProxy implements AutoCloseable {
-  /** PROTOCOL: SIGKILL follows SIGTERM no earlier than the longest deadline, at most this long, plus 0.7 s. */
+  /** PROTOCOL: SIGKILL follows SIGTERM no earlier than the longest deadline, counted as 3 s if longer, plus 0.7 s. */
   private static final long MAX_DEADLINE_MILLIS = 3_000;
   private static final long STOP_MARGIN_MILLIS = 700;
   /** Prefix of the addresses on which proxies listen: 127.8.0.n. */
@@ -321,7 +321,7 @@
         }
       }
     } catch (IOException e) {
-      // The process is ending; supervise checks whether it may.
+      // The process is ending; supervise() checks whether it was asked to.
     }
   }
 
--- a/lab/src/main/java/lemondeal/lab/soak/SoakServer.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakServer.java
@@ -18,13 +18,13 @@
 import lemondeal.lab.site.Relay;
 
 /**
- * A stand-in server. It listens on all loopback addresses and gives each proxy a different one, which identifies the
- * proxy that a connection comes from.
+ * A stand-in server. It listens on all addresses and gives each proxy a different loopback address, which identifies
+ * the proxy that a connection comes from.
  */
 final class SoakServer implements AutoCloseable {
   private static final int BACKLOG = 512;
   private static final int LOAD_REPORT_ONE_IN = 4;
-  /** Under half of the message latency target: proxies avoid servers with longer delays, so nothing would be served. */
+  /** Under half of the message latency target: proxies avoid servers that report more, and nothing would be served. */
   private static final int MAX_DELAY_MILLIS = 400;
   private static final int MAX_LOAD = 40_000;
   private static final int OVERLONG_LINE_BYTES = 16 * 1024;
--- a/proxy/src/main/java/lemondeal/failover/CaseSolver.java
+++ b/proxy/src/main/java/lemondeal/failover/CaseSolver.java
@@ -6,14 +6,14 @@
 
 /**
  * Finds the flows of one case that move the least load from given baseline flows. It first reassigns only the load of
- * failed zones and leaves all other load in place, which is the minimum. Where that is infeasible, all load may move,
- * and the moved load is minimized. Among solutions that move the same amount, earlier steps are preferred, and within a
- * step the solution that fills the zones most evenly by their weights.
+ * failed zones and leaves all other load in place; no solution can move less. Where that is infeasible, all load may
+ * move, and the moved load is minimized. Among solutions that move the same amount, those that use earlier steps of the
+ * policy are preferred, and within a step those that fill the zones most evenly by their weights.
  */
 final class CaseSolver {
   /**
-   * Outweighs any gain in evenness, so that earlier steps are always preferred: an exchange of loads involves each of
-   * at most 64 zones at most twice.
+   * Outweighs any gain in evenness, so that earlier steps are always preferred: an exchange of loads involves each zone
+   * at most twice, and there are at most 64 zones.
    */
   private static final double STEP_COST = 1000;
 
@@ -35,7 +35,7 @@
     tolerance = model.tolerance();
   }
 
-  /** The load by origin and zone, or null if infeasible. Unchanged rows are the same arrays as in the baseline. */
+  /** The load by origin and zone, or null if infeasible. May share the rows of unaffected origins with the baseline. */
   double[][] solve() {
     double[][] flows = reassignLost();
     return flows != null ? flows : minimizeMovedLoad();
@@ -108,6 +108,7 @@
     helpers.forEach(helper -> minWeightByStep[helper.step()] =
         minWeightByStep[helper.step()] == 0 ? helper.weight()
         : Math.min(minWeightByStep[helper.step()], helper.weight()));
+    // The index of the step's variable plus 1, or 0 while the step has none.
     int[] peakVariableByStep = new int[8];
     for (Helper helper : helpers) {
       int variable = program.variable(stepCost > 0 ? helper.step() * stepCost : 1);
--- a/proxy/src/main/java/lemondeal/failover/PlanActivation.java
+++ b/proxy/src/main/java/lemondeal/failover/PlanActivation.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * Decides which plan a proxy uses. Immutable and without a clock: each input returns the next state. A new plan is
+ * Decides which plan a proxy uses. Immutable and without a clock: each input yields the next state. A new plan is
  * activated once a majority of the configured members holds the same digest, so that two parts of a fleet never use two
  * different new plans. Until then the old plan stays active, also while members hold different new ones.
  *
  * @param members the names of all configured proxies of the fleet, reachable or not
- * @param active the plan in use; empty before the first
+ * @param active the plan in use; empty until a first one is activated
  * @param pending a newer plan that this proxy holds; empty where there is none
  */
 public record PlanActivation(String fleet, Set<String> members, Optional<Plan> active, Optional<Plan> pending) {
--- a/proxy/src/main/java/lemondeal/failover/PolicySource.java
+++ b/proxy/src/main/java/lemondeal/failover/PolicySource.java
@@ -20,7 +20,7 @@
   public record BoundLocations(SourceLocation headroom, SourceLocation maxCrossZoneShare,
       SourceLocation maxCrossRegionShare) {}
 
-  /** A zone or region that takes over load, and its weight within its step. */
+  /** A zone or region that may serve load, and its weight within its step. */
   public record WeightedName(String name, double weight, SourceLocation location) {}
 
   /** Zones or regions that share load at the same preference. */
@@ -44,7 +44,8 @@
    * Failures that the plan must survive.
    *
    * @param count for {@link Kind#ANY}, how many zones may fail at once
-   * @param zones the zones that may fail; empty for {@link Kind#ANY} of all zones
+   * @param zones for {@link Kind#TOGETHER}, the zones that fail at once; for {@link Kind#ANY}, those of which any may
+   *     fail, empty for all zones; otherwise empty
    */
   public record SurvivalRequirement(Kind kind, int count, List<String> zones, SourceLocation location) {}
 }
--- a/proxy/src/main/java/lemondeal/operator/ConsulSection.java
+++ b/proxy/src/main/java/lemondeal/operator/ConsulSection.java
@@ -88,7 +88,7 @@
         node.path("most_bytes").asLong(DEFAULT_MAX_BYTES), savedList(severalServices ? "." + service : ""));
   }
 
-  /** Rejects at startup, with its location, a filter that Consul would reject on every call. */
+  /** Rejects, when the file is read and with its location, a filter that Consul would reject on every call. */
   private void checkFilter(String filter) {
     if (!filter.isEmpty()) {
       try {
--- a/proxy/src/main/java/lemondeal/operator/TlsSection.java
+++ b/proxy/src/main/java/lemondeal/operator/TlsSection.java
@@ -12,7 +12,7 @@
   /**
    * The files, with relative paths resolved against the folder of the operator's file.
    *
-   * @param path of the section, for messages
+   * @param path the path of the section, for messages
    * @param faults receives a message for each fault
    */
   static TlsFiles read(JsonNode tls, Path file, String path, Consumer<String> faults) {
--- a/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
+++ b/proxy/src/test/java/lemondeal/failover/PolicyCompilerTest.java
@@ -63,7 +63,7 @@
 
   @Test
   void otherLoadMovesOnlyWhereNothingElseFits() throws IOException {
-    // The load of a can only move to b, which is full of its own load, part of which c can take.
+    // The load of zone a can only move to b, which then has room for 2 of its own load; c takes the other 4.
     PolicyFileBuilder policy = new PolicyFileBuilder().zone("a", "r", 6, 6, ", served_by: [{a: 1}, {b: 1}]")
         .zone("b", "r", 6, 8, ", served_by: [{b: 1}, {c: 1}]").zone("c", "r", 0, 6, ", served_by: [{c: 1}]");
     Plan plan = policy.set(policy.survive, "together", "[[a]]").compile(folder);
