--- a/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
+++ b/lab/src/main/java/lemondeal/lab/soak/DrainChecker.java
@@ -49,7 +49,7 @@
   }
 
   /** The proxy is about to be ordered to reload its configuration. */
-  void reloaded(int proxy) {
+  void reloadRequested(int proxy) {
     pushEffectiveFrom.merge(proxy, System.nanoTime() + TimeUnit.SECONDS.toNanos(PUSH_AFTER_RELOAD_SECONDS), Math::max);
   }
 
--- a/lab/src/main/java/lemondeal/lab/soak/FaultInjector.java
+++ b/lab/src/main/java/lemondeal/lab/soak/FaultInjector.java
@@ -10,7 +10,7 @@
 /** Injects the faults of a plan and ends each one when its time is over. Each fault needs a thread of its own. */
 final class FaultInjector {
   /** The offsets to which a proxy's wall clock is set; a fault's drawn value selects one. */
-  private static final List<Duration> CLOCK_STEPS = List.of(Duration.ofSeconds(2), Duration.ofSeconds(-2),
+  private static final List<Duration> CLOCK_OFFSETS = List.of(Duration.ofSeconds(2), Duration.ofSeconds(-2),
       Duration.ofHours(1), Duration.ofHours(-1));
   private static final List<Errno> ACCEPT_ERRORS = List.of(Errno.ENFILE, Errno.ENOBUFS, Errno.ECONNABORTED);
   private static final List<Errno> CONNECT_ERRORS = List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.EAGAIN);
@@ -157,7 +157,7 @@
         proxy.start();
       });
       case PAUSE -> pause(proxy, 1 + fault.drawnValue() % MAX_PAUSE_MILLIS);
-      case CLOCK_STEP -> shim.stepWallClock(CLOCK_STEPS.get(fault.drawnValue() % CLOCK_STEPS.size()));
+      case CLOCK_STEP -> shim.stepWallClock(CLOCK_OFFSETS.get(fault.drawnValue() % CLOCK_OFFSETS.size()));
       case ACCEPT_FAILS -> shim.failNext(FaultShim.SystemCall.ACCEPT, pick(ACCEPT_ERRORS, fault), failingCalls);
       case SOCKET_FAILS -> shim.failNext(FaultShim.SystemCall.SOCKET, pick(SOCKET_ERRORS, fault), failingCalls);
       case CONNECT_FAILS -> shim.failNext(FaultShim.SystemCall.CONNECT, pick(CONNECT_ERRORS, fault), failingCalls);
--- a/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
+++ b/lab/src/main/java/lemondeal/lab/soak/SoakProxy.java
@@ -285,7 +285,7 @@
       maxAttempts = 5 - maxAttempts;
     }
     writeConfig();
-    drainChecker.reloaded(number);
+    drainChecker.reloadRequested(number);
     signal("HUP");
     long giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(5_000 + checker.allowanceMillis());
     while (reloaded.logLines("configuration read anew").size() <= earlierReloads) {
