--- a/lab/src/main/java/lemondeal/lab/emulator/RuleCheckers.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/RuleCheckers.java
@@ -122,7 +122,7 @@
     @Override
     void answered(String requestId, String answer) {
       if (!unanswered.remove(requestId)) {
-        breach(requestId, "second final answer: " + answer);
+        breach(requestId, "a second final answer, " + answer);
       }
     }
 
@@ -158,7 +158,7 @@
     void sent(String requestId, int proxyNumber, String serverName, Server server) {
       String previousServer = currentServers.put(requestId, serverName);
       if (previousServer != null) {
-        breach(requestId, "sent to " + serverName + " during an attempt on " + previousServer);
+        breach(requestId, "sent to " + serverName + " while an attempt is out to " + previousServer);
       }
     }
 
@@ -201,7 +201,7 @@
       Long knownSince = drainKnownSince.get(proxyNumber + " " + serverName);
       if (knownSince != null && scheduler.now() - knownSince > rules.drainGrace()) {
         breach(requestId, "sent to " + serverName + " " + (scheduler.now() - knownSince) / 1000
-            + " ms after the proxy learned of its drain");
+            + " ms after the word of its drain");
       }
     }
   }
@@ -252,7 +252,7 @@
       double slack = RANDOM_SLACK * Math.sqrt(Math.max(1, allowed)) + 1;
       if (setUpTimes.size() > allowed + slack) {
         breach(server.name(), setUpTimes.size() + " set-ups in " + seconds + " s of its cold start; allowed: "
-            + Math.round(allowed) + " plus " + Math.round(slack) + " for random variation");
+            + Math.round(allowed) + " and " + Math.round(slack) + " by chance");
         setUpTimes.clear();
       }
     }
@@ -279,7 +279,7 @@
     @Override
     void sent(String requestId, int proxyNumber, String serverName, Server server) {
       if (!knownServers.getOrDefault(proxyNumber, Set.of()).contains(serverName)) {
-        breach(requestId, "sent to " + serverName + ", which no list received by this proxy contains");
+        breach(requestId, "sent to " + serverName + ", which no list of this proxy has named");
       }
     }
   }
--- a/lab/src/main/java/lemondeal/lab/emulator/Simulation.java
+++ b/lab/src/main/java/lemondeal/lab/emulator/Simulation.java
@@ -206,7 +206,7 @@
       List<Action> actions = module.on(scheduler.now(), event);
       for (Action action : actions) {
         if (action == null) {
-          throw new IllegalStateException("the policy returned a null action");
+          throw new IllegalStateException("an action that is null");
         }
       }
       return actions;
