--- a/lab/src/main/java/lemondeal/lab/experiment/ExperimentRunner.java
+++ b/lab/src/main/java/lemondeal/lab/experiment/ExperimentRunner.java
@@ -15,7 +15,7 @@
 import lemondeal.lab.emulator.Simulation;
 import lemondeal.lab.emulator.policy.Policies;
 
-/** Executes an experiment's runs on several threads, one thread for each run; saves each row as soon as it is ready. */
+/** Executes an experiment's runs on several threads, each run on one of them; saves each row when it is ready. */
 final class ExperimentRunner {
   private static final int PROGRESS_LINES = 20;
 
--- a/proxy/src/main/java/lemondeal/consul/HealthResponseParser.java
+++ b/proxy/src/main/java/lemondeal/consul/HealthResponseParser.java
@@ -35,8 +35,8 @@
 
   /**
    * Passes each entry to {@code onEntry} as soon as it is parsed, in the order of the answer: collecting ten thousand
-   * entries would hold them in memory beside the previous ones. Throws if the body is malformed, possibly after some
-   * entries.
+   * entries would hold them in memory beside those of the previous answer. Throws if the body is malformed, possibly
+   * after some entries.
    *
    * @throws IOException if reading the body fails
    */
--- a/proxy/src/main/java/lemondeal/consul/filter/FilterBuilder.java
+++ b/proxy/src/main/java/lemondeal/consul/filter/FilterBuilder.java
@@ -7,7 +7,7 @@
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 import org.antlr.v4.runtime.tree.ParseTree;
 
-/** Builds a {@link Filter} from a parse tree without syntax errors. */
+/** Builds a {@link Filter} from a parse tree that has no syntax errors. */
 final class FilterBuilder extends FilterGrammarBaseVisitor<Filter> {
   private FilterException error;
 
@@ -78,7 +78,7 @@
     throw new ParseCancellationException();
   }
 
-  /** The error that stopped parsing. */
+  /** The error that stopped the build; null if there was none. */
   FilterException error() {
     return error;
   }
--- a/proxy/src/main/java/lemondeal/discovery/clock/ListClock.java
+++ b/proxy/src/main/java/lemondeal/discovery/clock/ListClock.java
@@ -31,25 +31,26 @@
   /** Discovery serves calls one after another: a call that receives no bytes for this long is given up. */
   private static final long IDLE_TIMEOUT = 3_500 * MILLI;
   /**
-   * An answer that arrives in pieces must have a complete first line within this time, so that another call still fits
-   * in.
+   * An answer that arrives in pieces must have a complete first line within this time, so that enough time is left for
+   * another call.
    */
   private static final long FIRST_LINE_TIMEOUT = 4_500 * MILLI;
   /** After a reload, changes at the newly configured discovery do not count as known for this long. */
   private static final long RELOAD_KNOWN_DELAY = 4 * SECOND;
   /** After a failed call the held list counts as current for this many times as long. */
   private static final int FAILED_CALL_FACTOR = 4;
-  /** This many mean pauses, and three of the longest, fit into the time within which an answer must arrive. */
+  /** This many mean pauses, and three of the longest, fit into a drain grace, within which an answer must arrive. */
   private static final int PAUSES_PER_GRACE = 5;
-  /** Push mode: the mean pause after the first failed call, which doubles each time, and its lower and upper bound. */
+  /** Push mode: the mean pause after the first failed call, which doubles each time up to {@link #MAX_BACKOFF}. */
   private static final long INITIAL_BACKOFF = 40 * MILLI;
+  /** Lower bound of any pause, in both modes. */
   private static final long MIN_BACKOFF = 20 * MILLI;
   private static final long MAX_BACKOFF = 600 * MILLI;
 
   /**
    * How lists are delivered and what the rules allow.
    *
-   * @param pushed whether lists are pushed: whatever the agent at discovery's address holds then counts as known
+   * @param pushed whether lists are pushed; if so, whatever the agent at discovery's address holds counts as known
    * @param pollInterval in poll mode, how long a proxy without a watch may go without a call
    * @param drainGrace how long after a server is known to be draining or gone the sends to it must have ended
    * @param slack tolerance added to each of the rules' time limits
@@ -119,8 +120,8 @@
   }
 
   /**
-   * Part of a line arrived. It has no information and does not keep a watch alive, but a call's first line may be on
-   * its way.
+   * Part of a line arrived. It carries no information and does not keep a watch alive, but a call's first line may be
+   * on its way.
    */
   public void bytesReceived(long now) {
     lastBytesAt = now;
@@ -192,8 +193,8 @@
   }
 
   /**
-   * When a change counts as known that discovery, or the agent, has had since {@code changedAt} and that has not
-   * arrived: {@link #NEVER} while discovery is unreachable, since the limits restart when it returns.
+   * When a change that discovery, or the agent, has had since {@code changedAt} and that has not arrived here counts as
+   * known: {@link #NEVER} while discovery is unreachable, since the limits restart when it returns.
    */
   public long knownAt(long changedAt) {
     if (unreachable) {
@@ -248,8 +249,9 @@
   /**
    * When discovery must be called next. With an intact watch or a pending call, not before that is broken. In push mode
    * soon, since what the agent holds already counts as known, with growing pauses. In poll mode the caller chooses its
-   * pauses, and this is the latest time for the next call, with time left before the held list expires. The pause is
-   * derived from at least one drain grace, and it is not shortened once the list has expired.
+   * pauses, and this is the latest time for the next call, with time left before the held list expires. Towards the
+   * expiry the pause shrinks, but no further than for one remaining drain grace; once the list has expired it is no
+   * longer shortened.
    *
    * @param jitter a random number in [0, 1): proxies whose watches ended together must not call again together
    */
--- a/proxy/src/main/java/lemondeal/evacuation/Evacuation.java
+++ b/proxy/src/main/java/lemondeal/evacuation/Evacuation.java
@@ -126,8 +126,8 @@
   }
 
   /** Number of invalid reports so far. */
-  public long ignoredReports() {
-    return peerReports.ignoredReports();
+  public long rejectedReports() {
+    return peerReports.rejectedReports();
   }
 
   /**
@@ -143,7 +143,7 @@
       zoneStates.values().forEach(state -> state.resetAfterPause(now));
     }
     updateObservations(now);
-    startupQuorumReached |= peerReports.answeredPeers(settings.voteTtl(), now) >= requiredAnswers;
+    startupQuorumReached |= peerReports.countFreshPeers(settings.voteTtl(), now) >= requiredAnswers;
     hasFullHistory |= startupQuorumReached;
     List<Decision> decisions = new ArrayList<>();
     for (ZoneState state : zoneStates.values()) {
--- a/proxy/src/main/java/lemondeal/evacuation/PeerReports.java
+++ b/proxy/src/main/java/lemondeal/evacuation/PeerReports.java
@@ -4,8 +4,9 @@
 
 /**
  * The newest report of every member, and a lower bound on when it was written. A report's age according to the
- * transport may be wrong if the report was delayed, replayed or stored. Therefore reports echo stamps: a report that
- * echoes one of ours was written after ours, as measured by our own clock alone.
+ * transport may be wrong if the report was delayed, replayed or stored. Therefore each report echoes a stamp of the
+ * newest report that its writer has received of each member: a report that echoes one of ours was written after ours,
+ * as measured by our own clock alone.
  */
 final class PeerReports {
   private static final long NEVER = Long.MIN_VALUE / 4;
@@ -32,7 +33,7 @@
     fleetDigest = membership.digest();
   }
 
-  /** Receives a report. Reports that are not newer are ignored; invalid ones are counted. */
+  /** Receives a report. One that is not newer is ignored; an invalid one or one of an unknown proxy is counted. */
   void receive(String owner, byte[] content) {
     int memberIndex = membership.indexOf(owner);
     if (memberIndex < 0 || memberIndex == membership.selfIndex()) {
@@ -79,13 +80,13 @@
     return reports[memberIndex];
   }
 
-  /** Whether that report was certainly written within the last {@code maxAge} milliseconds. */
+  /** Whether the member's newest report was certainly written within the last {@code maxAge} milliseconds. */
   boolean isFresh(int memberIndex, long maxAge, long now) {
     return reports[memberIndex] != null && now - writtenNoEarlierThan[memberIndex] <= maxAge;
   }
 
-  /** Number of peers with a full history whose report was certainly written within that time. */
-  int answeredPeers(long maxAge, long now) {
+  /** Number of peers with a full history whose newest report is fresh. */
+  int countFreshPeers(long maxAge, long now) {
     int count = 0;
     for (int i = 0; i < reports.length; i++) {
       count += i != membership.selfIndex() && isFresh(i, maxAge, now) && reports[i].hasFullHistory() ? 1 : 0;
@@ -94,7 +95,7 @@
   }
 
   /** Number of reports that were invalid or came from an unknown proxy. */
-  long ignoredReports() {
+  long rejectedReports() {
     return invalidReports + unknownOwners;
   }
 }
--- a/proxy/src/main/java/lemondeal/evacuation/SlowStartRamp.java
+++ b/proxy/src/main/java/lemondeal/evacuation/SlowStartRamp.java
@@ -3,13 +3,12 @@
 import lemondeal.Balancer;
 
 /**
- * Slow-start ramp of a returning zone: how many new connections a second the whole fleet may send there, by the time
- * for which the zone has been healthy. All proxies of the fleet use the same ramp, as it is derived from settings
- * alone.
+ * Slow-start ramp of a returning zone: how many new connections a second the whole fleet may send there, depending on
+ * how long the zone has been healthy. All proxies of the fleet use the same ramp, as it is derived from settings alone.
  *
- * @param initialRate a second at the beginning: what the zone's servers can take while cold. Each of n proxies may
- *     always use its nth part
- * @param finalRate a second at the end
+ * @param initialRate connections a second at the beginning: what the zone's servers can take while cold. Each of n
+ *     proxies may always use its nth part
+ * @param finalRate connections a second at the end
  * @param durationMillis of healthy time from the initial to the final rate, which grows linearly
  */
 public record SlowStartRamp(double initialRate, double finalRate, long durationMillis) {
@@ -34,8 +33,8 @@
   }
 
   /**
-   * Derives the ramp from the rules for cold servers: a multiple of what they can do at that moment, relative to the
-   * rate that fills them within their warm-up time.
+   * Derives the ramp from the rules for cold servers, which may get a multiple of what they can do at that moment. Warm
+   * servers can do the rate that fills them within their warm-up time, cold ones a share of it.
    *
    * @param usualConnections number of connections that the zone's servers hold in normal operation, above 0
    */
@@ -56,7 +55,7 @@
     return initialRate + (finalRate - initialRate) * Math.max(0, healthyMillis) / durationMillis;
   }
 
-  /** The share of its usual load that the zone takes then, from just above 0 to 1. */
+  /** The share of its usual load that the zone takes after this much healthy time, from just above 0 to 1. */
   double openShare(double healthyMillis) {
     return Math.min(1, rateAt(healthyMillis) / finalRate);
   }
--- a/proxy/src/main/java/lemondeal/fleet/MessageValidator.java
+++ b/proxy/src/main/java/lemondeal/fleet/MessageValidator.java
@@ -6,8 +6,9 @@
 
 /**
  * Validates messages from the other proxies. Accepts a row if its owner is a configured member, the owner sent it
- * itself, and its age is bounded; anything else is dropped and counted. Does no I/O; its only state is the last row
- * received of each member and the counters. Used on the I/O thread.
+ * itself, and the message echoes a recent row of this proxy, which bounds its age; anything else is dropped and
+ * counted. Does no I/O; its only state is the last row received of each member and the counters. Used on the I/O
+ * thread.
  */
 final class MessageValidator {
   private final FleetRoster roster;
--- a/proxy/src/main/java/lemondeal/fleet/RowTable.java
+++ b/proxy/src/main/java/lemondeal/fleet/RowTable.java
@@ -18,7 +18,7 @@
     this.rows = rows;
   }
 
-  /** This table with the row added, if it is newer than the one held of its owner. */
+  /** This table with the row added, if it is newer than the one held for its owner. */
   public RowTable with(TimedRow row) {
     TimedRow existing = rows.get(row.row().owner());
     if (existing != null && existing.newerOf(row).equals(existing)) {
@@ -55,7 +55,7 @@
   }
 
   /**
-   * This table without the rows that are older than this. An owner whose clock was set back before it started has a
+   * This table without rows older than {@code maxAgeMillis}. An owner whose clock was set back before it started has a
    * smaller incarnation than before; its rows are accepted again once its old row has been removed.
    */
   public RowTable withoutOlderThan(long nowMillis, long maxAgeMillis) {
--- a/proxy/src/main/java/lemondeal/fleet/link/FleetTcp.java
+++ b/proxy/src/main/java/lemondeal/fleet/link/FleetTcp.java
@@ -23,7 +23,7 @@
     this.memberAddresses = memberAddresses;
   }
 
-  /** Number of messages from senders that are not in the operator's file. */
+  /** Number of messages and batches from senders that are not in the operator's file. */
   long unknownSenders() {
     return unknownSenders.get();
   }
@@ -91,7 +91,7 @@
         : memberAddresses.physicalAddress(logical);
   }
 
-  /** A message that passes a relay is addressed to the relay. */
+  /** Accepts any physical address as the destination: a message forwarded by a relay carries the relay's address. */
   @Override
   public boolean unicastDestMismatch(Address dest) {
     return !(dest instanceof PhysicalAddress) && super.unicastDestMismatch(dest);
--- a/proxy/src/main/java/lemondeal/membership/PollBackoff.java
+++ b/proxy/src/main/java/lemondeal/membership/PollBackoff.java
@@ -33,7 +33,7 @@
   /**
    * Milliseconds to wait before the next call.
    *
-   * @param failures consecutive failed calls before this one
+   * @param failures consecutive failed calls before the last call
    * @param elapsed milliseconds that the last call took
    * @param jitter a random number in [0, 1)
    */
--- a/proxy/src/test/java/lemondeal/ScriptedBalancer.java
+++ b/proxy/src/test/java/lemondeal/ScriptedBalancer.java
@@ -6,7 +6,7 @@
 /** A test double of the decision module: the test decides the actions of each event and the server summary. */
 public final class ScriptedBalancer implements Balancer {
   private final Function<Event, List<Action>> script;
-  public volatile ServerSummary standing = new ServerSummary(true, 1, 0);
+  public volatile ServerSummary summary = new ServerSummary(true, 1, 0);
 
   public ScriptedBalancer(Function<Event, List<Action>> script) {
     this.script = script;
@@ -19,6 +19,6 @@
 
   @Override
   public ServerSummary serverSummary(long now) {
-    return standing;
+    return summary;
   }
 }
--- a/proxy/src/test/java/lemondeal/evacuation/EvacuationTest.java
+++ b/proxy/src/test/java/lemondeal/evacuation/EvacuationTest.java
@@ -216,8 +216,8 @@
       }
       fleet[0].receiveReport(i % 2 == 0 ? "p2" : "stranger", corrupted);
     }
-    assertTrue(fleet[0].ignoredReports() >= 1_000,
-        "unknown senders and corrupted reports: " + fleet[0].ignoredReports());
+    assertTrue(fleet[0].rejectedReports() >= 1_000,
+        "unknown senders and corrupted reports: " + fleet[0].rejectedReports());
     Map<Integer, EvacuationReport.ZoneStatus> zones = new TreeMap<>(Map.of(7, new EvacuationReport.ZoneStatus(3, true,
         Reachability.LATE, false, 2, 5, List.of(new EvacuationReport.Loan(2, 70)))));
     EvacuationReport decoded = EvacuationReportCodec.decode(EvacuationReportCodec.encode(
--- a/proxy/src/test/java/lemondeal/proxy/AdminTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/AdminTest.java
@@ -140,7 +140,7 @@
   @Test
   void serverCountsComeFromTheModule() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
-      fixture.module.standing = new ServerSummary(true, 12, 5);
+      fixture.module.summary = new ServerSummary(true, 12, 5);
       assertEquals(12, fixture.metric("servers_known"));
       assertEquals(5, fixture.metric("servers_excluded"));
     }
--- a/proxy/src/test/java/lemondeal/proxy/DialRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/DialRaceTest.java
@@ -32,14 +32,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Connections to servers that come up late, or whose server acts in the moment in which they come up. */
+/** Connections to servers that are established late, or whose server acts at the moment they are established. */
 @Timeout(30)
 class DialRaceTest {
   /** Sends once, and blocks the event loop after the dial has begun and before its result is seen. */
-  private static Function<Event, List<Action>> blockAfterDial(Gate gate, List<ProxyFixture> sites) {
+  private static Function<Event, List<Action>> blockAfterDial(Gate gate, List<ProxyFixture> fixtures) {
     return event -> {
       if (event instanceof Arrived) {
-        sites.get(0).proxy.executor().execute(gate::block);
+        fixtures.get(0).proxy.executor().execute(gate::block);
       }
       return ProxyTest.sendOnce(event);
     };
@@ -48,9 +48,9 @@
   /** Runs the step between the moment in which a dial has connected and the moment in which the proxy sees it. */
   private static Outcome outcomeOfStepBeforeConnectIsSeen(ServerStep step) throws Exception {
     Gate gate = new Gate();
-    List<ProxyFixture> sites = new ArrayList<>();
-    try (ProxyFixture fixture = new ProxyFixture(blockAfterDial(gate, sites))) {
-      sites.add(fixture);
+    List<ProxyFixture> fixtures = new ArrayList<>();
+    try (ProxyFixture fixture = new ProxyFixture(blockAfterDial(gate, fixtures))) {
+      fixtures.add(fixture);
       LineSocket client = fixture.newClient(OPEN_FIELDS);
       gate.awaitReached();
       LineSocket server = fixture.acceptAtServer();
@@ -89,9 +89,9 @@
   @CsvSource({"BUSY, REFUSED", "ERR, ERROR", "x, ERROR"})
   void anAnswerBeforeTheFirstLineIsEvaluatedAfterIt(String answer, Outcome outcome) throws Exception {
     Gate gate = new Gate();
-    List<ProxyFixture> sites = new ArrayList<>();
-    try (ProxyFixture fixture = new ProxyFixture(blockAfterDial(gate, sites))) {
-      sites.add(fixture);
+    List<ProxyFixture> fixtures = new ArrayList<>();
+    try (ProxyFixture fixture = new ProxyFixture(blockAfterDial(gate, fixtures))) {
+      fixtures.add(fixture);
       LineSocket client = fixture.newClient(OPEN_FIELDS);
       gate.awaitReached();
       LineSocket server = fixture.acceptAtServer().send(answer + "\r\n").awaitUnread(answer.length() + 2);
@@ -105,17 +105,17 @@
   }
 
   /**
-   * Guards against sending to a draining server: it may be announced as draining right after the decision, and a dial
-   * that completed after the grace then wrote its first line.
+   * Guards against sending to a draining server: the drain may be announced right after the decision to send, and a
+   * dial that completed after the grace then wrote its first line.
    */
   @Test
   void aDialThatCompletesAfterTheDrainGraceIsNotUsed() throws Exception {
     long grace = 100_000;
     Gate gate = new Gate();
-    List<ProxyFixture> sites = new ArrayList<>();
-    try (ProxyFixture fixture = ProxyFixture.of(blockAfterDial(gate, sites), options -> options.editConfig =
+    List<ProxyFixture> fixtures = new ArrayList<>();
+    try (ProxyFixture fixture = ProxyFixture.of(blockAfterDial(gate, fixtures), options -> options.editConfig =
         json -> json.replace("\"azs\"", "\"rules\":{\"drainGrace\":" + grace + "},\"azs\""))) {
-      sites.add(fixture);
+      fixtures.add(fixture);
       LineSocket client = fixture.newClient(OPEN_FIELDS);
       gate.awaitReached();
       Thread clockThread = new Thread(() -> {
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Fills the server's accept queue with connections that nobody accepts: further ones do not come up. */
+  /** Fills the server's accept queue with connections that nobody accepts: further ones are not established. */
   private static List<SocketChannel> fillBacklog(ProxyFixture fixture, int server) throws IOException {
     List<SocketChannel> fillers = new ArrayList<>();
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), serverPort(fixture, server));
@@ -153,7 +153,7 @@
     }
   }
 
-  /** Nobody waits for the connection any longer: its descriptor is closed in the same turn. */
+  /** Nobody waits for the connection any longer: its descriptor is closed in the same turn of the event loop. */
   @Test
   void aCancelledDialIsClosedAtOnce() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce)) {
--- a/proxy/src/test/java/lemondeal/proxy/ListenerHandoverRaceTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/ListenerHandoverRaceTest.java
@@ -32,7 +32,7 @@
   /** A process that has no server list yet and therefore does not accept. */
   private static ProxyFixture startingProxy(ServerSocketChannel listener) throws IOException {
     ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener);
-    fixture.module.standing = new ServerSummary(false, 0, 0);
+    fixture.module.summary = new ServerSummary(false, 0, 0);
     return fixture;
   }
 
@@ -44,7 +44,7 @@
   }
 
   private static void becomeReady(ProxyFixture fixture) throws Exception {
-    fixture.module.standing = new ServerSummary(true, 1, 0);
+    fixture.module.summary = new ServerSummary(true, 1, 0);
     fixture.advanceClock(fixture.limits().firstListTimeout() + TICK);
     assertEquals("200 yes", fixture.newAdminClient().send("ready\r\n").readLine());
   }
@@ -151,7 +151,7 @@
 
   /** A successor that ends before it is ready has accepted no client, and its predecessor continues unaffected. */
   @Test
-  void aSuccessorThatEndsBeforeItIsReadyCostsNothing() throws Exception {
+  void aSuccessorThatEndsBeforeItIsReadyAffectsNoClient() throws Exception {
     try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener);
         ProxyFixture successor = startingProxy(listener)) {
       LineSocket established = predecessor.newClient("c=chat,d=2000");
@@ -162,7 +162,7 @@
       assertEquals("still here", established.readLine());
       assertEquals(0, successor.metric("in_flight"));
       // A server list that arrives during its stop does not make it accept either.
-      successor.module.standing = new ServerSummary(true, 1, 0);
+      successor.module.summary = new ServerSummary(true, 1, 0);
       successor.advanceClock(successor.limits().firstListTimeout() + TICK);
       assertEquals("400 no", successor.newAdminClient().send("ready\r\n").readLine());
       LineSocket late;
@@ -195,7 +195,7 @@
     }
   }
 
-  /** The predecessor's timeouts still apply beside its successor: a hanging server delays neither it nor its client. */
+  /** A stopping process's timeouts still apply: a hanging server delays neither its exit nor the client's answer. */
   @Test
   void aRequestAtAServerThatHangsIsAnsweredBeforeTheEnd() throws Exception {
     try (ServerSocketChannel listener = newListener(); ProxyFixture predecessor = readyProxy(listener)) {
--- a/proxy/src/test/java/lemondeal/proxy/RepeatedAttemptTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/RepeatedAttemptTest.java
@@ -118,7 +118,10 @@
     }
   }
 
-  /** The window counts from the first attempt that may have run. If all servers deduplicate, the client may retry. */
+  /**
+   * The deduplication window starts at the first attempt that may have run. If all servers deduplicate, the client may
+   * retry.
+   */
   @Test
   void nothingIsRepeatedOnceTheWindowIsOver() throws Exception {
     for (String effect : List.of(KEYED, KEYED_IN_ZONE)) {
@@ -135,7 +138,7 @@
   @Test
   void aFirstAnswerAfterItsRepeatIsIgnored() throws Exception {
     try (ProxyFixture fixture = newFixture(SAFE)) {
-      // A client that came up at once, so that set-ups do not count as slow in general.
+      // A client that is connected at once, so that set-ups do not count as slow in general.
       LineSocket earlierClient = fixture.newClient(OPEN_FIELDS);
       LineSocket healthy = fixture.acceptAtServer(module.nextServer());
       assertTrue(healthy.readLine().startsWith("OPEN "));
@@ -156,7 +159,7 @@
     }
   }
 
-  /** The server's reset, after which the request may be repeated, and the client's arrive in one turn. */
+  /** The server's reset, after which the request may be repeated, and the client's arrive in one turn of the loop. */
   @Test
   void noAttemptBeginsForAClientThatLeftAsItsAttemptWasReset() throws Exception {
     for (boolean clientFirst : new boolean[] {true, false}) {
--- a/proxy/src/test/java/lemondeal/proxy/SigtermTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/SigtermTest.java
@@ -36,7 +36,7 @@
 @Timeout(60)
 class SigtermTest {
   private static final long SECOND = 1_000_000;
-  /** SIGKILL comes no earlier than this after the deadline, of which {@link #MAX_COUNTED_DEADLINE} at most counts. */
+  /** SIGKILL comes no earlier than this after the deadline; longer ones count as {@link #MAX_COUNTED_DEADLINE}. */
   private static final long KILL_AFTER_DEADLINE = 700_000;
   private static final long MAX_COUNTED_DEADLINE = 3 * SECOND;
   /** New connections arrive for at most this long after SIGTERM. */
@@ -119,7 +119,7 @@
       for (int i = 0; i < 40; i++) {
         clients.add(fixture.newClient("c=chat,d=2000"));
       }
-      // The event loop must stay blocked until after the time at which the socket should be closed.
+      // The case under test: the event loop stays blocked until after the time at which the socket should be closed.
       Thread.sleep(fixture.limits().drainAcceptTime() / 1000 + 50);
       allConnected.countDown();
       for (LineSocket client : clients) {
@@ -143,7 +143,7 @@
     }
   }
 
-  /** The same for a request that the module does not send, and for an adoption that has not come up yet. */
+  /** A request that the module does not send and an adoption whose connection is not up yet are answered, too. */
   @Test
   void unsentRequestsAreAnsweredToo() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture(event -> List.of(), 9 * SECOND)) {
@@ -181,7 +181,7 @@
       LineSocket other = fixture.newClient("c=chat,d=2000");
       establish(fixture, other);
       Thread stop = startStop(fixture);
-      // All are moved in the same steps, so the first client's step has come or is about to.
+      // All clients are moved in the same steps, so the first one is being moved already or is about to be.
       assertEquals("MOVE", other.readLine());
       server.send("f\r\n");
       assertEquals("half", client.readLine());
--- a/proxy/src/test/java/lemondeal/proxy/SilentServerTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/SilentServerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A connection whose server is silent is moved within 7 s, whenever the client sent its next line. */
+/** A connection is moved within 7 s of its server falling silent, whenever the client sends its next line. */
 @Timeout(60)
 class SilentServerTest {
   private static final long SECOND = 1_000_000;
--- a/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/TimerWheelTest.java
@@ -106,7 +106,7 @@
   /** Guards against out-of-memory and stack overflow errors that stop the wheel, and with it the whole process. */
   @ParameterizedTest
   @ValueSource(classes = {OutOfMemoryError.class, StackOverflowError.class, IllegalStateException.class})
-  void aDeadlineThatFailsStopsNoOther(Class<? extends Throwable> failure) throws Exception {
+  void aTaskThatThrowsAnErrorStopsNoOther(Class<? extends Throwable> failure) throws Exception {
     Throwable thrown = failure.getConstructor().newInstance();
     wheel.after(10, () -> TimerWheelTest.<RuntimeException>throwUnchecked(thrown));
     wheel.after(10, () -> ran.add("same tick"));
--- a/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/lemondeal/proxy/UpgradeTest.java
@@ -38,10 +38,10 @@
   void acceptsNothingBeforeItHasAList() throws Exception {
     try (ServerSocketChannel listener = newListener();
         ProxyFixture fixture = new ProxyFixture(ProxyTest::sendOnce, listener)) {
-      fixture.module.standing = new ServerSummary(false, 0, 0);
+      fixture.module.summary = new ServerSummary(false, 0, 0);
       LineSocket client = fixture.newClient().send("PING\r\n");
       assertEquals("400 no", fixture.newAdminClient().send("ready\r\n").readLine());
-      fixture.module.standing = new ServerSummary(false, 1, 0);
+      fixture.module.summary = new ServerSummary(false, 1, 0);
       assertEquals("PONG", client.readLine(), "the configured list is used after a while");
       assertEquals("200 yes", fixture.newAdminClient().send("ready\r\n").readLine());
     }
