--- a/lab/src/main/java/lemondeal/lab/consul/FilterEvaluator.java
+++ b/lab/src/main/java/lemondeal/lab/consul/FilterEvaluator.java
@@ -8,8 +8,8 @@
 import lemondeal.consul.filter.Filter;
 
 /**
- * Whether an entry passes a filter expression, as Consul decides it: a selector that leads through a list holds if any
- * element does; a key that a map lacks makes a comparison false, and its negation true.
+ * Evaluates a filter expression on an entry with Consul's semantics: a selector through a list matches if any element
+ * matches; a missing map key makes a comparison false and its negation true.
  */
 final class FilterEvaluator {
   private FilterEvaluator() {}
@@ -27,7 +27,8 @@
       case EQUAL -> anyValue(match, entry, field -> field.asText().equals(match.value()));
       case UNEQUAL -> !anyValue(match, entry, field -> field.asText().equals(match.value()));
       case MATCHES -> anyValue(match, entry, field -> Pattern.compile(match.value()).matcher(field.asText()).find());
-      case NOT_MATCHES -> !anyValue(match, entry, field -> Pattern.compile(match.value()).matcher(field.asText()).find());
+      case NOT_MATCHES -> !anyValue(match, entry,
+          field -> Pattern.compile(match.value()).matcher(field.asText()).find());
       case IN -> anyValue(match, entry, field -> contains(field, match.value()));
       case NOT_IN -> !anyValue(match, entry, field -> contains(field, match.value()));
       case EMPTY -> !anyValue(match, entry, FilterEvaluator::isNonEmpty);
--- a/lab/src/main/java/lemondeal/lab/evacuation/SimulatedProxy.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/SimulatedProxy.java
@@ -12,7 +12,7 @@
 import lemondeal.evacuation.ZoneRateLimiter;
 import lemondeal.evacuation.ZoneAccess;
 
-/** One simulated proxy: clients that come in, attempts that end, a clock of its own, and what it keeps on disk. */
+/** A simulated proxy with arriving clients, attempts in flight, its own clock and saved state. */
 final class SimulatedProxy {
   private static final long RESPONSE_MILLIS = 5;
   private static final long TIMEOUT_MILLIS = 300;
@@ -20,7 +20,7 @@
   private static final long PROBE_INTERVAL_MILLIS = 400;
   private static final long SUSPECT_PROBE_INTERVAL_MILLIS = 100;
 
-  /** An attempt or a probe that ends later. */
+  /** An attempt in flight; a probe has key -1. */
   private record Attempt(long endsAt, long startedAt, int server, boolean answered, boolean late, int key) {}
 
   private final FleetSimulation simulation;
@@ -46,7 +46,7 @@
     this.random = random;
     index = membership.selfIndex();
     clockOffset = random.nextInt(1_000_000_000);
-    // Clocks run apart by less than half of what the settings allow, each way.
+    // Clocks drift by at most half of the allowed amount in either direction.
     clockRate = 1 + (random.nextDouble() - 0.5) * simulation.settings().maxClockDrift();
     backoffUntil = new long[simulation.servers()];
     arrivals = new int[simulation.zones()];
@@ -65,7 +65,7 @@
     inFlight.clear();
   }
 
-  /** @param damaged whether what was kept on disk can't be read */
+  /** @param stateDamaged whether the saved state is unreadable */
   void start(long trueTime, boolean stateDamaged) {
     Optional<EvacuationState> restoredState = stateDamaged ? Optional.empty() : EvacuationState.decode(savedState);
     incarnation = Math.max(incarnation + 1, trueTime);
@@ -89,7 +89,7 @@
     return evacuation.access(zone, localClock(trueTime));
   }
 
-  /** One turn: what ended is told, then the module judges, a client comes in, a row goes out. */
+  /** Runs one cycle: reports ended attempts, makes decisions, routes arriving clients, sends probes and a report. */
   void tick(long trueTime) {
     long localTime = localClock(trueTime);
     while (!inFlight.isEmpty() && inFlight.peek().endsAt() <= trueTime) {
@@ -107,8 +107,10 @@
     if (localTime >= nextProbeAt) {
       nextProbeAt = localTime + PROBE_INTERVAL_MILLIS;
       for (int zone = 0; zone < simulation.zones(); zone++) {
-        nextProbeAt = evacuation.suspectsFailure(zone, localTime) ? localTime + SUSPECT_PROBE_INTERVAL_MILLIS : nextProbeAt;
-        startAttempt(zone * simulation.servers() / simulation.zones() + random.nextInt(simulation.servers() / simulation.zones()), -1, trueTime);
+        nextProbeAt = evacuation.suspectsFailure(zone, localTime)
+            ? localTime + SUSPECT_PROBE_INTERVAL_MILLIS : nextProbeAt;
+        startAttempt(zone * simulation.servers() / simulation.zones()
+            + random.nextInt(simulation.servers() / simulation.zones()), -1, trueTime);
       }
     }
     if (localTime >= nextReportAt || evacuation.reportDue()) {
@@ -138,7 +140,7 @@
     }
   }
 
-  /** A client comes in. Members see very different numbers of them. */
+  /** Counts and routes an arriving client. Arrival rates differ widely between members. */
   private void onClientArrival(int key, long trueTime, long localTime) {
     arrivals[simulation.zoneOf(simulation.ranking(key)[0])]++;
     if (localTime - arrivalsCountedFrom >= 1_000) {
@@ -151,10 +153,11 @@
     routeClient(key, trueTime, localTime);
   }
 
-  /** The key's highest server that is not passed over and whose zone may be sent to takes the client. */
+  /** Sends the client to its key's highest-ranked server that is not backed off and in a zone with rate limit left. */
   private void routeClient(int key, long trueTime, long localTime) {
     for (int server : simulation.ranking(key)) {
-      if (backoffUntil[server] <= localTime && rateLimiter.tryAcquire(evacuation.access(simulation.zoneOf(server), localTime), localTime)) {
+      if (backoffUntil[server] <= localTime
+          && rateLimiter.tryAcquire(evacuation.access(simulation.zoneOf(server), localTime), localTime)) {
         simulation.onSend(trueTime, index, simulation.zoneOf(server), key, server);
         startAttempt(server, key, trueTime);
         return;
@@ -164,6 +167,7 @@
 
   private void startAttempt(int server, int key, long trueTime) {
     boolean answered = simulation.isAnswered(index, server, trueTime, random);
-    inFlight.add(new Attempt(trueTime + (answered ? RESPONSE_MILLIS : TIMEOUT_MILLIS), trueTime, server, answered, simulation.isLate(trueTime), key));
+    inFlight.add(new Attempt(trueTime + (answered ? RESPONSE_MILLIS : TIMEOUT_MILLIS), trueTime, server, answered,
+        simulation.isLate(trueTime), key));
   }
 }
--- a/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
@@ -16,8 +16,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What servers from Consul cost and how soon a drain takes hold, measured on real proxies against the stand-in, all in
- * one run on one machine: Markdown tables.
+ * Measures the cost of discovery through Consul and the delay until a drain takes effect, with real proxies and a fake
+ * Consul in one run on one machine. Returns Markdown tables.
  */
 final class ConsulReport {
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -48,32 +48,37 @@
 
   private String drains() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder("""
-        3 proxies, 8 link servers, 24 clients of short connections. The time from the change in the stand-in to the last
-        first line that reached that server; 0 where none came after the change.
+        3 proxies, 8 echo servers, 24 clients of short connections. The time from the change in the fake Consul to the
+        last first line that reached that server; 0 where none came after the change.
 
         | change | plays | median ms | 99th ms | worst ms | after 1 s |
         | --- | --- | --- | --- | --- | --- |
         """);
-    try (ConsulTestCluster site = new ConsulTestCluster(3, 8, DAMPING); ShortConnectionClients clients = new ShortConnectionClients(site::nextProxyAddress, 24, ConsulTestCluster.CHAT_CLASS)) {
-      FakeConsul consul = site.consul();
+    try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING);
+        ShortConnectionClients clients = new ShortConnectionClients(cluster::nextProxyAddress, 24,
+            ConsulTestCluster.CHAT_CLASS)) {
+      FakeConsul consul = cluster.consul();
       List<ChangeKind> kinds = List.of(
-          new ChangeKind("critical check", key -> consul.catalogue().setStatus(key, "critical"), key -> consul.catalogue().setStatus(key, "passing")),
+          new ChangeKind("critical check", key -> consul.catalogue().setStatus(key, "critical"),
+              key -> consul.catalogue().setStatus(key, "passing")),
           new ChangeKind("node leaves (serfHealth)", key -> consul.catalogue().setCheck(key, "serfHealth", "critical"),
               key -> consul.catalogue().setCheck(key, "serfHealth", "passing")),
-          new ChangeKind("maintenance", key -> consul.catalogue().setMaintenance(key, true), key -> consul.catalogue().setMaintenance(key, false)),
-          new ChangeKind("warning with weight 0", key -> consul.catalogue().setStatus(key, "warning"), key -> consul.catalogue().setStatus(key, "passing")));
+          new ChangeKind("maintenance", key -> consul.catalogue().setMaintenance(key, true),
+              key -> consul.catalogue().setMaintenance(key, false)),
+          new ChangeKind("warning with weight 0", key -> consul.catalogue().setStatus(key, "warning"),
+              key -> consul.catalogue().setStatus(key, "passing")));
       for (ChangeKind kind : kinds) {
         Histogram delays = new Histogram(3);
         int lateCount = 0;
         for (int round = 0; round < repeats; round++) {
           String name = "s-" + (1 + round % 8);
           if (kind.name().startsWith("warning")) {
-            consul.catalogue().update(site.consulKey(name), instance -> instance.setWarningWeight(0));
+            consul.catalogue().update(cluster.consulKey(name), instance -> instance.setWarningWeight(0));
           }
-          long delay = drain(site, name, kind.change());
+          long delay = drain(cluster, name, kind.change());
           delays.recordValue(delay);
           lateCount += delay > 1000 ? 1 : 0;
-          kind.undo().accept(site.consulKey(name));
+          kind.undo().accept(cluster.consulKey(name));
           Thread.sleep(1500);
         }
         table.append(String.format(Locale.ROOT, "| %s | %d | %d | %d | %d | %d |%n", kind.name(), repeats,
@@ -87,20 +92,21 @@
     return table.toString();
   }
 
-  /** Milliseconds from the change to the last new work at that server. */
-  private static long drain(ConsulTestCluster site, String name, Consumer<String> change) throws InterruptedException {
+  /** Returns the milliseconds from the change to the last new work at the server. */
+  private static long drain(ConsulTestCluster cluster, String name, Consumer<String> change)
+      throws InterruptedException {
     long deadlineNanos = System.nanoTime() + 10_000 * MILLI;
     long startNanos = System.nanoTime();
-    while (site.server(name).lastOpenNanos() < startNanos) {
+    while (cluster.server(name).lastOpenNanos() < startNanos) {
       if (System.nanoTime() > deadlineNanos) {
-        throw new IllegalStateException(name + " gets no work before its change");
+        throw new IllegalStateException(name + " received no work before its change");
       }
       Thread.sleep(10);
     }
     long changedNanos = System.nanoTime();
-    change.accept(site.consulKey(name));
+    change.accept(cluster.consulKey(name));
     Thread.sleep(2500);
-    return Math.max(0, site.server(name).lastOpenNanos() - changedNanos) / MILLI;
+    return Math.max(0, cluster.server(name).lastOpenNanos() - changedNanos) / MILLI;
   }
 
   // ---- Sizes ----------------------------------------------------------------------------------
@@ -108,22 +114,23 @@
   private String sizes() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
         One proxy, no clients, a list of so many instances of which 1%% turn critical or passing each second, for %d s.
-        CPU is the proxy's, in all its threads; a PING on a new connection is accepted and answered by its I/O thread, so
-        its round trip tells how long that thread stood still.
+        CPU is the proxy's, in all its threads; a PING on a new connection is accepted and answered by its I/O thread,
+        so its round trip shows how long that thread was blocked.
 
         | instances | CPU of a core | memory MB | PING median ms | PING 99th ms | PING worst ms |
         | --- | --- | --- | --- | --- | --- |
         """, seconds));
     for (int size : sizes) {
-      try (ConsulTestCluster site = new ConsulTestCluster(0, 0, DAMPING + "\nmost_instances: 200000")) {
-        FakeConsul consul = site.consul();
+      try (ConsulTestCluster cluster = new ConsulTestCluster(0, 0, DAMPING + "\nmost_instances: 200000")) {
+        FakeConsul consul = cluster.consul();
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-          // Nothing listens there: with no clients nothing is dialled.
-          keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulTestCluster.SERVICE, "x-" + i, 1 + i % 60_000));
+          // Nothing listens there: without clients no connection is opened.
+          keys.add(consul.catalogue().register("node-" + i, "127.0.0.1", ConsulTestCluster.SERVICE, "x-" + i,
+              1 + i % 60_000));
         }
-        site.startProxy(0, 1);
-        ProxyProcess proxy = site.proxies().get(0);
+        cluster.startProxy(0, 1);
+        ProxyProcess proxy = cluster.proxies().get(0);
         Thread.sleep(2000);
         ProcessUsage before = ProcessUsage.of(proxy.pid());
         Histogram pings = new Histogram(3);
@@ -155,8 +162,8 @@
   }
 
   /**
-   * Microseconds from a connection's start to its {@code PONG}: accepting and answering both wait for the I/O thread. A
-   * connection of its own each time, since one that sends no first line is ended after a while.
+   * Returns the microseconds from opening a connection to its {@code PONG}: accepting and answering both wait for the
+   * I/O thread. Uses a new connection each time, because one that sends no first line is closed after a while.
    */
   private static long ping(ProxyProcess proxy) throws IOException {
     long startNanos = System.nanoTime();
@@ -174,23 +181,24 @@
 
   private String calls() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
-        So many proxies on one stand-in Consul with 8 instances, for %d s each way: calm, with one change a second; and
+        So many proxies on one fake Consul with 8 instances, for %d s each way: calm, with one change a second; and
         failing, with 500 to every call. Blocking queries wait 30 s; failures are paced from 500 ms to 30 s.
 
         | proxies | calm: calls a second | calm: per proxy | failing: calls a second | failing: per proxy |
         | --- | --- | --- | --- | --- |
         """, seconds));
     for (int fleet : fleets) {
-      try (ConsulTestCluster site = new ConsulTestCluster(0, 8, DAMPING)) {
+      try (ConsulTestCluster cluster = new ConsulTestCluster(0, 8, DAMPING)) {
         for (int i = 0; i < fleet; i++) {
-          site.startProxy(i, fleet);
+          cluster.startProxy(i, fleet);
         }
-        FakeConsul consul = site.consul();
+        FakeConsul consul = cluster.consul();
         Thread.sleep(2000);
         long before = consul.queryCount();
         long endNanos = System.nanoTime() + seconds * 1000 * MILLI;
         for (int round = 0; System.nanoTime() < endNanos; round++) {
-          consul.catalogue().setStatus(site.consulKey("s-" + (1 + round % 8)), round % 16 < 8 ? "warning" : "passing");
+          consul.catalogue().setStatus(cluster.consulKey("s-" + (1 + round % 8)),
+              round % 16 < 8 ? "warning" : "passing");
           Thread.sleep(1000);
         }
         double calm = (consul.queryCount() - before) / (double) seconds;
--- a/lab/src/main/java/lemondeal/lab/measure/RankingBenchmark.java
+++ b/lab/src/main/java/lemondeal/lab/measure/RankingBenchmark.java
@@ -29,7 +29,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the module takes for a request's whole way (arrival, ranking, up, end), by the number of servers. */
+/** Measures the module's time for one request (arrival, ranking, up, end) by the number of servers. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -45,16 +45,17 @@
   private Balancer module;
   private long now;
 
-  /** A module that knows the list. */
+  /** Creates a module with the server list. */
   @Setup
   public void start() {
     module = new DecisionModule();
-    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL, 0, SECOND / 2,
-        2 * SECOND, 1, 300_000);
+    Balancer.RequestClass requestClass = new Balancer.RequestClass(Balancer.Idempotency.SAFE, Balancer.DedupScope.ALL,
+        0, SECOND / 2, 2 * SECOND, 1, 300_000);
     module.on(0, new Start(1, new Balancer.Settings(0, 1, 0, List.of(requestClass), List.of(),
         new Balancer.Rules(20_000, SECOND, 4, 2 * SECOND, 0.35, 9 * SECOND, 0),
         new Balancer.Limits(3, true, true, false, false, true, 2 * SECOND, SECOND),
-        new Balancer.Prices(0.03, 0.2, 0.0023, 0, 0.01), Balancer.WeightMeaning.ROUGH, true, false, false, true, false, 1)));
+        new Balancer.Prices(0.03, 0.2, 0.0023, 0, 0.01), Balancer.WeightMeaning.ROUGH, true, false, false, true,
+        false, 1)));
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
       entries.add(new ServerEntry("s-" + i, i % 3, 0, 0, 0, ServerState.READY, 1 + i % 4));
@@ -62,7 +63,7 @@
     module.on(0, new ServerList(1, ListKind.FULL, entries));
   }
 
-  /** One request's way. */
+  /** Processes one request from arrival to end. */
   @Benchmark
   public List<Action> request() {
     now += 10_000;
--- a/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ResumeReport.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Measures resumable moves beside plain ones, in one run, and writes tables in Markdown. */
+/** Compares resumable with plain moves in one run and returns Markdown tables. */
 final class ResumeReport {
   private static final int SERVERS = 4;
   private static final int MICROS = 1000;
@@ -31,16 +31,16 @@
     this.progress = progress;
   }
 
-  /** The day of drains: what clients saw. */
+  /** What the clients observed while all servers were drained. */
   private record DrainResult(Histogram gaps, long moves, long resentLines, long sentLines, int breaches) {}
 
-  /** Standing connections at one proxy: what they cost. */
+  /** Cost of an open connection at one proxy. */
   private record ConnectionCost(double kilobytes, double microsPerLine) {}
 
   String run() throws IOException, InterruptedException, RunnerException {
     progress.println("drains, with tokens ...");
     DrainResult withTokens = measureDrains(true);
-    progress.println("drains, without ...");
+    progress.println("drains, without tokens ...");
     DrainResult withoutTokens = measureDrains(false);
     table("after a move|with tokens|without", new String[][] {
         {"moves seen", "" + withTokens.moves(), "" + withoutTokens.moves()},
@@ -49,13 +49,15 @@
         {"lines sent by clients", "" + withTokens.sentLines(), "" + withoutTokens.sentLines()},
         {"of them stated once more after a move", "" + withTokens.resentLines(), "" + withoutTokens.resentLines()},
         {"breaches of the promises", "" + withTokens.breaches(), "not promised"}});
-    progress.println("standing connections, resumable ...");
+    progress.println("open connections, resumable ...");
     ConnectionCost resumableCost = measureCost(true);
-    progress.println("standing connections, plain ...");
+    progress.println("open connections, plain ...");
     ConnectionCost plainCost = measureCost(false);
     table("a connection at the proxy|resumable|plain", new String[][] {
-        {"memory, KB (resident, whole process)", formatDecimal(resumableCost.kilobytes()), formatDecimal(plainCost.kilobytes())},
-        {"CPU for a line each way, microseconds", formatDecimal(resumableCost.microsPerLine()), formatDecimal(plainCost.microsPerLine())}});
+        {"memory, KB (resident, whole process)", formatDecimal(resumableCost.kilobytes()),
+            formatDecimal(plainCost.kilobytes())},
+        {"CPU for a line each way, microseconds", formatDecimal(resumableCost.microsPerLine()),
+            formatDecimal(plainCost.microsPerLine())}});
     progress.println("tokens ...");
     List<String[]> tokens = new ArrayList<>();
     for (RunResult result : new Runner(new OptionsBuilder().include(TokenBenchmark.class.getSimpleName())
@@ -65,53 +67,58 @@
     }
     progress.println("claims ...");
     tokens.add(new String[] {"claims in memory", formatInteger(ClaimThroughput.memory(2000))});
-    tokens.add(new String[] {"claims on disk, each on disk before it is told", formatInteger(ClaimThroughput.disk(2000))});
+    tokens.add(new String[] {"claims on disk, each on disk before it is told",
+        formatInteger(ClaimThroughput.disk(2000))});
     tokens.add(new String[] {"claims in the stand-in fleet store", formatInteger(ClaimThroughput.fleet(2000))});
     table("of one process|a second", tokens.toArray(new String[0][]));
     return text.toString();
   }
 
-  private DrainResult measureDrains(boolean resumes) throws IOException, InterruptedException {
-    try (ResumeTestCluster site = new ResumeTestCluster(2, SERVERS, resumes ? "checkpoint: 1s" : null)) {
+  private DrainResult measureDrains(boolean resumable) throws IOException, InterruptedException {
+    try (ResumeTestCluster cluster = new ResumeTestCluster(2, SERVERS, resumable ? "checkpoint: 1s" : null)) {
       long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-      List<ResumingClient> allClients = clients(site, 60, 100, resumes, deadlineNanos);
+      List<ResumingClient> allClients = clients(cluster, 60, 100, resumable, deadlineNanos);
       List<Thread> threads = ResumeTestCluster.start(allClients);
       Thread.sleep(1500);
       for (int i = 1; i <= SERVERS; i++) {
-        site.addServer("t-" + i);
-        site.drain("s-" + i);
-        site.server("s-" + i).awaitNoConnections();
+        cluster.addServer("t-" + i);
+        cluster.drain("s-" + i);
+        cluster.server("s-" + i).awaitNoConnections();
         Thread.sleep(500);
       }
       ResumeTestCluster.await(threads);
-      Map<String, Integer> notes = new TreeMap<>();
-      allClients.forEach(client -> client.eventCounts().forEach((what, count) -> notes.merge(what, count, Integer::sum)));
-      progress.println("  clients saw " + notes);
+      Map<String, Integer> eventCounts = new TreeMap<>();
+      allClients.forEach(client -> client.eventCounts().forEach((event, count) ->
+          eventCounts.merge(event, count, Integer::sum)));
+      progress.println("  clients saw " + eventCounts);
       Histogram gaps = new Histogram(3);
       allClients.forEach(client -> client.gaps().forEach(gap -> gaps.recordValue(gap / MICROS)));
       return new DrainResult(gaps, gaps.getTotalCount(), allClients.stream().mapToLong(ResumingClient::resent).sum(),
-          allClients.stream().mapToLong(ResumingClient::sent).sum() + allClients.stream().mapToLong(ResumingClient::resent).sum(),
-          resumes ? ResumeChecker.breaches(site.sessionStore(), allClients).size() : 0);
+          allClients.stream().mapToLong(ResumingClient::sent).sum()
+          + allClients.stream().mapToLong(ResumingClient::resent).sum(),
+          resumable ? ResumeChecker.breaches(cluster.sessionStore(), allClients).size() : 0);
     }
   }
 
-  private List<ResumingClient> clients(ResumeTestCluster site, int lines, int pace, boolean resumes, long deadlineNanos) {
+  private List<ResumingClient> clients(ResumeTestCluster cluster, int lines, int paceMillis, boolean resumable,
+      long deadlineNanos) {
     List<ResumingClient> allClients = new ArrayList<>();
     for (int i = 0; i < clients; i++) {
       allClients.add(new ResumingClient(String.format("%08x", i + 1),
-          new ResumingClient.Settings(site::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, pace, resumes, deadlineNanos)));
+          new ResumingClient.Settings(cluster::nextProxyAddress, ResumeTestCluster.RESUMABLE_CLASS, lines, paceMillis,
+              resumable, deadlineNanos)));
     }
     return allClients;
   }
 
-  /** Memory by what the process holds with and without the connections, CPU by what a steady stretch takes. */
-  private ConnectionCost measureCost(boolean resumes) throws IOException, InterruptedException {
-    try (ResumeTestCluster site = new ResumeTestCluster(1, SERVERS, "checkpoint: 5s")) {
-      long pid = site.proxies().get(0).pid();
+  /** Memory from the process size with and without the connections, CPU from a period of steady traffic. */
+  private ConnectionCost measureCost(boolean resumable) throws IOException, InterruptedException {
+    try (ResumeTestCluster cluster = new ResumeTestCluster(1, SERVERS, "checkpoint: 5s")) {
+      long pid = cluster.proxies().get(0).pid();
       ProcessUsage empty = ProcessUsage.of(pid);
-      int pace = 25;
+      int paceMillis = 25;
       int seconds = 10;
-      List<ResumingClient> allClients = clients(site, seconds * 1000 / pace, pace, resumes,
+      List<ResumingClient> allClients = clients(cluster, seconds * 1000 / paceMillis, paceMillis, resumable,
           System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds));
       List<Thread> threads = ResumeTestCluster.start(allClients);
       Thread.sleep(4000);
@@ -126,14 +133,15 @@
     }
   }
 
-  /** Read from another thread: good to a line or two. */
+  /** Read from another thread without synchronization: accurate to a line or two. */
   private static long sentLines(List<ResumingClient> allClients) {
     return allClients.stream().mapToLong(ResumingClient::sent).sum();
   }
 
   private void table(String header, String[][] rows) {
     String[] names = header.split("\\|");
-    text.append("| ").append(String.join(" | ", names)).append(" |\n|").append(" --- |".repeat(names.length)).append('\n');
+    text.append("| ").append(String.join(" | ", names)).append(" |\n|").append(" --- |".repeat(names.length))
+        .append('\n');
     for (String[] row : rows) {
       text.append("| ").append(String.join(" | ", row)).append(" |\n");
     }
--- a/lab/src/test/java/lemondeal/lab/consul/FakeConsulTest.java
+++ b/lab/src/test/java/lemondeal/lab/consul/FakeConsulTest.java
@@ -44,8 +44,8 @@
 import org.kiwiproject.consul.option.QueryOptions;
 
 /**
- * A client library of Consul's from the registry drives the stand-in: registers, sets checks, asks in every way that the
- * proxy asks. What the library sees and what the proxy's own reading makes of the same answers is compared at each step.
+ * Verifies the fake Consul with an independent client library, which registers services, sets checks and makes every
+ * kind of query that the proxy makes. Compares at each step what the library and the proxy's parser read.
  */
 @Timeout(60)
 class FakeConsulTest {
@@ -75,7 +75,7 @@
         .serviceWeights(ImmutableServiceWeights.builder().passing(10).warning(2).build()).build());
   }
 
-  /** What the proxy's parser and mapping make of the answer to these words. */
+  /** Returns what the proxy's parser and mapping read from the answer to a query. */
   private Map<String, String> proxySees(String query) throws Exception {
     HttpResponse<InputStream> answer = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(
         "http://127.0.0.1:" + consul.address().getPort() + "/v1/health/service/link" + query))
@@ -101,8 +101,8 @@
       boolean maintenance = entry.getChecks().stream().anyMatch(check -> check.getCheckId().contains("_maintenance"));
       Health worst = maintenance ? Health.MAINTENANCE : statuses.contains("critical") ? Health.CRITICAL
           : statuses.contains("warning") ? Health.WARNING : Health.PASSING;
-      seen.put(entry.getNode().getNode() + "/" + entry.getService().getId(), worst + " " + entry.getService().getPort() + " "
-          + entry.getService().getWeights().orElseThrow().getPassing() + "/"
+      seen.put(entry.getNode().getNode() + "/" + entry.getService().getId(), worst + " "
+          + entry.getService().getPort() + " " + entry.getService().getWeights().orElseThrow().getPassing() + "/"
           + entry.getService().getWeights().orElseThrow().getWarning());
     }
     return seen;
@@ -111,7 +111,8 @@
   private void assertBothSee(String... expected) throws Exception {
     Map<String, String> library = librarySees(health.getAllServiceInstances("link").getResponse());
     assertEquals(library, proxySees(""));
-    assertEquals(List.of(expected), library.entrySet().stream().map(entry -> entry.getKey() + " " + entry.getValue()).toList());
+    assertEquals(List.of(expected), library.entrySet().stream().map(entry ->
+        entry.getKey() + " " + entry.getValue()).toList());
   }
 
   @Test
@@ -128,7 +129,7 @@
     agent.toggleMaintenanceMode("b", true);
     assertBothSee("agent-node/a PASSING 7001 10/2", "agent-node/b MAINTENANCE 7002 10/2");
     assertEquals(List.of("a"), health.getHealthyServiceInstances("link").getResponse().stream()
-        .map(one -> one.getService().getId()).toList(), "passing alone");
+        .map(entry -> entry.getService().getId()).toList(), "only passing instances");
     agent.toggleMaintenanceMode("b", false);
     consul.catalogue().setCheck("agent-node/a", "serfHealth", "critical");
     assertBothSee("agent-node/a CRITICAL 7001 10/2", "agent-node/b PASSING 7002 10/2");
@@ -145,7 +146,7 @@
     assertEquals(List.of(), health.getAllServiceInstances("nobody").getResponse());
   }
 
-  /** A blocking query ends with the change, and with its wait where nothing changes; the index only grows. */
+  /** A blocking query returns on a change, or after its wait without one; the index never decreases. */
   @Test
   void blockingQueriesWaitForTheChange() throws Exception {
     register("a", 7001);
@@ -164,10 +165,10 @@
     assertTrue(same.getIndex().compareTo(changed.getIndex()) >= 0);
     BigInteger last = same.getIndex();
     assertEquals(last, health.getAllServiceInstances("link", QueryOptions.blockSeconds(1, last).build()).getIndex(),
-        "nothing changed, and the wait was over");
+        "the query timed out without a change");
   }
 
-  /** The expressions that an operator may write pick the same entries through the library and through the proxy. */
+  /** Filter expressions select the same entries through the library and through the proxy. */
   @Test
   void filtersSelectTheSameEntries() throws Exception {
     register("a", 7001, "primary");
@@ -183,19 +184,21 @@
       List<ServiceHealth> answer = health.getAllServiceInstances("link", options).getResponse();
       assertEquals(filterAndIds.getValue(), answer.stream().map(entry -> entry.getService().getId()).sorted()
           .collect(Collectors.joining()), filterAndIds.getKey());
-      assertEquals(librarySees(answer), proxySees("?filter=" + URLEncoder.encode(filterAndIds.getKey(), StandardCharsets.UTF_8)));
+      assertEquals(librarySees(answer), proxySees("?filter="
+          + URLEncoder.encode(filterAndIds.getKey(), StandardCharsets.UTF_8)));
     }
     ConsulException refused = assertThrows(ConsulException.class, () -> health.getAllServiceInstances("link",
         ImmutableQueryOptions.builder().filter("Service.Nothing == x").build()));
     assertEquals(400, refused.getCode());
   }
 
-  /** Modes of consistency, datacenters and tokens, as Consul takes or refuses them. */
+  /** Consistency modes, datacenters and tokens are accepted and refused as by Consul. */
   @Test
   void refusalsMatchConsul() throws Exception {
     register("a", 7001);
     for (ConsistencyMode mode : List.of(ConsistencyMode.DEFAULT, ConsistencyMode.STALE, ConsistencyMode.CONSISTENT)) {
-      assertEquals(1, health.getAllServiceInstances("link", ImmutableQueryOptions.builder().consistencyMode(mode).build())
+      assertEquals(1, health.getAllServiceInstances("link",
+          ImmutableQueryOptions.builder().consistencyMode(mode).build())
           .getResponse().size());
     }
     assertEquals(Optional.of(500), errorCode(ImmutableQueryOptions.builder().datacenter("mars").build()));
