--- a/proxy/src/main/java/lemondeal/claims/CasClaimService.java
+++ b/proxy/src/main/java/lemondeal/claims/CasClaimService.java
@@ -3,26 +3,30 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Claims on any store with compare-and-set: reads, applies {@link ClaimRules}, writes, and begins again if it was late. */
+/**
+ * Claims on any store with compare-and-set: reads a state, applies {@link ClaimRules}, writes the result, and retries
+ * if another writer was first.
+ */
 public final class CasClaimService implements ClaimService {
-  /** Rounds lost to other writers before it is said that nothing can be said. Each loss is another one's success. */
+  /** Writes lost to concurrent writers before a claim ends as Unknown. Each loss means that another write succeeded. */
   private static final int MAX_CONFLICTS = 5;
   /**
-   * Times that a settle or a giving back is sent when the store says nothing: a call lost with one of the store's
-   * addresses goes to the next. Lost for good, the lease runs out and the fence keeps the session single.
+   * How often a commit or a release is sent while the store fails or does not answer: a call that was lost with one of
+   * the store's addresses goes to the next address. If all are lost, the lease expires, and the fence still prevents
+   * two connections from writing to the session.
    */
   private static final int MAX_CALLS = 3;
 
   private final CasStore store;
   private final LongSupplier unixMillis;
 
-  /** {@code millis}: Unix time. */
+  /** @param unixMillis the wall clock */
   public CasClaimService(CasStore store, LongSupplier unixMillis) {
     this.store = store;
     this.unixMillis = unixMillis;
   }
 
-  /** What is wanted of a state: the answer and the next state, null where nothing is to be written. */
+  /** Computes the answer and the next state, which is null if nothing is to be written. */
   private interface Update {
     ClaimRules.Transition apply(ClaimState state);
   }
@@ -31,7 +35,7 @@
   public void claim(Claim claim, Consumer<ClaimAnswer> callback) {
     readAndUpdate(claim.session(), state -> ClaimRules.claim(state, claim, unixMillis.getAsLong()), answer -> {
       if (answer instanceof ClaimAnswer.Unknown) {
-        // The write may have been done and only its answer lost: the token would be held until the lease ends.
+        // The write may have succeeded and only its reply been lost: the token would stay blocked until the lease ends.
         release(claim);
       }
       callback.accept(answer);
@@ -40,15 +44,17 @@
 
   @Override
   public void commit(Claim claim, long epoch) {
-    updateWithRetries(claim.session(), state -> new ClaimRules.Transition(null, ClaimRules.commit(state, claim, epoch)), MAX_CALLS);
+    updateWithRetries(claim.session(),
+        state -> new ClaimRules.Transition(null, ClaimRules.commit(state, claim, epoch)), MAX_CALLS);
   }
 
   @Override
   public void release(Claim claim) {
-    updateWithRetries(claim.session(), state -> new ClaimRules.Transition(null, ClaimRules.release(state, claim)), MAX_CALLS);
+    updateWithRetries(claim.session(),
+        state -> new ClaimRules.Transition(null, ClaimRules.release(state, claim)), MAX_CALLS);
   }
 
-  /** A change that nobody waits for, sent again where the store did not answer. */
+  /** An update without a caller that waits for it; sent again if the store failed or did not answer. */
   private void updateWithRetries(String session, Update update, int callsLeft) {
     readAndUpdate(session, update, answer -> {
       if (answer instanceof ClaimAnswer.Unknown && callsLeft > 1) {
@@ -61,7 +67,8 @@
     store.read(session, result -> tryUpdate(session, update, callback, result, MAX_CONFLICTS));
   }
 
-  private void tryUpdate(String session, Update update, Consumer<ClaimAnswer> callback, CasStore.Result latest, int conflictsLeft) {
+  private void tryUpdate(String session, Update update, Consumer<ClaimAnswer> callback, CasStore.Result latest,
+      int conflictsLeft) {
     if (latest.current() == null) {
       callback.accept(new ClaimAnswer.Unknown(latest.error()));
       return;
@@ -70,7 +77,7 @@
     if (transition.nextState() == null) {
       callback.accept(transition.answer());
     } else if (conflictsLeft == 0) {
-      callback.accept(new ClaimAnswer.Unknown("too many write at once"));
+      callback.accept(new ClaimAnswer.Unknown("too many concurrent writers"));
     } else {
       store.compareAndSet(session, latest.current().version(), transition.nextState(), result -> {
         if (result.success()) {
--- a/proxy/src/main/java/lemondeal/claims/ClaimAnswer.java
+++ b/proxy/src/main/java/lemondeal/claims/ClaimAnswer.java
@@ -1,17 +1,20 @@
 package lemondeal.claims;
 
-/** What became of a claim. */
+/** The outcome of a claim. */
 public sealed interface ClaimAnswer {
 
-  /** It holds. Attempts use the epochs {@code fence} to {@code fence + ATTEMPTS - 1}, a new one each. */
+  /** The claim is held. Attempts use the epochs {@code fence} to {@code fence + EPOCHS_PER_GRANT - 1}, each its own. */
   record Granted(long fence) implements ClaimAnswer {}
 
-  /** Another claim is not settled yet; in so many milliseconds it will have run out at the latest. */
+  /** Another claim is neither committed nor released yet; its lease expires after the given time. */
   record Held(long remainingMillis) implements ClaimAnswer {}
 
-  /** A connection has gone on from a token of this epoch, or from a later one. */
+  /** A connection has already continued the session from a token of this epoch or of a later one. */
   record Used() implements ClaimAnswer {}
 
-  /** Nothing can be said now: the store is silent, down or full, or too many write at once. The token stays good. */
+  /**
+   * The outcome is unknown: the store does not answer, is down or full, or has too many concurrent writers. The token
+   * stays valid.
+   */
   record Unknown(String reason) implements ClaimAnswer {}
 }
--- a/proxy/src/main/java/lemondeal/claims/ClaimRules.java
+++ b/proxy/src/main/java/lemondeal/claims/ClaimRules.java
@@ -1,28 +1,28 @@
 package lemondeal.claims;
 
 /**
- * The rules of claims: a token's epoch is good once. Pure: the state before goes in, the state after comes out, and the
- * time is an argument. Every maker of claims applies these same steps, each with its own way of replacing a state.
+ * The rules of claims: a token's epoch can be used once. Pure functions from one state to the next, with the time as an
+ * argument. Every store applies these same rules and replaces states in its own way.
  *
- * <p>Two things keep a session single. The claim lets one attempt begin at a time. Should that fail, because a lease ran
- * out while its attempt was still on its way, the fence decides: each grant has a higher one than all before, and
- * servers let only the highest epoch that they saw write.
+ * <p>Two mechanisms prevent two connections from writing to one session. The claim admits one connection at a time. If
+ * that fails, because a lease expired while its attempt was still in flight, the fence decides: each grant has a higher
+ * fence than all before it, and servers accept writes only from the highest epoch that they have seen.
  */
 public final class ClaimRules {
-  /** Epochs that belong to one grant, one for each attempt: two attempts at different servers must differ. */
+  /** Epochs reserved for each grant, one for each attempt: attempts at different servers need different epochs. */
   public static final int EPOCHS_PER_GRANT = 16;
-  /** The epochs of a session's first connection begin here. */
+  /** First epoch of a session's first connection. */
   public static final long FIRST_EPOCH = EPOCHS_PER_GRANT;
 
   private ClaimRules() {}
 
-  /** The answer and the state to be written; null where nothing changes. */
+  /** The answer, and the state to write; the latter is null if nothing changes. */
   public record Transition(ClaimAnswer answer, ClaimState nextState) {}
 
   /**
-   * Asks for the right to go on from a token. A token of the held grant's own epochs was made after one of its attempts
-   * came up, since no other gives them out: it settles that grant itself, and its client need not wait for a word that
-   * a proxy killed after the {@code UP} never sent.
+   * Claims the right to continue a session from a token. A token with an epoch of the currently held grant can only
+   * have been issued after an attempt of that grant came up, so it commits the grant by itself. Its client then need
+   * not wait for the lease of a proxy that was killed after the {@code UP} and before its commit.
    */
   public static Transition claim(ClaimState state, Claim claim, long now) {
     if (claim.epoch() < state.committed()) {
@@ -36,13 +36,16 @@
         now + claim.leaseMillis(), Math.max(state.forgetAt(), claim.forgetAt())));
   }
 
-  /** The attempt with this epoch came up: all earlier tokens are used. Null where the claim is not this one's any more. */
+  /**
+   * The attempt with this epoch came up: all earlier tokens are used. Returns null if the state is no longer held by
+   * this claim.
+   */
   public static ClaimState commit(ClaimState state, Claim claim, long epoch) {
     return state.isHeldBy(claim.holder())
         ? new ClaimState(Math.max(state.committed(), epoch), state.fence(), "", 0, state.forgetAt()) : null;
   }
 
-  /** No server took the session: the token is good again. The fence stays, since an attempt may still be on its way. */
+  /** No server took the session: the token is valid again. The fence stays, as an attempt may still be in flight. */
   public static ClaimState release(ClaimState state, Claim claim) {
     return state.isHeldBy(claim.holder())
         ? new ClaimState(state.committed(), state.fence(), "", 0, state.forgetAt()) : null;
--- a/proxy/src/main/java/lemondeal/claims/ClaimService.java
+++ b/proxy/src/main/java/lemondeal/claims/ClaimService.java
@@ -3,8 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * Where claims are made. An answer may come at once or later, on whichever thread; it comes once. What is settled or
- * given back is told without an answer: should it get lost, the lease runs out and the fence keeps the session single.
+ * Grants the exclusive right to continue a session. The callback of a claim runs exactly once, immediately or later, on
+ * any thread. Commits and releases have no answer: if one is lost, the lease expires, and the fence still prevents two
+ * connections from writing to the session.
  */
 public interface ClaimService extends AutoCloseable {
 
@@ -13,7 +14,7 @@
   /** The attempt with this epoch came up. */
   void commit(Claim claim, long epoch);
 
-  /** No attempt came up and none is out any more. */
+  /** No attempt came up, and none is running any more. */
   void release(Claim claim);
 
   @Override
--- a/proxy/src/main/java/lemondeal/claims/DiskStore.java
+++ b/proxy/src/main/java/lemondeal/claims/DiskStore.java
@@ -15,19 +15,21 @@
 import lemondeal.log.EventLog;
 
 /**
- * States of this process that a restart does not lose: each write is on disk before it is told. All is done by one thread
- * of its own, since a disk may take its time; what waits for it is written in one go. Answers come on that thread.
+ * A store on the local disk that survives a restart: each write is synced before its callback runs. One dedicated
+ * thread does all the work, as a disk may be slow; jobs that queue up meanwhile are written with one sync. Callbacks
+ * run on that thread.
  *
- * <p>Guards: a full or failing disk is told as a fault and nothing of that write counts; a second process on the same
- * folder, as during an upgrade, is told so until the first one has left. An embedded database was weighed and not taken:
- * a few hundred thousand states of a few bytes need a log and no more, and its files should be readable for an operator.
+ * <p>If the disk is full or fails, the write is reported as failed and has no effect. While another process uses the
+ * same folder, as during an upgrade, every call fails with that reason. An embedded database was considered and
+ * rejected: a few hundred thousand states of a few bytes need only a log, and its files should be readable for an
+ * operator.
  */
 public final class DiskStore implements CasStore {
   private static final int QUEUE_CAPACITY = 4096;
-  /** A disk that hangs must not hold up the end of the process. */
+  /** A disk that hangs must not delay the end of the process for longer. */
   private static final long CLOSE_TIMEOUT_MILLIS = 1000;
   private static final int MAX_BATCH = 512;
-  /** A log is worth a new snapshot when it is this many times as long as what it says, and not short. */
+  /** The log is compacted when it has this many records for each live state, and at least the minimum below. */
   private static final int COMPACTION_RATIO = 4;
   private static final int MIN_COMPACTION_RECORDS = 4096;
 
@@ -45,7 +47,7 @@
   private final EventLog log;
   private final BlockingQueue<Job> jobs = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
   private final Thread thread = new Thread(this::processJobs, "claims");
-  /** The thread's own from here on. */
+  /** The fields below belong to the worker thread. */
   private MemoryStore states;
   private WriteAheadLog writeAheadLog;
   private String unavailableReason = "";
@@ -58,8 +60,8 @@
   }
 
   /**
-   * Opens the folder, making it where it is missing, and reads what it holds. Throws where that can't be read; that
-   * another process holds it is no failure, but told to whoever asks.
+   * Opens the folder, creating it if it is missing, and loads its states. Throws if they can't be read. A folder that
+   * another process uses is opened later: until then, calls fail with that reason.
    */
   public static DiskStore open(Path folder, int maxSessions, LongSupplier unixMillis, EventLog log) throws IOException {
     DiskStore store = new DiskStore(folder, maxSessions, unixMillis, log);
@@ -81,13 +83,13 @@
 
   private void enqueue(Job job) {
     if (!jobs.offer(job)) {
-      job.callback().accept(new Result(false, null, "too much waits for the disk"));
+      job.callback().accept(new Result(false, null, "the disk queue is full"));
     }
   }
 
-  // ---- The thread's own -----------------------------------------------------------------------
+  // ---- Worker thread --------------------------------------------------------------------------
 
-  /** Goes on behind the order to stop until nothing is left: an answer may have brought the next job with it. */
+  /** Continues after the stop job until the queue is empty, as a callback may have enqueued another job. */
   private void processJobs() {
     boolean stopping = false;
     try {
@@ -111,7 +113,7 @@
         openFolder();
       }
     } catch (IOException e) {
-      unavailableReason = "the folder cannot be read: " + e;
+      unavailableReason = "cannot read the claims folder: " + e;
     }
     if (writeAheadLog == null) {
       batch.forEach(job -> job.callback().accept(new Result(false, null, unavailableReason)));
@@ -129,7 +131,7 @@
     compact();
   }
 
-  /** What the job is told once all changes are on disk. */
+  /** Returns the job's result, which is valid once all changes are on disk. */
   private Result apply(Job job, Map<String, VersionedState> changes) {
     VersionedState pending = changes.get(job.session());
     VersionedState current = pending != null ? pending : states.get(job.session());
@@ -140,14 +142,14 @@
       return new Result(false, current, "");
     }
     if (current.version() == 0 && states.unexpired().size() + changes.size() >= maxSessions) {
-      return new Result(false, null, "all " + maxSessions + " claims are held");
+      return new Result(false, null, "the limit of " + maxSessions + " sessions is reached");
     }
     VersionedState updated = new VersionedState(current.version() + 1, job.newState());
     changes.put(job.session(), updated);
     return new Result(true, updated, "");
   }
 
-  /** Empty, or why nothing was written. */
+  /** Returns why nothing was written; empty if the changes are on disk. */
   private String persist(Map<String, VersionedState> changes) {
     if (changes.isEmpty()) {
       return "";
@@ -159,7 +161,7 @@
     } catch (IOException e) {
       log.warn("claims-not-written", "lemondeal: claims cannot be written: " + e, "folder", folder.toString());
       if (!writeAheadLog.isEndKnown()) {
-        // The end of the log is not known any more: it is read anew, and cut where it is torn.
+        // The end of the log is unknown now: the next batch reads the log again and truncates an incomplete record.
         closeFolder();
       }
       return "the disk: " + e.getMessage();
@@ -177,7 +179,8 @@
   }
 
   private void compact() {
-    if (writeAheadLog == null || writeAheadLog.records() < MIN_COMPACTION_RECORDS || writeAheadLog.records() < (long) COMPACTION_RATIO * states.unexpired().size()) {
+    if (writeAheadLog == null || writeAheadLog.recordCount() < MIN_COMPACTION_RECORDS
+        || writeAheadLog.recordCount() < (long) COMPACTION_RATIO * states.unexpired().size()) {
       return;
     }
     try {
@@ -187,23 +190,25 @@
     }
   }
 
-  /** Takes the folder, unless another process holds it. */
+  /** Locks and loads the folder, unless another process has locked it. */
   private void openFolder() throws IOException {
     MemoryStore loadedStates = new MemoryStore(maxSessions, unixMillis);
     WriteAheadLog opened = WriteAheadLog.open(folder, record -> {
       try {
         LogRecord logRecord = LogRecord.parseFrom(record);
-        loadedStates.put(logRecord.getSession(), new VersionedState(logRecord.getVersion(), StateCodec.decode(logRecord.getState())));
+        loadedStates.put(logRecord.getSession(),
+            new VersionedState(logRecord.getVersion(), StateCodec.decode(logRecord.getState())));
       } catch (InvalidProtocolBufferException e) {
-        throw new IOException("a record with a true checksum cannot be read", e);
+        throw new IOException("cannot decode a record whose checksum is correct", e);
       }
     });
     if (opened == null) {
-      unavailableReason = "another process holds the claims";
+      unavailableReason = "another process has locked the claims folder";
       return;
     }
     if (opened.truncatedBytes() > 0) {
-      log.warn("claims-torn", "lemondeal: the last " + opened.truncatedBytes() + " bytes of the claims' log were torn and are cut off",
+      log.warn("claims-torn",
+          "lemondeal: the last " + opened.truncatedBytes() + " bytes of the claims' log were torn and are cut off",
           "folder", folder.toString(), "bytes", opened.truncatedBytes());
     }
     states = loadedStates;
--- a/proxy/src/main/java/lemondeal/claims/FleetStore.java
+++ b/proxy/src/main/java/lemondeal/claims/FleetStore.java
@@ -28,8 +28,8 @@
 import lemondeal.log.EventLog;
 
 /**
- * The states of a whole fleet, in a store that the operators run behind {@code claims.proto}. Each call has a deadline; a
- * store that is away is told at once, as a fault. Answers come on the library's threads.
+ * A store shared by the whole fleet: a gRPC service that the operators run, specified in {@code claims.proto}. Each
+ * call has a deadline; if the store is unreachable, the call fails immediately. Callbacks run on gRPC's threads.
  */
 public final class FleetStore implements CasStore {
   private static final long CLOSE_TIMEOUT_SECONDS = 1;
@@ -39,7 +39,7 @@
   private final List<InetSocketAddress> addresses;
   private final long callTimeoutMillis;
   private final EventLog log;
-  /** Replaced whole when certificates are read anew; calls on the one before run to their end. */
+  /** Replaced when the certificates are reloaded; calls on the previous channel run to their end. */
   private volatile ManagedChannel channel;
   private volatile ClaimStoreGrpc.ClaimStoreStub stub;
 
@@ -50,14 +50,14 @@
   }
 
   /**
-   * Connects, and again whenever it has to: to the first of the addresses that answers, in their order. Guards the first
-   * clients: the library takes half a second over its first call, in which each claim was late. A store that is away at
-   * the start is told in the log and no reason not to serve.
+   * Connects, and reconnects when needed, to the first address that answers, in the order given. Warms up the channel,
+   * as gRPC's first call takes half a second, during which every claim of the first clients timed out. If the store is
+   * unreachable at the start, that is logged and the proxy serves without it.
    *
-   * @param addresses of one store, tried in turn
+   * @param addresses the addresses of one store, tried in turn
    * @param tls null for plain text
-   * @param patience milliseconds that a call may take
-   * @throws IOException where a file of {@code tls} can't be read or used
+   * @param callTimeoutMillis deadline of each call
+   * @throws IOException if a file of {@code tls} can't be read or used
    */
   public static FleetStore open(List<InetSocketAddress> addresses, TlsFiles tls, long callTimeoutMillis, EventLog log)
       throws IOException {
@@ -68,10 +68,9 @@
   }
 
   /**
-   * Reads the certificates anew and speaks through a new channel from now on; what the old one still carries ends there.
-   * On SIGHUP.
+   * Reloads the certificates, on SIGHUP. New calls use a new channel; calls in flight end on the previous one.
    *
-   * @throws IOException where a file can't be read or used: the channel before stays
+   * @throws IOException if a file can't be read or used; the previous channel stays in use
    */
   public void reload(TlsFiles tls) throws IOException {
     ManagedChannel previous = channel;
@@ -82,7 +81,7 @@
   private ManagedChannel buildChannel(TlsFiles tls) throws IOException {
     String firstAddress = Addresses.format(addresses.get(0));
     String authority = tls != null && tls.name() != null ? tls.name() : firstAddress;
-    @SuppressWarnings("deprecation") // The one way to give a channel addresses without a look-up that is not global.
+    @SuppressWarnings("deprecation") // The only way to set a resolver for one channel; others register it globally.
     NettyChannelBuilder builder = NettyChannelBuilder.forTarget(StaticAddressResolver.SCHEME + ":///" + firstAddress)
         .nameResolverFactory(new StaticAddressResolver(addresses, authority))
         .keepAliveTime(10, TimeUnit.SECONDS);
@@ -102,7 +101,7 @@
       }
       return builder.build();
     } catch (IllegalArgumentException | SSLException e) {
-      throw new IOException("TLS towards the claim store: " + e.getMessage(), e);
+      throw new IOException("cannot set up TLS for the claim store: " + e.getMessage(), e);
     }
   }
 
@@ -111,7 +110,7 @@
     stub = ClaimStoreGrpc.newStub(newChannel);
   }
 
-  /** Makes the first calls, which are slow, before any client waits for one. */
+  /** Makes the first calls, which are slow, before any client depends on one. */
   private void warmUp() {
     try {
       ClaimStoreGrpc.ClaimStoreBlockingStub blockingStub = ClaimStoreGrpc.newBlockingStub(channel)
@@ -119,7 +118,8 @@
       ByteString unusedKey = ByteString.copyFrom(new byte[KEY_BYTES]);
       blockingStub.read(ReadRequest.newBuilder().setKey(unusedKey).build());
       // Writes nothing: no key has that version.
-      blockingStub.compareAndSet(CompareAndSetRequest.newBuilder().setKey(unusedKey).setExpectedVersion(Long.MAX_VALUE).build());
+      blockingStub.compareAndSet(
+          CompareAndSetRequest.newBuilder().setKey(unusedKey).setExpectedVersion(Long.MAX_VALUE).build());
     } catch (StatusRuntimeException e) {
       String addressList = addresses.stream().map(Addresses::format).collect(Collectors.joining(", "));
       log.warn("claims-away", "lemondeal: the claim store at " + addressList + " does not answer: "
@@ -147,7 +147,8 @@
         .setForgetAtMs(state.forgetAt())
         .build();
     stub.withDeadlineAfter(callTimeoutMillis, TimeUnit.MILLISECONDS).compareAndSet(request,
-        new UnaryObserver<CompareAndSetReply>(callback, reply -> new Result(reply.getWritten(), toVersionedState(reply.getNow()), "")));
+        new UnaryObserver<CompareAndSetReply>(callback,
+            reply -> new Result(reply.getWritten(), toVersionedState(reply.getNow()), "")));
   }
 
   private static ByteString toKey(String session) {
@@ -163,7 +164,7 @@
   public void close() {
     channel.shutdown();
     try {
-      // What was settled last is still on its way.
+      // The last commits may still be in flight.
       if (!channel.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         channel.shutdownNow();
       }
@@ -173,12 +174,12 @@
     }
   }
 
-  /** A reply to a message. */
+  /** Converts a reply to a result. */
   private interface ReplyParser<T> {
     Result parse(T reply) throws InvalidProtocolBufferException;
   }
 
-  /** Tells the one reply of a call, or its failure. */
+  /** Passes on the single reply of a call, or its failure. */
   private static final class UnaryObserver<T> implements StreamObserver<T> {
     private final Consumer<Result> callback;
     private final ReplyParser<T> parser;
@@ -194,7 +195,7 @@
       try {
         result = parser.parse(reply);
       } catch (InvalidProtocolBufferException e) {
-        result = new Result(false, null, "the store's value cannot be read");
+        result = new Result(false, null, "cannot decode the claim store's value");
       }
       callback.accept(result);
     }
@@ -206,7 +207,7 @@
 
     @Override
     public void onCompleted() {
-      // The reply has been told.
+      // onNext has passed on the reply.
     }
   }
 }
--- a/proxy/src/main/java/lemondeal/claims/MemoryStore.java
+++ b/proxy/src/main/java/lemondeal/claims/MemoryStore.java
@@ -7,8 +7,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * States in this process's memory, bounded in number. Good for a proxy that alone gets its clients back, and forgets with
- * its process. Not safe for use by several threads at once.
+ * A bounded store in this process's memory, lost when the process ends. Suitable for a proxy whose clients always
+ * reconnect to it. Not thread-safe.
  */
 public final class MemoryStore implements CasStore {
   private record Expiry(long at, String session) implements Comparable<Expiry> {
@@ -23,7 +23,7 @@
   private final Map<String, VersionedState> states = new HashMap<>();
   private final PriorityQueue<Expiry> expiries = new PriorityQueue<>();
 
-  /** Holds {@code most} sessions at once; beyond, a new one can't be written until an old one may be forgotten. */
+  /** @param maxSessions at this number, a new session can't be written until another one has expired */
   public MemoryStore(int maxSessions, LongSupplier unixMillis) {
     this.maxSessions = maxSessions;
     this.unixMillis = unixMillis;
@@ -49,14 +49,14 @@
     if (current.version() != expectedVersion) {
       callback.accept(new Result(false, current, ""));
     } else if (expectedVersion == 0 && states.size() >= maxSessions) {
-      callback.accept(new Result(false, null, "all " + maxSessions + " claims are held"));
+      callback.accept(new Result(false, null, "the limit of " + maxSessions + " sessions is reached"));
     } else {
       put(session, new VersionedState(expectedVersion + 1, state));
       callback.accept(new Result(true, get(session), ""));
     }
   }
 
-  /** Takes a state as it is, as when a log is read again. */
+  /** Stores a state without a version check, as when a log is loaded. */
   void put(String session, VersionedState versionedState) {
     VersionedState previous = states.put(session, versionedState);
     if (previous == null || previous.state().forgetAt() != versionedState.state().forgetAt()) {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** All states that must be remembered. */
+  /** All states that have not expired. */
   Map<String, VersionedState> unexpired() {
     evictExpired();
     return states;
--- a/proxy/src/main/java/lemondeal/claims/StateCodec.java
+++ b/proxy/src/main/java/lemondeal/claims/StateCodec.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 
-/** Claim states to protobuf and back. */
+/** Encodes and decodes claim states as protobuf. */
 final class StateCodec {
   private StateCodec() {}
 
--- a/proxy/src/main/java/lemondeal/claims/StaticAddressResolver.java
+++ b/proxy/src/main/java/lemondeal/claims/StaticAddressResolver.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * The addresses of one store, as gRPC's name resolution hands them to its channel: one group, so that the library's
- * {@code pick_first} tries them in their order and keeps the first that answers. No name is looked up; the platform has no
- * DNS, and an installation that has one names the store's addresses in the operator's file all the same.
+ * A gRPC name resolver that returns the configured addresses of one store as one address group, so that gRPC's
+ * {@code pick_first} policy tries them in order and keeps the first that answers. No name is resolved: the platform has
+ * no DNS, and installations that have one configure the store's addresses in the operator's file too.
  */
 final class StaticAddressResolver extends NameResolver.Factory {
   static final String SCHEME = "lemondeal-store";
@@ -19,7 +19,7 @@
   private final List<InetSocketAddress> addresses;
   private final String authority;
 
-  /** @param authority what the store's certificate is checked against */
+  /** @param authority the name that the store's certificate must match */
   StaticAddressResolver(List<InetSocketAddress> addresses, String authority) {
     this.addresses = List.copyOf(addresses);
     this.authority = authority;
@@ -38,14 +38,15 @@
 
       @Override
       public void start(Listener2 listener) {
-        List<SocketAddress> all = new ArrayList<>(addresses);
+        List<SocketAddress> socketAddresses = new ArrayList<>(addresses);
         listener.onResult(ResolutionResult.newBuilder()
-            .setAddressesOrError(io.grpc.StatusOr.fromValue(List.of(new EquivalentAddressGroup(all)))).build());
+            .setAddressesOrError(io.grpc.StatusOr.fromValue(List.of(new EquivalentAddressGroup(socketAddresses))))
+            .build());
       }
 
       @Override
       public void shutdown() {
-        // Nothing is watched.
+        // Holds no resources.
       }
     };
   }
--- a/proxy/src/main/java/lemondeal/claims/WriteAheadLog.java
+++ b/proxy/src/main/java/lemondeal/claims/WriteAheadLog.java
@@ -17,19 +17,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * A log with snapshots in a folder, held by one process at a time. Knows nothing of what records say.
+ * A log with snapshots in a folder, locked by one process at a time. Does not interpret the records.
  *
- * <p>{@code log-N} holds what came after {@code snapshot-N}; a record is its length, its CRC-32C and its bytes. A snapshot
- * ends in a record of length 0 and is renamed into place when it is whole, so that one that is there is whole, or the disk
- * lost it. Reading: the highest snapshot, then its log up to the first record that is torn; what follows is cut off. Such
- * a tail was never answered, since answers wait for the disk.
+ * <p>{@code log-N} contains the records after {@code snapshot-N}; a record is its length, its CRC-32C and its bytes. A
+ * snapshot ends with a record of length 0 and is renamed into place when it is complete, so an incomplete one means
+ * that the disk lost data. Loading reads the highest snapshot, then its log up to the first incomplete record, and
+ * truncates the log there. The truncated records were never acknowledged, since acknowledgements wait for the sync.
  */
 final class WriteAheadLog implements AutoCloseable {
   private static final Pattern FILE_NAME = Pattern.compile("(snapshot|log)-([0-9]{1,18})");
   private static final int HEADER_BYTES = 8;
   private static final int MAX_RECORD_BYTES = 1 << 16;
 
-  /** Takes the records in their order. */
+  /** Receives the records in their order. */
   interface RecordHandler {
     void handle(byte[] record) throws IOException;
   }
@@ -48,10 +48,11 @@
     this.lockChannel = lockChannel;
   }
 
-  /** Opens the folder and reads it; null if another process holds it. */
+  /** Locks and loads the folder; returns null if another process has locked it. */
   static WriteAheadLog open(Path folder, RecordHandler handler) throws IOException {
     Files.createDirectories(folder);
-    FileChannel lockChannel = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileChannel lockChannel =
+        FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     WriteAheadLog opened = new WriteAheadLog(folder, lockChannel);
     boolean loaded = false;
     try {
@@ -72,27 +73,27 @@
       FileLock lock = lockChannel.tryLock();
       return lock != null;
     } catch (OverlappingFileLockException e) {
-      // Held in this very process.
+      // Locked by this process.
       return false;
     }
   }
 
-  /** Bytes that were cut off the log when it was read. */
+  /** Bytes truncated from the log's end when it was loaded. */
   long truncatedBytes() {
     return truncatedBytes;
   }
 
   /** Records in the log, without the snapshot's. */
-  long records() {
+  long recordCount() {
     return recordCount;
   }
 
-  /** Whether the log's end is known; if not, the folder has to be opened anew. */
+  /** Whether the end of the valid records is known; if not, the folder must be opened again. */
   boolean isEndKnown() {
     return endKnown;
   }
 
-  /** Writes the records behind all others; returns when the disk has them. Of a failed write nothing stays. */
+  /** Appends the records and returns once they are synced. A write that fails leaves nothing behind. */
   void append(List<byte[]> newRecords) throws IOException {
     ByteBuffer bytes = frame(newRecords);
     try {
@@ -106,7 +107,7 @@
     }
   }
 
-  /** Guards against a later, shorter write leaving the rest of a failed one behind it. */
+  /** Truncates the log: otherwise a later, shorter write would leave the rest of the failed one after it. */
   private void undoFailedWrite() {
     try {
       logChannel.truncate(logLength);
@@ -116,12 +117,12 @@
     }
   }
 
-  /** Begins a new log behind a snapshot of these records, and removes what is older. */
+  /** Writes a snapshot of these records, starts an empty log after it, and deletes the older files. */
   void writeSnapshot(List<byte[]> snapshotRecords) throws IOException {
     long nextGeneration = generation + 1;
     Path newSnapshot = folder.resolve("snapshot.new");
-    try (FileChannel file = FileChannel.open(newSnapshot, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-        StandardOpenOption.WRITE)) {
+    try (FileChannel file = FileChannel.open(newSnapshot, StandardOpenOption.CREATE,
+        StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
       List<byte[]> withTerminator = new ArrayList<>(snapshotRecords);
       withTerminator.add(new byte[0]);
       writeAll(file, frame(withTerminator), 0);
@@ -154,7 +155,7 @@
 
   private static int checksum(byte[] record) {
     CRC32C crc = new CRC32C();
-    // The length is in it, so that a run of zero bytes is no record.
+    // The checksum covers the length, so that a run of zero bytes is not a valid record.
     crc.update(ByteBuffer.allocate(Integer.BYTES).putInt(record.length).flip());
     crc.update(record);
     return (int) crc.getValue();
@@ -170,14 +171,15 @@
     generation = highestSnapshot();
     if (generation > 0) {
       byte[] bytes = Files.readAllBytes(path("snapshot", generation));
-      if (records(bytes, handler) != bytes.length) {
-        throw new IOException(path("snapshot", generation) + " is damaged; move the folder away to begin without it");
+      if (readRecords(bytes, handler) != bytes.length) {
+        throw new IOException(
+            path("snapshot", generation) + " is damaged; move the folder away to start with an empty store");
       }
     }
     logChannel = FileChannel.open(path("log", generation), StandardOpenOption.CREATE, StandardOpenOption.READ,
         StandardOpenOption.WRITE);
     byte[] bytes = Files.readAllBytes(path("log", generation));
-    logLength = records(bytes, record -> {
+    logLength = readRecords(bytes, record -> {
       handler.handle(record);
       recordCount++;
     });
@@ -190,8 +192,8 @@
     syncFolder();
   }
 
-  /** Reads records up to the first that is not whole; returns where that begins. An empty one is the end. */
-  private static int records(byte[] bytes, RecordHandler handler) throws IOException {
+  /** Reads records up to the first invalid one and returns its position. An empty record ends a snapshot. */
+  private static int readRecords(byte[] bytes, RecordHandler handler) throws IOException {
     ByteBuffer input = ByteBuffer.wrap(bytes);
     while (input.remaining() >= HEADER_BYTES) {
       int recordStart = input.position();
@@ -228,7 +230,8 @@
 
   private Stream<Matcher> listFiles() throws IOException {
     try (Stream<Path> paths = Files.list(folder)) {
-      return paths.map(path -> FILE_NAME.matcher(path.getFileName().toString())).filter(Matcher::matches).toList().stream();
+      return paths.map(path -> FILE_NAME.matcher(path.getFileName().toString())).filter(Matcher::matches).toList()
+          .stream();
     }
   }
 
@@ -236,14 +239,14 @@
     return folder.resolve(kind + "-" + number);
   }
 
-  /** A rename is on disk only when its folder is. */
+  /** A rename is durable only once its folder is synced. */
   private void syncFolder() throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
 
-  /** Gives the folder up for other processes. */
+  /** Unlocks the folder for other processes. */
   @Override
   public void close() {
     for (FileChannel channel : new FileChannel[] {logChannel, lockChannel}) {
@@ -252,7 +255,7 @@
           channel.close();
         }
       } catch (IOException e) {
-        // All that was answered is on disk already.
+        // All acknowledged records are synced already.
         endKnown = false;
       }
     }
--- a/proxy/src/main/java/lemondeal/resume/Key.java
+++ b/proxy/src/main/java/lemondeal/resume/Key.java
@@ -3,14 +3,14 @@
 import java.time.Instant;
 
 /**
- * One secret with which tokens are authenticated.
+ * A secret that authenticates tokens.
  *
- * @param id stands beside the token, so that earlier keys are found
- * @param made when it was made
- * @param secret never shown, never logged
+ * @param id written into each token, so that the key that signed it is found
+ * @param createdAt when the key was generated
+ * @param secret never printed or logged
  */
 public record Key(String id, Instant createdAt, byte[] secret) {
-  /** Bytes of a secret: those of the digest, as RFC 2104 advises. */
+  /** Length of a secret: that of the hash function's output, as RFC 2104 recommends. */
   public static final int SECRET_BYTES = 32;
 
   @Override
--- a/proxy/src/main/java/lemondeal/resume/KeyRing.java
+++ b/proxy/src/main/java/lemondeal/resume/KeyRing.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The keys that are accepted, and the one among them with which tokens are made. An accepted key that is not the present
- * one may be an earlier one, or one that other proxies already use. Never empty.
+ * The accepted keys, and which of them, the present key, signs new tokens. Another accepted key is an earlier one, or
+ * one that other proxies already sign with. Never empty.
  */
 public record KeyRing(String presentId, List<Key> keys) {
 
@@ -25,7 +25,7 @@
     return null;
   }
 
-  /** The key of this id, or null. */
+  /** Returns the key with this id, or null. */
   public Key find(String id) {
     return find(keys, id);
   }
@@ -34,28 +34,28 @@
     return find(presentId);
   }
 
-  /** With one more key, which is accepted but not used yet. */
+  /** Adds a key that is accepted but does not sign tokens yet. */
   public KeyRing withKey(Key key) {
     if (find(key.id()) != null) {
-      throw new IllegalArgumentException("there is a key " + key.id() + " already");
+      throw new IllegalArgumentException("a key with the id " + key.id() + " already exists");
     }
     List<Key> extended = new ArrayList<>(keys);
     extended.add(key);
     return new KeyRing(presentId, extended);
   }
 
-  /** Makes tokens with this key from now on. */
+  /** Signs new tokens with this key from now on. */
   public KeyRing withPresentKey(String id) {
     if (find(id) == null) {
-      throw new IllegalArgumentException("there is no key " + id);
+      throw new IllegalArgumentException("no key has the id " + id);
     }
     return new KeyRing(id, keys);
   }
 
-  /** Without this key: its tokens are accepted no more. The present one can't go. */
+  /** Removes a key: its tokens are no longer accepted. The present key can't be removed. */
   public KeyRing withoutKey(String id) {
     if (find(id) == null) {
-      throw new IllegalArgumentException("there is no key " + id);
+      throw new IllegalArgumentException("no key has the id " + id);
     }
     if (id.equals(presentId)) {
       throw new IllegalArgumentException("key " + id + " is the present one; use another first");
--- a/proxy/src/main/java/lemondeal/resume/ResumableSession.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumableSession.java
@@ -11,8 +11,8 @@
 import lemondeal.resume.ResumeRules.Decision;
 
 /**
- * One connection of a session. Counts the lines each way, gives the client tokens, and claims the session before a
- * connection goes on with it. docs/RESUME-WIRE.md specifies what stands on the wire.
+ * One connection of a resumable session. Counts the lines in each direction, issues tokens to the client, and claims
+ * the session before the connection continues it. docs/RESUME-WIRE.md specifies the protocol.
  */
 final class ResumableSession implements SessionContinuity {
   private static final long MICROS_PER_MILLI = 1000;
@@ -28,7 +28,7 @@
   private final String groupDigest;
   private ClientConnection client;
   private Phase phase = Phase.WAITING;
-  /** The session and where it stands. */
+  /** The session and its progress. */
   private String session;
   private long fence = ClaimRules.FIRST_EPOCH;
   private long epoch;
@@ -36,13 +36,14 @@
   private long linesFromClient;
   private long acknowledgedLines;
   private String server = "";
-  /** Why the client is told to begin anew; empty where it is not. */
+  /** Why the client must start a new session in place of its token's; empty if it need not. */
   private String newSessionReason = "";
   private Claim claim;
+  /** Whether this connection has one of the limited places for resumable connections. */
   private boolean counted;
-  /** Whether it can be resumed. */
+  /** Whether the connection can be resumed now. */
   private boolean resumable;
-  /** Stays so once a session has stood: what has come of a line is held back, and must be passed on with its rest. */
+  /** Stays true once the connection could be resumed: its server may still send ACK lines, which are not replies. */
   private boolean everResumable;
   private boolean moveSent;
   private long lastTokenAt;
@@ -55,7 +56,7 @@
     groupDigest = resumption.codec().groupDigest(openLine.value("g"));
   }
 
-  // ---- Before the decision module hears of it --------------------------------------------------
+  // ---- Before the request reaches the decision module -----------------------------------------
 
   @Override
   public void begin(ClientConnection connection) {
@@ -71,8 +72,8 @@
   private Decision checkToken(String tokenText) {
     try {
       Token token = resumption.codec().decode(tokenText, resumption.keys());
-      return ResumeRules.checkToken(token, openLine.value("c"), groupDigest, parseCount(openLine.value("got")), resumption.now(),
-          resumption.settings().clockSkewMillis());
+      return ResumeRules.checkToken(token, openLine.value("c"), groupDigest, parseCount(openLine.value("got")),
+          resumption.now(), resumption.settings().clockSkewMillis());
     } catch (TokenException e) {
       return ResumeRules.rejectToken(e.fault());
     }
@@ -98,7 +99,6 @@
     }
   }
 
-  /** A session of its own, from its first line. */
   private void startNewSession() {
     session = resumption.newSessionId();
     admit();
@@ -118,12 +118,16 @@
     acknowledgedLines = token.acknowledgedLines();
     phase = Phase.CLAIMING;
     Claim request = new Claim(session, token.epoch(), resumption.newHolderId(), settings.claimLeaseMillis(),
-        resumption.now() + settings.tokenLifetimeMillis() + settings.claimLeaseMillis() + 2 * settings.clockSkewMillis());
-    client.schedule(settings.claimTimeoutMillis() * MICROS_PER_MILLI, () -> onClaimAnswer(request, new ClaimAnswer.Unknown("silent")));
+        resumption.now() + settings.tokenLifetimeMillis() + settings.claimLeaseMillis()
+            + 2 * settings.clockSkewMillis());
+    client.schedule(settings.claimTimeoutMillis() * MICROS_PER_MILLI,
+        () -> onClaimAnswer(request, new ClaimAnswer.Unknown("silent")));
     resumption.claims().claim(request, answer -> client.runOnEventLoop(() -> onClaimAnswer(request, answer)));
   }
 
-  /** Hears the store, or its silence. A right granted to a client that has left or was told to wait is given back. */
+  /**
+   * The store's answer, or its timeout. A claim granted after the client has disconnected or was throttled is released.
+   */
   private void onClaimAnswer(Claim request, ClaimAnswer answer) {
     boolean granted = answer instanceof ClaimAnswer.Granted;
     if (phase != Phase.CLAIMING) {
@@ -142,17 +146,19 @@
 
   @Override
   public String firstLine(long remainingMillis, int attempt) {
-    return openLine.rewrite(remainingMillis, PROXY_KEYS, "session=" + session + ",epoch=" + epochOf(attempt) + ",have=" + linesToClient);
+    return openLine.rewrite(remainingMillis, PROXY_KEYS,
+        "session=" + session + ",epoch=" + epochOf(attempt) + ",have=" + linesToClient);
   }
 
-  /** Each attempt has an epoch of its own: two that were sent to different servers must not both write. */
+  /** Each attempt has a distinct epoch: of two attempts at different servers, only one may write. */
   private long epochOf(int attempt) {
     return fence + Math.min(attempt, ClaimRules.EPOCHS_PER_GRANT - 1);
   }
 
   @Override
   public boolean acceptsUp(String upLine) {
-    return !(ResumeRules.checkUp(linesAtServer(upLine), claim != null, acknowledgedLines) instanceof ResumeRules.InconsistentServer);
+    return !(ResumeRules.checkUp(linesAtServer(upLine), claim != null, acknowledgedLines)
+        instanceof ResumeRules.InconsistentServer);
   }
 
   @Override
@@ -182,13 +188,13 @@
     return "RESUME " + outcome + " " + newToken() + CRLF;
   }
 
-  /** The lines of the client's that the server says it has; -1 where it can't resume. */
+  /** How many of the client's lines the server reports to have; -1 if it can't resume. */
   private static long linesAtServer(String upLine) {
     Matcher matcher = RESUMED_PATTERN.matcher(upLine);
     return matcher.matches() ? Long.parseLong(matcher.group(1)) : -1;
   }
 
-  // ---- Passing on ------------------------------------------------------------------------------
+  // ---- Forwarding ------------------------------------------------------------------------------
 
   @Override
   public String rewriteServerLine(String line) {
@@ -210,11 +216,12 @@
     }
   }
 
-  /** Guards against a server that acknowledges nothing: what its client has to keep must not grow without end. */
+  /** Stops offering to resume if the server does not acknowledge lines, since the client must keep all of them. */
   @Override
   public void onClientLine() {
     linesFromClient++;
-    if (resumable && linesFromClient - acknowledgedLines > resumption.settings().maxUnacknowledgedLines() && client.sendLine("RESUME off window")) {
+    if (resumable && linesFromClient - acknowledgedLines > resumption.settings().maxUnacknowledgedLines()
+        && client.sendLine("RESUME off window")) {
       resumable = false;
       resumption.count("off");
     }
@@ -243,7 +250,7 @@
     client.schedule(resumption.settings().checkpointMillis() * MICROS_PER_MILLI, this::checkpoint);
   }
 
-  /** A new token now and then: from it a connection goes on that its server, or this proxy, cut off without a word. */
+  /** Sends a new token periodically, from which the session can be resumed if the server or this proxy fails. */
   private void checkpoint() {
     if (!resumable || phase != Phase.UP || moveSent) {
       return;
@@ -261,8 +268,9 @@
     lastTokenAt = resumption.now();
     lastTokenLinesToClient = linesToClient;
     lastTokenAcknowledgedLines = acknowledgedLines;
-    return resumption.codec().encode(new Token(session, epoch, openLine.value("c"), groupDigest, linesToClient, acknowledgedLines, server,
-        lastTokenAt, lastTokenAt + settings.tokenLifetimeMillis()), resumption.keys().presentKey());
+    return resumption.codec().encode(new Token(session, epoch, openLine.value("c"), groupDigest, linesToClient,
+        acknowledgedLines, server, lastTokenAt, lastTokenAt + settings.tokenLifetimeMillis()),
+        resumption.keys().presentKey());
   }
 
   @Override
@@ -277,7 +285,7 @@
     }
   }
 
-  /** A whole number, or -1. */
+  /** Parses a non-negative whole number; returns -1 if the text is none. */
   private static long parseCount(String text) {
     return text != null && NUMBER_PATTERN.matcher(text).matches() ? Long.parseLong(text) : -1;
   }
--- a/proxy/src/main/java/lemondeal/resume/ResumeRules.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumeRules.java
@@ -4,37 +4,37 @@
 import lemondeal.claims.ClaimAnswer;
 
 /**
- * What becomes of a client that asks to resume. Pure: no I/O, no clock, no state. Which server it goes to and whether to
- * try again is not asked here: that stays with the decision module.
+ * Decides what to do with a client that asks to resume a session. Pure: no I/O, no clock, no state. The decision module
+ * chooses the server and decides on retries.
  */
 public final class ResumeRules {
   private ResumeRules() {}
 
-  /** A decision on a token, a claim's answer or a server's word. */
+  /** A decision on a token, on the answer to a claim, or on a server's {@code UP} line. */
   public sealed interface Decision {}
 
-  /** The session is to be claimed; it holds until then that the client has {@code have} lines. */
+  /** The token is valid: claim the session. The client has received {@code linesAtClient} lines. */
   public record ClaimFirst(Token token, long linesAtClient) implements Decision {}
 
-  /** Goes on with these epochs. */
+  /** The claim is granted: continue the session with the epochs of this fence. */
   public record Proceed(long fence) implements Decision {}
 
-  /** A new session, and the client is told the reason in so many words. */
+  /** Start a new session and report the reason to the client. */
   public record NewSession(String reason) implements Decision {}
 
-  /** Come again: the token stays good. Milliseconds. */
+  /** The client is to retry later; its token stays valid. */
   public record Busy(long retryAfterMillis, String reason) implements Decision {}
 
-  /** The client does not keep to the protocol, or comes twice: {@code ERR} and the reason. */
+  /** The client violates the protocol or has used the token before: {@code ERR} with the reason. */
   public record Fail(String reason) implements Decision {}
 
-  /** The server goes on from here: it has so many lines of the client's. */
+  /** The server continues the session; it has this many of the client's lines. */
   public record ResumeAt(long linesAtServer) implements Decision {}
 
-  /** The server's word can't be true: the attempt has failed, and another server may do better. */
+  /** The server's line count contradicts the session: the attempt has failed, and another server may succeed. */
   public record InconsistentServer(String reason) implements Decision {}
 
-  /** A token that can't even be read. Who may have an honest one begins anew; all others are refused. */
+  /** A token that can't be decoded. A client whose token may be genuine starts a new session; any other is rejected. */
   public static Decision rejectToken(TokenFault fault) {
     return switch (fault) {
       case VERSION, KEY -> new NewSession(fault.name().toLowerCase(Locale.ROOT));
@@ -43,17 +43,18 @@
   }
 
   /**
-   * A token that was read, presented by a client of this class and group.
+   * A decoded token, presented by a client of this class and group.
    *
-   * @param have lines that the client says it has got in the whole session; -1 where it says nothing that can be read
+   * @param linesAtClient lines that the client reports to have received in the whole session; -1 if missing or invalid
    * @param now Unix milliseconds
    */
-  public static Decision checkToken(Token token, String className, String group, long linesAtClient, long now, long skewMillis) {
+  public static Decision checkToken(Token token, String className, String group, long linesAtClient, long now,
+      long skewMillis) {
     if (!token.className().equals(className) || !token.groupDigest().equals(group)) {
       return new Fail("other");
     }
     if (linesAtClient < token.linesToClient()) {
-      // Tokens and lines come in one order: whoever has the token has had these lines.
+      // Tokens and lines are sent in order: a client that has the token has received these lines.
       return new Fail("got");
     }
     if (token.expiresAt() + skewMillis <= now) {
@@ -65,7 +66,7 @@
     return new ClaimFirst(token, linesAtClient);
   }
 
-  /** What the store said. */
+  /** The answer to the claim. */
   public static Decision onClaimAnswer(ClaimAnswer answer, long retryMillis) {
     if (answer instanceof ClaimAnswer.Granted granted) {
       return new Proceed(granted.fence());
@@ -73,17 +74,18 @@
     if (answer instanceof ClaimAnswer.Used) {
       return new Fail("used");
     }
-    // A claim that is held has nearly always been settled or given back long before its lease would end.
-    return new Busy(answer instanceof ClaimAnswer.Held held ? Math.min(held.remainingMillis(), retryMillis) : retryMillis,
+    // A held claim is nearly always committed or released long before its lease expires.
+    return new Busy(
+        answer instanceof ClaimAnswer.Held held ? Math.min(held.remainingMillis(), retryMillis) : retryMillis,
         answer instanceof ClaimAnswer.Unknown unknown ? unknown.reason() : "held");
   }
 
   /**
-   * A server's {@code UP}.
+   * A server's {@code UP} line.
    *
-   * @param goesOn whether the session is to go on, not to begin
-   * @param has the lines of the client's that it has, -1 where it says that it can't resume
-   * @param acknowledged those that a server has acknowledged before: the client does not have them any more
+   * @param resuming whether the session is continued, not started
+   * @param linesAtServer how many of the client's lines the server has; -1 if it can't resume
+   * @param acknowledgedLines how many lines a server has acknowledged before: the client has discarded these
    */
   public static Decision checkUp(long linesAtServer, boolean resuming, long acknowledgedLines) {
     if (linesAtServer < 0) {
--- a/proxy/src/main/java/lemondeal/resume/ResumeSettings.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumeSettings.java
@@ -3,17 +3,17 @@
 import java.util.Set;
 
 /**
- * The operator's {@code resume} section, checked.
+ * The validated section {@code resume} of the operator's file.
  *
  * @param classes the names of the classes whose clients may resume
- * @param life how long a token is good, milliseconds
- * @param skew how far the proxies' clocks may lie apart, milliseconds
- * @param checkpoint how often a standing connection is given a new token, milliseconds
- * @param window lines of a client that its server has not acknowledged; with one more it can't resume any longer
- * @param most connections that can resume at once; with one more, that one can't
- * @param lease how long a claim holds unless it is settled, milliseconds; longer than any deadline of a client
- * @param patience how long a claim's answer is waited for, milliseconds
- * @param retry when a client is to come again whose claim can't be answered, milliseconds
+ * @param tokenLifetimeMillis how long a token is valid
+ * @param clockSkewMillis maximum difference between the proxies' clocks
+ * @param checkpointMillis interval at which an established connection receives a new token
+ * @param maxUnacknowledgedLines client lines that the server may leave unacknowledged; above it the client can't resume
+ * @param maxConnections maximum number of resumable connections; further ones can't resume
+ * @param claimLeaseMillis how long a claim is held unless committed or released; longer than any client's deadline
+ * @param claimTimeoutMillis how long to wait for the answer to a claim
+ * @param retryMillis retry delay for a client whose claim is held by another or unanswered
  */
-public record ResumeSettings(Set<String> classes, long tokenLifetimeMillis, long clockSkewMillis, long checkpointMillis, int maxUnacknowledgedLines, int maxConnections, long claimLeaseMillis,
-    long claimTimeoutMillis, long retryMillis) {}
+public record ResumeSettings(Set<String> classes, long tokenLifetimeMillis, long clockSkewMillis, long checkpointMillis,
+    int maxUnacknowledgedLines, int maxConnections, long claimLeaseMillis, long claimTimeoutMillis, long retryMillis) {}
--- a/proxy/src/main/java/lemondeal/resume/ResumptionContext.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumptionContext.java
@@ -9,7 +9,10 @@
 import lemondeal.claims.ClaimService;
 import lemondeal.codec.OpenLine;
 
-/** What all connections of this proxy that can resume work with. On the I/O thread, but for {@link #use}. */
+/**
+ * What all resumable connections of this proxy share: settings, keys, claims and counters. Confined to the event loop
+ * thread, except {@link #replaceKeys}.
+ */
 public final class ResumptionContext implements AutoCloseable {
   private static final int SESSION_BYTES = 16;
 
@@ -25,27 +28,29 @@
   private int resumableConnections;
 
   /**
-   * @param name of this proxy, for claims
-   * @param millis Unix time
+   * @param proxyName identifies this proxy in claims
+   * @param unixMillis the wall clock
    */
-  public ResumptionContext(ResumeSettings settings, KeyRing keys, ClaimService claims, String proxyName, LongSupplier unixMillis) {
+  public ResumptionContext(ResumeSettings settings, KeyRing keys, ClaimService claims, String proxyName,
+      LongSupplier unixMillis) {
     this.settings = settings;
     this.keys = keys;
     this.claims = claims;
     this.unixMillis = unixMillis;
-    // A proxy that comes back under its name must not take a claim of its own earlier life for its own.
+    // After a restart, a proxy must not mistake a claim of its previous process for its own.
     this.holderPrefix = proxyName + "/" + newSessionId().substring(0, 8) + "/";
   }
 
-  /** Takes over other keys; may be called on any thread. */
+  /** May be called on any thread. */
   public void replaceKeys(KeyRing newKeys) {
     keys = newKeys;
   }
 
-  /** How a client's connection hangs together with others: not at all, unless both sides have asked for it. */
+  /** Resumable only if the client asks for it, its class allows it, and it does not adopt an existing connection. */
   public SessionContinuity continuityOf(OpenLine openLine) {
     return openLine.isFlagSet("resume") && settings.classes().contains(openLine.value("c"))
-        && openLine.value("at") == null ? new ResumableSession(this, openLine) : new SessionContinuity.NonResumable(openLine);
+        && openLine.value("at") == null
+        ? new ResumableSession(this, openLine) : new SessionContinuity.NonResumable(openLine);
   }
 
   ResumeSettings settings() {
@@ -78,7 +83,7 @@
     return holderPrefix + holderCount++;
   }
 
-  /** Takes one of the places of connections that can resume; false if there is none. */
+  /** Takes one of the limited places for resumable connections; false if none is free. */
   boolean tryEnter() {
     if (resumableConnections >= settings.maxConnections()) {
       return false;
@@ -95,7 +100,7 @@
     counters.merge(counter, 1L, Long::sum);
   }
 
-  /** Adds every figure under its name. */
+  /** Adds every counter under its metric name. */
   public void addTo(Map<String, Long> figures) {
     Map<String, Long> ownFigures = new LinkedHashMap<>();
     counters.forEach((counter, count) -> ownFigures.put("resume." + counter, count));
--- a/proxy/src/main/java/lemondeal/resume/SessionContinuity.java
+++ b/proxy/src/main/java/lemondeal/resume/SessionContinuity.java
@@ -4,63 +4,66 @@
 import lemondeal.codec.ServerLine;
 
 /**
- * How one client's connection hangs together with those before and after it. {@link Plain} ones do not; the link
- * between client and server asks here at the few places where that makes a difference. On the I/O thread alone.
+ * How a client's connection takes part in a session that can be resumed on another connection. The client link calls
+ * this where a resumable connection differs from a {@link NonResumable} one. Confined to the event loop thread.
  */
 public interface SessionContinuity {
 
-  /** The client link, as seen from here. */
+  /** The operations of the client link that an implementation uses. */
   interface ClientConnection {
-    /** The request may go to the decision module. */
+    /** Passes the request to the decision module. */
     void admit();
 
-    /** Throttles the client: it is to come again after so many microseconds. */
+    /** Throttles the client, which may retry after this many microseconds. */
     void throttle(long retryAfterMicros);
 
-    /** Fails the request with this line, given without its end. */
+    /** Fails the request with this line, given without its line ending. */
     void fail(String line);
 
-    /** Sends a line of the proxy's own, given without its end, if there is room; whether there was. */
+    /** Sends a line from the proxy, given without its line ending. Returns false if the send buffer has no room. */
     boolean sendLine(String line);
 
-    /** Runs the task on the I/O thread after a time, also when the client link has ended meanwhile. */
+    /** Runs the task on the event loop thread after a delay, even if the client link has ended meanwhile. */
     void schedule(long delayMicros, Runnable task);
 
-    /** Runs the task on the I/O thread, after what runs there now; may be called on any thread. */
+    /** Queues the task on the event loop thread; may be called on any thread. */
     void runOnEventLoop(Runnable task);
   }
 
-  /** Decides whether the request may go on, now or later; tells {@link Side} once. */
+  /** Decides, now or later, whether the request may proceed; calls one method of {@link ClientConnection} once. */
   void begin(ClientConnection client);
 
-  /** The first line for the server, with its end. */
+  /** The first line for the server, with its line ending. */
   String firstLine(long remainingMillis, int attempt);
 
-  /** Whether this server's {@code UP} can be taken; if not, the attempt has failed. */
+  /** Whether the server's {@code UP} line is acceptable; if not, the attempt has failed. */
   boolean acceptsUp(String upLine);
 
-  /** The connection is up. What the client is told behind the {@code UP}, with its end; may be empty. */
+  /**
+   * The connection is up. Returns the line to send to the client after the {@code UP}, with its line ending; may be
+   * empty.
+   */
   String onUp(int attempt, String server, String upLine);
 
-  /** A line of the server, without its end; what is passed on instead, with its end. */
+  /** Takes a server's line, without its line ending; returns what to forward in its place, with its line ending. */
   String rewriteServerLine(String line);
 
-  /** Whether the server's line may be its answer to a line of the client. */
+  /** Whether the server's line may be the reply to a line of the client. */
   boolean mayBeReply(ServerLine line);
 
-  /** A line of the client is being passed on. */
+  /** A line of the client is being forwarded. */
   void onClientLine();
 
-  /** What sends the client away, with its end. */
+  /** The line that tells the client to reconnect, with its line ending. */
   String moveLine();
 
-  /** Bytes that {@link #move} needs at most. */
+  /** Maximum length of {@link #moveLine} in bytes. */
   int maxMoveBytes();
 
-  /** The request or connection is over and no attempt is out any more. Heard once. */
+  /** The request or connection has ended, and no attempt is running any more. Called once. */
   void onEnd();
 
-  /** A connection on its own: passes all as it is. */
+  /** A connection without a session: forwards all lines unchanged. */
   final class NonResumable implements SessionContinuity {
     private static final String MOVE = "MOVE\r\n";
 
@@ -102,7 +105,7 @@
 
     @Override
     public void onClientLine() {
-      // Nobody counts.
+      // Lines are not counted.
     }
 
     @Override
--- a/proxy/src/main/java/lemondeal/resume/TokenCodec.java
+++ b/proxy/src/main/java/lemondeal/resume/TokenCodec.java
@@ -14,15 +14,15 @@
 import lemondeal.resume.wire.TokenPayload;
 
 /**
- * Tokens to text and back: {@code 1.KEY.PAYLOAD.MAC}, the payload in protobuf, the MAC (HMAC-SHA256) over all before its
- * own dot, both in base64url without padding. No character of it has a meaning in a line. Not safe for use by several
- * threads at once.
+ * Encodes and decodes tokens as text, {@code 1.KEY.PAYLOAD.MAC}: the payload in protobuf, the MAC (HMAC-SHA256) over
+ * everything before its dot, both in base64url without padding. None of the characters is special in a protocol line.
+ * Not thread-safe.
  *
- * <p>Authenticated, not encrypted: a token holds nothing that its client may not know. JOSE libraries were not taken,
- * since a header that names its own algorithm is what has to be refused here.
+ * <p>Authenticated, not encrypted: a token contains nothing that is secret from its client. JOSE libraries are not
+ * used, since a header that chooses its own algorithm is exactly what must be rejected here.
  */
 public final class TokenCodec {
-  /** Longest text, in bytes. */
+  /** Maximum length of a token's text in bytes. */
   public static final int MAX_LENGTH = 1024;
   private static final int VERSION = 1;
   private static final int SESSION_BYTES = 16;
@@ -42,11 +42,11 @@
       mac = Mac.getInstance(ALGORITHM);
       digest = MessageDigest.getInstance("SHA-256");
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every JDK has " + ALGORITHM, e);
+      throw new IllegalStateException("a JDK must provide SHA-256 and " + ALGORITHM, e);
     }
   }
 
-  /** The digest under which a client's group stands in a token; empty for null. */
+  /** The digest that represents a client's group in a token; empty for null. */
   public String groupDigest(String groupName) {
     if (groupName == null) {
       return "";
@@ -71,12 +71,12 @@
     String signedText = VERSION + "." + key.id() + "." + BASE64_ENCODER.encodeToString(payload.toByteArray());
     String text = signedText + "." + BASE64_ENCODER.encodeToString(computeMac(key, signedText));
     if (text.length() > MAX_LENGTH) {
-      throw new IllegalArgumentException("a token of " + text.length() + " bytes is over " + MAX_LENGTH);
+      throw new IllegalArgumentException("token of " + text.length() + " bytes is longer than " + MAX_LENGTH);
     }
     return text;
   }
 
-  /** Reads a token made with any key of the ring. The MAC is checked before any of the payload is. */
+  /** Decodes a token signed with any key of the ring. The MAC is verified before the payload is parsed. */
   public Token decode(String text, KeyRing keyRing) throws TokenException {
     Matcher parts = text.length() > MAX_LENGTH ? null : TOKEN_PATTERN.matcher(text);
     if (parts == null || !parts.matches()) {
@@ -96,7 +96,7 @@
     return parsePayload(decodeBase64(parts.group(3)));
   }
 
-  /** Later versions may have other parts. */
+  /** Later versions may have a different format after the version number. */
   private static boolean isOtherVersion(String text) {
     Matcher matcher = text.length() > MAX_LENGTH ? null : VERSIONED_PATTERN.matcher(text);
     return matcher != null && matcher.matches() && !matcher.group(1).equals(Integer.toString(VERSION));
@@ -111,9 +111,9 @@
       if (payload.getSession().size() != SESSION_BYTES) {
         throw new TokenException(TokenFault.SHAPE);
       }
-      return new Token(toHex(payload.getSession()), payload.getEpoch(), payload.getClassName(), toHex(payload.getGroup()),
-          payload.getToClient(), payload.getFromClient(), payload.getServer(), payload.getIssuedMs(),
-          payload.getExpiresMs());
+      return new Token(toHex(payload.getSession()), payload.getEpoch(), payload.getClassName(),
+          toHex(payload.getGroup()), payload.getToClient(), payload.getFromClient(), payload.getServer(),
+          payload.getIssuedMs(), payload.getExpiresMs());
     } catch (InvalidProtocolBufferException e) {
       throw new TokenException(TokenFault.SHAPE);
     }
@@ -124,11 +124,11 @@
       mac.init(new SecretKeySpec(key.secret(), ALGORITHM));
       return mac.doFinal(signedText.getBytes(StandardCharsets.US_ASCII));
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("a secret of " + key.secret().length + " bytes is no key", e);
+      throw new IllegalStateException("a secret of " + key.secret().length + " bytes can't be used as a MAC key", e);
     }
   }
 
-  /** A text whose last character has bits left over is none that this program wrote. */
+  /** Rejects text whose last character has unused bits set: this encoder never writes such text. */
   private static byte[] decodeBase64(String text) throws TokenException {
     try {
       byte[] bytes = BASE64_DECODER.decode(text);
--- a/proxy/src/main/java/lemondeal/resume/TokenException.java
+++ b/proxy/src/main/java/lemondeal/resume/TokenException.java
@@ -1,6 +1,6 @@
 package lemondeal.resume;
 
-/** A text that is no token to be taken. The message never holds any of it. */
+/** A text that is not an acceptable token. The message never contains any of the text. */
 public final class TokenException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/proxy/src/main/java/lemondeal/resume/TokenFault.java
+++ b/proxy/src/main/java/lemondeal/resume/TokenFault.java
@@ -1,13 +1,13 @@
 package lemondeal.resume;
 
-/** What is wrong with a token before its content is looked at. */
+/** Why a token is rejected before its content is evaluated. */
 public enum TokenFault {
-  /** Not the text of a token: cut, too long, or of other characters. */
+  /** Not in the format of a token: truncated, too long, or with invalid characters. */
   SHAPE,
-  /** Of a form or payload version that this program does not know. */
+  /** The format or payload version is unknown to this program. */
   VERSION,
-  /** Its key is not accepted here. */
+  /** The key is not among the accepted ones. */
   KEY,
-  /** Not made with the key that it names. */
+  /** The MAC does not match the key that the token names. */
   FORGED
 }
--- a/proxy/src/test/java/lemondeal/claims/ClaimsModelTest.java
+++ b/proxy/src/test/java/lemondeal/claims/ClaimsModelTest.java
@@ -15,14 +15,14 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Claims by several proxies on one store whose calls come late, in any order, or not at all. */
+/** Claims of several proxies on one store whose calls arrive late, in any order, or not at all. */
 class ClaimsModelTest {
   private static final String SESSION = "00".repeat(16);
   private static final long LEASE_MILLIS = 1000;
 
   private long now = 1_000_000;
 
-  /** A store whose calls lie about until the test lets one through, or loses it. */
+  /** A store that queues calls until the test runs or drops them. */
   private static final class UnreliableStore implements CasStore {
     final MemoryStore delegate;
     final List<Runnable> pendingCalls = new ArrayList<>();
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Whatever the order: no two grants hold at once, each fence is above all earlier ones, and no token is granted once a
-   * connection that went on from it has been settled.
+   * In every order of calls, no two grants are held at once, each fence is higher than all earlier ones, and no token
+   * is granted after a connection that continued from it was committed.
    */
   @Property(seed = "21", tries = 400)
   void onlyOneGrantAtATimeAndNoneForAUsedToken(@ForAll long seed) {
@@ -82,10 +82,10 @@
           Claim claim = claim(epochs.get(random.nextInt(epochs.size())), "h" + step);
           claims.claim(claim, answer -> {
             if (answer instanceof ClaimAnswer.Granted granted) {
-              // A grant ends when its lease does, or when a token that only its attempt could make is claimed.
+              // A grant ends when its lease expires, or when a token is claimed that only its attempt can have issued.
               openGrants.removeIf(grant -> grant.expiresAt <= now || claim.epoch() >= grant.fence);
-              assertTrue(openGrants.isEmpty(), "another grant holds");
-              assertTrue(granted.fence() > highestFence[0], "a fence comes again");
+              assertTrue(openGrants.isEmpty(), "another grant is held");
+              assertTrue(granted.fence() > highestFence[0], "the fence did not increase");
               assertTrue(claim.epoch() >= committedEpoch[0], "granted a used token");
               highestFence[0] = granted.fence();
               openGrants.add(new Grant(claim, granted.fence(), store.delegate.get(SESSION).state().leaseUntil()));
@@ -94,7 +94,7 @@
         }
         case 2 -> {
           if (!openGrants.isEmpty() && openGrants.peek().expiresAt > now) {
-            // Its attempt came up, and its client has a token of that epoch at once; the store hears of it later.
+            // Its attempt came up, and its client has a token of that epoch before the store receives the commit.
             Grant grant = openGrants.peek();
             long epoch = grant.fence + random.nextInt(3);
             epochs.add(epoch);
@@ -117,7 +117,6 @@
     }
   }
 
-  /** Lets one call through, or loses it. */
   private static void runOrDropOneCall(UnreliableStore store, Random random) {
     if (!store.pendingCalls.isEmpty()) {
       Runnable call = store.pendingCalls.remove(random.nextInt(store.pendingCalls.size()));
@@ -151,7 +150,7 @@
     assertEquals(new ClaimAnswer.Granted(48), claimNow(claims, claim(33, "d")));
   }
 
-  /** Given back, a token is good again; but whatever the first attempt still does is fenced out. */
+  /** After a release the token is valid again, and writes of the first attempt are fenced off. */
   @Example
   void releasedTokenIsGrantedAgainWithAHigherFence() {
     ClaimService claims = new CasClaimService(new MemoryStore(10, () -> now), () -> now);
@@ -160,10 +159,10 @@
     claims.release(first);
     assertEquals(new ClaimAnswer.Granted(48), claimNow(claims, claim(16, "b")));
     claims.release(first);
-    assertInstanceOf(ClaimAnswer.Held.class, claimNow(claims, claim(16, "c")), "b's claim is not a's to give back");
+    assertInstanceOf(ClaimAnswer.Held.class, claimNow(claims, claim(16, "c")), "a must not release the claim of b");
   }
 
-  /** The proxy that held it was killed: the lease runs out, and what it sent late must not settle any more. */
+  /** The proxy that held the claim was killed: the lease expires, and a late commit of that proxy has no effect. */
   @Example
   void expiredLeaseAllowsANewClaim() {
     ClaimService claims = new CasClaimService(new MemoryStore(10, () -> now), () -> now);
@@ -178,36 +177,38 @@
   }
 
   /**
-   * The proxy that held it was killed after the attempt came up and before the store heard so: the client's new token
-   * settles the grant, at once and not when the lease has run out, and the token before it is used from then on.
+   * The proxy that held the claim was killed after its attempt came up and before its commit: the client's new token
+   * commits the grant at once, not only when the lease expires, and the previous token is used from then on.
    */
   @Example
   void newTokenCommitsAnUncommittedGrant() {
     ClaimService claims = new CasClaimService(new MemoryStore(10, () -> now), () -> now);
     claimNow(claims, claim(16, "a"));
-    assertEquals(new ClaimAnswer.Granted(48), claimNow(claims, claim(33, "b")), "an attempt of a's grant came up at 33");
+    assertEquals(new ClaimAnswer.Granted(48), claimNow(claims, claim(33, "b")),
+        "33 is the epoch of an attempt of a's grant");
     assertEquals(new ClaimAnswer.Used(), claimNow(claims, claim(16, "c")));
-    assertInstanceOf(ClaimAnswer.Held.class, claimNow(claims, claim(33, "d")), "b holds now, and 33 is below its fence");
+    assertInstanceOf(ClaimAnswer.Held.class, claimNow(claims, claim(33, "d")),
+        "b holds the claim now, and 33 is below its fence");
   }
 
-  /** A settle whose call is lost, as with an address of the store that fails, is sent again. */
+  /** A commit whose call is lost, as when an address of the store fails, is sent again. */
   @Example
   void unansweredCommitIsRetried() {
     MemoryStore delegate = new MemoryStore(10, () -> now);
     int[] failuresLeft = {2};
     CasStore failingStore = new CasStore() {
       @Override
-      public void read(String session, Consumer<Result> told) {
+      public void read(String session, Consumer<Result> callback) {
         if (failuresLeft[0]-- > 0) {
-          told.accept(new Result(false, null, "the store: UNAVAILABLE"));
+          callback.accept(new Result(false, null, "the store: UNAVAILABLE"));
         } else {
-          delegate.read(session, told);
+          delegate.read(session, callback);
         }
       }
 
       @Override
-      public void compareAndSet(String session, long version, ClaimState state, Consumer<Result> told) {
-        delegate.compareAndSet(session, version, state, told);
+      public void compareAndSet(String session, long expectedVersion, ClaimState state, Consumer<Result> callback) {
+        delegate.compareAndSet(session, expectedVersion, state, callback);
       }
 
       @Override
@@ -221,7 +222,7 @@
     claimNow(claims, first);
     failuresLeft[0] = 2;
     claims.commit(first, 32);
-    assertEquals(new ClaimAnswer.Used(), claimNow(claims, claim(16, "b")), "settled on the third word");
+    assertEquals(new ClaimAnswer.Used(), claimNow(claims, claim(16, "b")), "committed by the third call");
   }
 
   @Example
@@ -231,12 +232,13 @@
     Map<String, ClaimAnswer> answers = new HashMap<>();
     for (int i = 0; i < 4; i++) {
       String session = String.format("%032x", i);
-      claims.claim(new Claim(session, 16, "a" + i, LEASE_MILLIS, now + 5000 + i), answer -> answers.put(session, answer));
+      claims.claim(new Claim(session, 16, "a" + i, LEASE_MILLIS, now + 5000 + i),
+          answer -> answers.put(session, answer));
     }
     assertInstanceOf(ClaimAnswer.Unknown.class, answers.get(String.format("%032x", 3)));
     assertEquals(3, store.size());
     now += 5001;
     assertInstanceOf(ClaimAnswer.Granted.class, claimNow(claims, claim(16, "z")));
-    assertEquals(2, store.size(), "two were forgotten when their time came, and one is new");
+    assertEquals(2, store.size(), "two have expired, one is left, and one is new");
   }
 }
--- a/proxy/src/test/java/lemondeal/claims/DiskStoreTest.java
+++ b/proxy/src/test/java/lemondeal/claims/DiskStoreTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Claims on disk, cut off anywhere. */
+/** Claims on disk after restarts, truncation, damage, compaction and concurrent use of the folder. */
 @Timeout(60)
 class DiskStoreTest {
   private static final long NOW = 1_000_000;
@@ -48,9 +48,9 @@
   private static void claimAndCommit(DiskStore store, int session) throws InterruptedException {
     ClaimAnswer.Granted granted = assertInstanceOf(ClaimAnswer.Granted.class, claim(store, session, 16));
     BlockingQueue<Boolean> processed = new LinkedBlockingQueue<>();
-    new CasClaimService(store, () -> NOW).commit(new Claim(String.format("%032x", session), 16, "h", 1000, NOW + 50_000),
-        granted.fence());
-    // Jobs are done in their order: once this is answered, so is the one before.
+    new CasClaimService(store, () -> NOW).commit(
+        new Claim(String.format("%032x", session), 16, "h", 1000, NOW + 50_000), granted.fence());
+    // Jobs are processed in order: when this read has returned, the commit is done.
     store.read("00", answer -> processed.add(true));
     assertNotNull(processed.poll(20, TimeUnit.SECONDS));
     assertEquals(new ClaimAnswer.Used(), claim(store, session, 16));
@@ -78,7 +78,7 @@
     }
   }
 
-  /** A crash at any byte of the last write: what was answered before it is there, and the torn rest is no obstacle. */
+  /** After a crash at any byte of the last write, earlier writes are kept and the incomplete record is truncated. */
   @Test
   void tornLogTailIsTruncatedAtAnyByte() throws Exception {
     Path whole = folder.resolve("whole");
@@ -97,16 +97,17 @@
       Files.write(torn.resolve("log-0"), remaining);
       try (DiskStore store = open(torn)) {
         assertEquals(new ClaimAnswer.Used(), claim(store, 1, 16), "cut at " + cut);
-        assertInstanceOf(ClaimAnswer.Granted.class, claim(store, 3, 16), "goes on behind the cut");
+        assertInstanceOf(ClaimAnswer.Granted.class, claim(store, 3, 16), "writes continue after the truncation");
       }
       try (DiskStore store = open(torn)) {
-        assertInstanceOf(ClaimAnswer.Held.class, new OtherHolder(store).claim(3), "what was answered behind the cut stays");
+        assertInstanceOf(ClaimAnswer.Held.class, new OtherHolder(store).claim(3),
+            "writes after the truncation are kept");
       }
     }
     assertTrue(logOutput.toString().contains("were torn and are cut off"), logOutput.toString());
   }
 
-  /** Another holder's claim on a session. */
+  /** Claims a session for another holder. */
   private record OtherHolder(DiskStore store) {
     ClaimAnswer claim(int session) throws InterruptedException {
       BlockingQueue<ClaimAnswer> answers = new LinkedBlockingQueue<>();
@@ -116,7 +117,7 @@
     }
   }
 
-  /** A byte changed in the middle is no tail: what follows it can't be trusted, and neither can a snapshot like that. */
+  /** A changed byte inside a snapshot is not an incomplete write: the rest can't be trusted, and opening it fails. */
   @Test
   void damagedSnapshotFailsTheOpen() throws Exception {
     Path path = folder.resolve("b");
@@ -130,7 +131,7 @@
     assertTrue(error.getMessage().contains("damaged"), error.getMessage());
   }
 
-  /** A snapshot is whole before the log behind it begins; a crash in between leaves the old pair, or the new one. */
+  /** A snapshot is complete before its log starts; a crash in between leaves the old pair of files or the new one. */
   @Test
   void snapshotReplacesTheLog() throws Exception {
     Path path = folder.resolve("c");
@@ -139,10 +140,11 @@
       writeAheadLog.append(List.of(new byte[] {1}, new byte[] {2}));
       writeAheadLog.writeSnapshot(List.of(new byte[] {2}));
       writeAheadLog.append(List.of(new byte[] {3}));
-      assertEquals(1, writeAheadLog.records());
+      assertEquals(1, writeAheadLog.recordCount());
     }
     Files.write(path.resolve("snapshot.new"), new byte[] {9, 9});
-    try (WriteAheadLog writeAheadLog = WriteAheadLog.open(path, record -> recordsRead.add(Integer.toString(record[0])))) {
+    try (WriteAheadLog writeAheadLog =
+        WriteAheadLog.open(path, record -> recordsRead.add(Integer.toString(record[0])))) {
       assertEquals(List.of("2", "3"), recordsRead);
       assertEquals(0, writeAheadLog.truncatedBytes());
     }
@@ -167,7 +169,8 @@
     }
   }
 
-  private static void writeRepeatedly(DiskStore store, String session, long version, int writesLeft, BlockingQueue<Boolean> done) {
+  private static void writeRepeatedly(DiskStore store, String session, long version, int writesLeft,
+      BlockingQueue<Boolean> done) {
     if (writesLeft == 0) {
       done.add(true);
       return;
@@ -176,7 +179,7 @@
         result -> writeRepeatedly(store, session, version + 1, writesLeft - 1, done));
   }
 
-  /** The order to stop once came in the middle of a batch and was passed over: the process never ended. */
+  /** Guards against a stop job that is ignored in the middle of a batch: once, the process then never ended. */
   @Test
   void closeEndsWhileCallbacksEnqueueJobs() throws Exception {
     for (int round = 0; round < 20; round++) {
@@ -188,21 +191,22 @@
       }
       long startNanos = System.nanoTime();
       store.close();
-      assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(900), "waited for a thread that goes on");
-      assertEquals(50, answers.size(), "all were answered");
+      assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(900),
+          "close waited for a thread that did not end");
+      assertEquals(50, answers.size(), "every claim has an answer");
     }
   }
 
-  /** During an upgrade two processes would write one log. */
+  /** Guards against two processes that write to one log, as during an upgrade. */
   @Test
   void secondStoreIsRefusedWhileTheFolderIsLocked() throws Exception {
     Path path = folder.resolve("e");
     DiskStore first = open(path);
     try (DiskStore second = open(path)) {
       claimAndCommit(first, 1);
-      assertEquals(new ClaimAnswer.Unknown("another process holds the claims"), claim(second, 1, 16));
+      assertEquals(new ClaimAnswer.Unknown("another process has locked the claims folder"), claim(second, 1, 16));
       first.close();
-      assertEquals(new ClaimAnswer.Used(), claim(second, 1, 16), "it takes over what the first one wrote");
+      assertEquals(new ClaimAnswer.Used(), claim(second, 1, 16), "it loads what the first store wrote");
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/claims/FullDiskTest.java
+++ b/proxy/src/test/java/lemondeal/claims/FullDiskTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A disk that fills up under claims, for real: a process of its own whose files may not grow beyond a few kilobytes. The
- * kernel then does what a full disk does, a write that is cut short and then refused, and nothing is feigned.
+ * Claims on a disk that fills up. A child process runs with a file size limit of a few kilobytes, so that the kernel
+ * itself produces what a full disk does: a partial write followed by an error. Nothing is mocked.
  */
 @Timeout(120)
 class FullDiskTest {
   private static final long NOW = 1_000_000;
-  /** Blocks that the child's files may take: some dozens of records. */
+  /** Maximum size of each file of the child, enough for some dozens of records. */
   private static final int FILE_SIZE_LIMIT_BLOCKS = 8;
   private static final int SESSIONS = 2000;
   private static final int MAX_CONSECUTIVE_REFUSALS = 5;
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Writes sessions until the disk refuses some in a row, then reads one that was written; one line of output each. Runs
-   * in a process of its own, started by the test.
+   * Writes sessions until several writes in a row fail, then reads one that was written; prints one line for each call.
+   * Runs in a separate process that the test starts.
    */
   public static final class WriterProcess {
     public static void main(String[] args) throws Exception {
@@ -76,8 +76,9 @@
   void fullDiskRefusesWritesAndLosesNoAcknowledgedOnes() throws Exception {
     Path path = folder.resolve("claims");
     String java = ProcessHandle.current().info().command().orElse("java");
-    Process child = new ProcessBuilder("sh", "-c", "ulimit -f " + FILE_SIZE_LIMIT_BLOCKS + " && exec \"$0\" -XX:-UsePerfData -cp \"$1\" "
-        + "\"$2\" \"$3\"", java, System.getProperty("java.class.path"), WriterProcess.class.getName(), path.toString())
+    Process child = new ProcessBuilder("sh", "-c", "ulimit -f " + FILE_SIZE_LIMIT_BLOCKS
+        + " && exec \"$0\" -XX:-UsePerfData -cp \"$1\" " + "\"$2\" \"$3\"",
+        java, System.getProperty("java.class.path"), WriterProcess.class.getName(), path.toString())
         .redirectError(ProcessBuilder.Redirect.PIPE).start();
     String stdout = new String(child.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     String stderr = new String(child.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -95,22 +96,22 @@
         assertTrue(words[2].startsWith("the disk: "), line);
       }
     }
-    assertTrue(written.size() > 10, "the limit lets some dozens in: " + stdout);
-    assertEquals(MAX_CONSECUTIVE_REFUSALS, refused.size(), "the first refusal ends nothing but its own write: " + stdout);
-    assertTrue(stdout.contains("read 1"), "what is held is still read: " + stdout);
+    assertTrue(written.size() > 10, "the limit leaves room for some dozens of records: " + stdout);
+    assertEquals(MAX_CONSECUTIVE_REFUSALS, refused.size(), "a refused write affects no other call: " + stdout);
+    assertTrue(stdout.contains("read 1"), "existing states can still be read: " + stdout);
     assertTrue(stderr.contains("claims cannot be written"), stderr);
 
     ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     try (DiskStore store = DiskStore.open(path, 100_000, () -> NOW, new PlainLog(new PrintStream(logOutput, true)))) {
       for (int i : written) {
-        assertEquals(new CasStore.VersionedState(1, state(i)), read(store, i), "answered as written, and lost: " + i);
+        assertEquals(new CasStore.VersionedState(1, state(i)), read(store, i), "acknowledged and lost: " + i);
       }
       for (int i : refused) {
-        assertEquals(0, read(store, i).version(), "refused, and there all the same: " + i);
+        assertEquals(0, read(store, i).version(), "refused, but stored: " + i);
       }
     }
-    assertFalse(logOutput.toString().contains("torn"), "the refused write was cut back by the store, not at the restart: "
-        + logOutput);
+    assertFalse(logOutput.toString().contains("torn"),
+        "the store must undo the refused write at once, not at the restart: " + logOutput);
     assertTrue(Files.size(path.resolve("log-0")) <= FILE_SIZE_LIMIT_BLOCKS * 1024L);
   }
 
--- a/proxy/src/test/java/lemondeal/resume/ResumeRulesTest.java
+++ b/proxy/src/test/java/lemondeal/resume/ResumeRulesTest.java
@@ -13,7 +13,7 @@
 import lemondeal.resume.ResumeRules.Decision;
 import org.junit.jupiter.api.Test;
 
-/** Each answer of the rules, at its bounds. */
+/** Each decision of the rules, at its limits. */
 class ResumeRulesTest {
   private static final long ISSUED = 1_000_000;
   private static final long EXPIRES = 1_060_000;
@@ -34,7 +34,7 @@
     assertEquals(new Fail("got"), checkToken("sync", "ab", -1, ISSUED));
   }
 
-  /** Clocks may lie apart by the skew, either way. */
+  /** Clocks may differ by the skew in either direction. */
   @Test
   void tokenTimesAllowForClockSkew() {
     assertEquals(new ClaimFirst(TOKEN, 10), checkToken("sync", "ab", 10, EXPIRES + SKEW - 1));
--- a/proxy/src/test/java/lemondeal/resume/SessionModelTest.java
+++ b/proxy/src/test/java/lemondeal/resume/SessionModelTest.java
@@ -21,8 +21,9 @@
 import net.jqwik.api.Property;
 
 /**
- * One session through proxies, claims and servers that drop, delay, double and restart in any order, in virtual time. The
- * proxies' side is the program's own; client, servers and store are a model that keeps to docs/RESUME-WIRE.md.
+ * One session across proxies, a claim store and servers that lose, delay and duplicate calls and restart, in random
+ * order and virtual time. The proxies run the production code; client, servers and store are a model of
+ * docs/RESUME-WIRE.md.
  */
 class SessionModelTest {
   private static final long TOKEN_LIFETIME_MILLIS = 30_000;
@@ -33,7 +34,7 @@
   private Random random;
   private final List<Runnable> pendingTasks = new ArrayList<>();
 
-  // ---- The servers' shared store, and what it is held to ---------------------------------------
+  // ---- The servers' shared session state, and what it must keep --------------------------------
 
   private long highestEpoch;
   private final List<Integer> appliedLines = new ArrayList<>();
@@ -49,18 +50,19 @@
   private Connection established;
   private final List<String> rejections = new ArrayList<>();
 
-  /** Calls to the store come late, and some are lost. */
+  /** Delays calls and replies, and loses some of them. */
   private final class UnreliableStore implements CasStore {
     final MemoryStore delegate = new MemoryStore(50, () -> now);
 
     @Override
     public void read(String session, Consumer<Result> callback) {
-      deferOrLose(() -> delegate.read(session, answer -> deferOrLose(() -> callback.accept(answer))));
+      deferOrLose(() -> delegate.read(session, result -> deferOrLose(() -> callback.accept(result))));
     }
 
     @Override
     public void compareAndSet(String session, long expectedVersion, ClaimState state, Consumer<Result> callback) {
-      deferOrLose(() -> delegate.compareAndSet(session, expectedVersion, state, answer -> deferOrLose(() -> callback.accept(answer))));
+      deferOrLose(() -> delegate.compareAndSet(session, expectedVersion, state,
+          result -> deferOrLose(() -> callback.accept(result))));
     }
 
     @Override
@@ -75,7 +77,7 @@
     }
   }
 
-  /** A client's connection at a proxy, and the attempt that it has out. */
+  /** A client's connection to a proxy, and its current attempt at a server. */
   private final class Connection implements SessionContinuity.ClientConnection {
     final SessionContinuity continuity;
     final boolean duplicate;
@@ -83,16 +85,18 @@
     boolean ended;
     boolean admitted;
     int attempts;
-    /** What its server was told, once an attempt is out; what it holds, once that is up. */
+    /** The attempt's first line for the server; null before the first attempt. */
     String serverOpenLine;
     long epoch;
     boolean up;
+    /** Lines to the client that precede the next one that the attempt's server sends. */
     int linesAtClient;
 
     Connection(ResumptionContext proxy, boolean duplicate) throws ProtocolException {
       this.duplicate = duplicate;
       String clientOpenLine = String.format("OPEN %016x 1 c=chat,d=2000,resume=1", ++openCount);
-      continuity = proxy.continuityOf(OpenLine.parse(token.isEmpty() ? clientOpenLine : clientOpenLine + ",token=" + token + ",got=" + receivedLines));
+      continuity = proxy.continuityOf(OpenLine.parse(
+          token.isEmpty() ? clientOpenLine : clientOpenLine + ",token=" + token + ",got=" + receivedLines));
     }
 
     @Override
@@ -109,7 +113,7 @@
     public void fail(String line) {
       rejections.add((duplicate ? "double: " : "") + line);
       if (!duplicate) {
-        // Whoever is refused drops its token, as the page says.
+        // A client that is rejected discards its token, as docs/RESUME-WIRE.md requires.
         resetSession();
       }
       end();
@@ -145,7 +149,7 @@
       });
     }
 
-    /** The connection ends, as its proxy sees it. */
+    /** The connection ends at its proxy. */
     void end() {
       if (!ended) {
         ended = true;
@@ -158,14 +162,14 @@
       }
     }
 
-    /** The next attempt goes out: what is out was closed before. */
+    /** Starts the next attempt; the previous one was closed before. */
     void startAttempt() {
       serverOpenLine = continuity.firstLine(1000, attempts++);
       epoch = Long.parseLong(serverOpenLine.replaceAll(".*epoch=([0-9]+).*\r\n", "$1"));
       linesAtClient = Integer.parseInt(serverOpenLine.replaceAll(".*have=([0-9]+).*\r\n", "$1"));
     }
 
-    /** The attempt's line comes to a server, late perhaps: the proxy may have given it up, or died. */
+    /** The attempt's first line reaches a server, perhaps after the proxy has abandoned the attempt or was killed. */
     void deliverToServer() {
       if (epoch <= highestEpoch || linesAtClient > appliedLines.size()) {
         return;
@@ -182,11 +186,11 @@
       }
     }
 
-    /** A line of the client comes to the server that holds the session, unless it is fenced out. */
+    /** A client's line reaches the server that has the session, unless a higher epoch fences off this connection. */
     void applyClientLine(int number) {
       if (epoch >= highestEpoch) {
         appliedLines.add(number);
-        assertEquals(appliedLines.size(), number, "lines out of order or twice");
+        assertEquals(appliedLines.size(), number, "lines out of order or duplicated");
       }
     }
 
@@ -207,7 +211,7 @@
     acknowledgedLines = 0;
   }
 
-  /** The line behind UP, as the client takes it. */
+  /** The client receives the RESUME line, which follows UP. */
   private void onResumeLine(String line, int linesAtServer) {
     String[] words = line.split(" ");
     if (words[1].equals("at")) {
@@ -217,7 +221,7 @@
       discardedLines = Math.max(discardedLines, linesAtServer);
     } else {
       resetSession();
-      // The store of a new session is its own: this model follows one session at a time.
+      // A new session has separate server state: this model follows one session at a time.
       highestEpoch = established.epoch;
     }
     token = words[words.length - 1];
@@ -248,7 +252,7 @@
           for (Connection connection : List.copyOf(connections)) {
             if (connection.admitted && !connection.ended && !connection.up && connection.attempts < 3) {
               if (connection.serverOpenLine != null && random.nextBoolean()) {
-                // The line of the attempt given up is still on its way.
+                // The first line of the abandoned attempt is still in flight.
                 supersededAttempts.add(connection);
               }
               connection.startAttempt();
@@ -270,7 +274,7 @@
           }
         }
         case 6 -> {
-          // What the server that holds the session has read so far, as far as it came through.
+          // The server that has the session receives the client's next line, acknowledges it or not, and replies.
           for (Connection connection : connections) {
             if (connection.up && !connection.ended && connection == established && appliedLines.size() < sentLines) {
               connection.applyClientLine(appliedLines.size() + 1);
@@ -282,7 +286,7 @@
               if (connection.linesAtClient < appliedLines.size()) {
                 connection.linesAtClient++;
                 receivedLines++;
-                assertEquals(connection.linesAtClient, receivedLines, "a line to the client is lost or twice");
+                assertEquals(connection.linesAtClient, receivedLines, "a line to the client is lost or duplicated");
                 connection.continuity.rewriteServerLine("price " + receivedLines);
               }
             }
@@ -299,7 +303,7 @@
         }
         case 8 -> {
           if (random.nextInt(6) == 0) {
-            // A proxy is killed, with all that it had under way, and comes back knowing nothing.
+            // A proxy is killed with its pending work and restarts without state.
             int proxyIndex = random.nextInt(3);
             for (Connection connection : List.copyOf(connections)) {
               if (random.nextInt(3) == 0) {
@@ -307,7 +311,8 @@
                 connection.end();
               }
             }
-            proxies.set(proxyIndex, new ResumptionContext(SETTINGS, keyRing, new CasClaimService(store, () -> now), "n" + proxyIndex, () -> now));
+            proxies.set(proxyIndex, new ResumptionContext(SETTINGS, keyRing, new CasClaimService(store, () -> now),
+                "n" + proxyIndex, () -> now));
           }
         }
         default -> now += random.nextInt(900);
--- a/proxy/src/test/java/lemondeal/resume/TokenCodecTest.java
+++ b/proxy/src/test/java/lemondeal/resume/TokenCodecTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Tokens to text and back, and texts that are none. */
+/** Round trips of tokens, rejection of texts that are not valid tokens, and key rotation. */
 class TokenCodecTest {
   private final TokenCodec codec = new TokenCodec();
   private final Key firstKey = key("k1", 1);
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Every other character anywhere, and every cut, is found: nothing of a payload is believed before its MAC. */
+  /** Every changed character and every truncation is detected: no payload is trusted before its MAC is verified. */
   @Property(seed = "12", tries = 25)
   void everyAlterationIsRejected(@ForAll long seed) {
     Random random = new Random(seed);
