--- a/proxy/src/main/java/lemondeal/resume/ResumableSession.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumableSession.java
@@ -21,7 +21,7 @@
   private static final Pattern RESUMED_PATTERN = Pattern.compile("UP [^ ]+ resumed=([0-9]{1,18})");
   private static final Pattern NUMBER_PATTERN = Pattern.compile("[0-9]{1,18}");
 
-  private enum Phase { WAITING, CLAIMING, ADMITTED, UP, OVER }
+  private enum Phase { WAITING, CLAIMING, ADMITTED, UP, ENDED }
 
   private final ResumptionContext resumption;
   private final OpenLine openLine;
@@ -40,7 +40,7 @@
   private String newSessionReason = "";
   private Claim claim;
   /** Whether this connection has one of the limited places for resumable connections. */
-  private boolean counted;
+  private boolean hasPlace;
   /** Whether the connection can be resumed now. */
   private boolean resumable;
   /** Stays true once the connection could be resumed: its server may still send ACK lines, which are not replies. */
@@ -90,11 +90,11 @@
       startNewSession();
     } else if (decision instanceof ResumeRules.Busy busy) {
       resumption.count("busy");
-      phase = Phase.OVER;
+      phase = Phase.ENDED;
       client.throttle(Math.max(1, busy.retryAfterMillis()) * MICROS_PER_MILLI);
     } else if (decision instanceof ResumeRules.Fail fail) {
       resumption.count("refused." + fail.reason());
-      phase = Phase.OVER;
+      phase = Phase.ENDED;
       client.fail("ERR " + fail.reason());
     }
   }
@@ -106,7 +106,7 @@
 
   private void admit() {
     phase = Phase.ADMITTED;
-    counted = resumption.tryEnter();
+    hasPlace = resumption.tryEnter();
     client.admit();
   }
 
@@ -171,7 +171,7 @@
     if (resuming) {
       resumption.claims().commit(claim, epoch);
     }
-    if (receivedLines < 0 || !resuming && !counted) {
+    if (receivedLines < 0 || !resuming && !hasPlace) {
       resumption.count("off");
       return "RESUME off " + (receivedLines < 0 ? "server" : "full") + CRLF;
     }
@@ -179,7 +179,7 @@
     acknowledgedLines = Math.max(acknowledgedLines, receivedLines);
     resumption.count(resuming ? "continued" : newSessionReason.isEmpty() ? "new" : "anew." + newSessionReason);
     String outcome = resuming ? "at " + receivedLines : newSessionReason.isEmpty() ? "new" : "anew " + newSessionReason;
-    if (!counted) {
+    if (!hasPlace) {
       return "RESUME " + outcome + " -" + CRLF;
     }
     resumable = true;
@@ -278,9 +278,9 @@
     if (claim != null && phase != Phase.UP) {
       resumption.claims().release(claim);
     }
-    phase = Phase.OVER;
-    if (counted) {
-      counted = false;
+    phase = Phase.ENDED;
+    if (hasPlace) {
+      hasPlace = false;
       resumption.leave();
     }
   }
--- a/proxy/src/main/java/lemondeal/resume/ResumeRules.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumeRules.java
@@ -48,9 +48,9 @@
    * @param linesAtClient lines that the client reports to have received in the whole session; -1 if missing or invalid
    * @param now Unix milliseconds
    */
-  public static Decision checkToken(Token token, String className, String group, long linesAtClient, long now,
+  public static Decision checkToken(Token token, String className, String groupDigest, long linesAtClient, long now,
       long skewMillis) {
-    if (!token.className().equals(className) || !token.groupDigest().equals(group)) {
+    if (!token.className().equals(className) || !token.groupDigest().equals(groupDigest)) {
       return new Fail("other");
     }
     if (linesAtClient < token.linesToClient()) {
--- a/proxy/src/test/java/lemondeal/claims/DiskStoreTest.java
+++ b/proxy/src/test/java/lemondeal/claims/DiskStoreTest.java
@@ -81,25 +81,25 @@
   /** After a crash at any byte of the last write, earlier writes are kept and the incomplete record is truncated. */
   @Test
   void tornLogTailIsTruncatedAtAnyByte() throws Exception {
-    Path whole = folder.resolve("whole");
-    try (DiskStore store = open(whole)) {
+    Path intactFolder = folder.resolve("whole");
+    try (DiskStore store = open(intactFolder)) {
       claimAndCommit(store, 1);
     }
-    int firstSessionBytes = (int) Files.size(whole.resolve("log-0"));
-    try (DiskStore store = open(whole)) {
+    int firstSessionBytes = (int) Files.size(intactFolder.resolve("log-0"));
+    try (DiskStore store = open(intactFolder)) {
       claimAndCommit(store, 2);
     }
-    byte[] bytes = Files.readAllBytes(whole.resolve("log-0"));
+    byte[] bytes = Files.readAllBytes(intactFolder.resolve("log-0"));
     assertTrue(bytes.length > firstSessionBytes);
     for (int cut = firstSessionBytes; cut < bytes.length; cut++) {
-      Path torn = copy(whole, "torn-" + cut);
+      Path tornFolder = copy(intactFolder, "torn-" + cut);
       byte[] remaining = java.util.Arrays.copyOf(bytes, cut);
-      Files.write(torn.resolve("log-0"), remaining);
-      try (DiskStore store = open(torn)) {
+      Files.write(tornFolder.resolve("log-0"), remaining);
+      try (DiskStore store = open(tornFolder)) {
         assertEquals(new ClaimAnswer.Used(), claim(store, 1, 16), "cut at " + cut);
         assertInstanceOf(ClaimAnswer.Granted.class, claim(store, 3, 16), "writes continue after the truncation");
       }
-      try (DiskStore store = open(torn)) {
+      try (DiskStore store = open(tornFolder)) {
         assertInstanceOf(ClaimAnswer.Held.class, new OtherHolder(store).claim(3),
             "writes after the truncation are kept");
       }
--- a/proxy/src/test/java/lemondeal/claims/FullDiskTest.java
+++ b/proxy/src/test/java/lemondeal/claims/FullDiskTest.java
@@ -27,7 +27,7 @@
 @Timeout(120)
 class FullDiskTest {
   private static final long NOW = 1_000_000;
-  /** Maximum size of each file of the child, enough for some dozens of records. */
+  /** The child's limit for {@code ulimit -f}: each file has room for some dozens of records. */
   private static final int FILE_SIZE_LIMIT_BLOCKS = 8;
   private static final int SESSIONS = 2000;
   private static final int MAX_CONSECUTIVE_REFUSALS = 5;
--- a/proxy/src/test/java/lemondeal/resume/ResumeRulesTest.java
+++ b/proxy/src/test/java/lemondeal/resume/ResumeRulesTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import lemondeal.claims.ClaimAnswer;
-import lemondeal.resume.ResumeRules.NewSession;
-import lemondeal.resume.ResumeRules.ResumeAt;
-import lemondeal.resume.ResumeRules.InconsistentServer;
 import lemondeal.resume.ResumeRules.Busy;
 import lemondeal.resume.ResumeRules.ClaimFirst;
-import lemondeal.resume.ResumeRules.Proceed;
-import lemondeal.resume.ResumeRules.Fail;
 import lemondeal.resume.ResumeRules.Decision;
+import lemondeal.resume.ResumeRules.Fail;
+import lemondeal.resume.ResumeRules.InconsistentServer;
+import lemondeal.resume.ResumeRules.NewSession;
+import lemondeal.resume.ResumeRules.Proceed;
+import lemondeal.resume.ResumeRules.ResumeAt;
 import org.junit.jupiter.api.Test;
 
 /** Each decision of the rules, at its limits. */
@@ -20,8 +20,8 @@
   private static final long SKEW = 2000;
   private static final Token TOKEN = new Token("00".repeat(16), 16, "sync", "ab", 10, 7, "s-1", ISSUED, EXPIRES);
 
-  private static Decision checkToken(String className, String group, long linesAtClient, long now) {
-    return ResumeRules.checkToken(TOKEN, className, group, linesAtClient, now, SKEW);
+  private static Decision checkToken(String className, String groupDigest, long linesAtClient, long now) {
+    return ResumeRules.checkToken(TOKEN, className, groupDigest, linesAtClient, now, SKEW);
   }
 
   @Test
