--- a/proxy/src/test/java/lemondeal/resume/ResumeRulesTest.java
+++ b/proxy/src/test/java/lemondeal/resume/ResumeRulesTest.java
@@ -3,25 +3,25 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import lemondeal.claims.ClaimAnswer;
-import lemondeal.resume.ResumeRules.NewSession;
-import lemondeal.resume.ResumeRules.ResumeAt;
-import lemondeal.resume.ResumeRules.InconsistentServer;
 import lemondeal.resume.ResumeRules.Busy;
 import lemondeal.resume.ResumeRules.ClaimFirst;
-import lemondeal.resume.ResumeRules.Proceed;
-import lemondeal.resume.ResumeRules.Fail;
 import lemondeal.resume.ResumeRules.Decision;
+import lemondeal.resume.ResumeRules.Fail;
+import lemondeal.resume.ResumeRules.InconsistentServer;
+import lemondeal.resume.ResumeRules.NewSession;
+import lemondeal.resume.ResumeRules.Proceed;
+import lemondeal.resume.ResumeRules.ResumeAt;
 import org.junit.jupiter.api.Test;
 
-/** Each answer of the rules, at its bounds. */
+/** Each decision of the rules, at its limits. */
 class ResumeRulesTest {
   private static final long ISSUED = 1_000_000;
   private static final long EXPIRES = 1_060_000;
   private static final long SKEW = 2000;
   private static final Token TOKEN = new Token("00".repeat(16), 16, "sync", "ab", 10, 7, "s-1", ISSUED, EXPIRES);
 
-  private static Decision checkToken(String className, String group, long linesAtClient, long now) {
-    return ResumeRules.checkToken(TOKEN, className, group, linesAtClient, now, SKEW);
+  private static Decision checkToken(String className, String groupDigest, long linesAtClient, long now) {
+    return ResumeRules.checkToken(TOKEN, className, groupDigest, linesAtClient, now, SKEW);
   }
 
   @Test
@@ -34,7 +34,7 @@
     assertEquals(new Fail("got"), checkToken("sync", "ab", -1, ISSUED));
   }
 
-  /** Clocks may lie apart by the skew, either way. */
+  /** Clocks may differ by the skew in either direction. */
   @Test
   void tokenTimesAllowForClockSkew() {
     assertEquals(new ClaimFirst(TOKEN, 10), checkToken("sync", "ab", 10, EXPIRES + SKEW - 1));
