--- a/lab/src/main/java/lemondeal/lab/claims/FakeClaimStore.java
+++ b/lab/src/main/java/lemondeal/lab/claims/FakeClaimStore.java
@@ -33,7 +33,7 @@
     FAILS,
     /** Performs writes and drops their answers. */
     LOSES_ANSWERS,
-    /** Reports every key as free and accepts every write, to show that the checker detects it. */
+    /** Reports every key as free and accepts every write, to show that ResumeChecker detects the double attempts. */
     GRANTS_ALL
   }
 
--- a/lab/src/main/java/lemondeal/lab/consul/ConsulTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/consul/ConsulTestCluster.java
@@ -17,7 +17,7 @@
 
 /**
  * Real proxies that discover their servers from a fake Consul, and echo servers registered there, all on loopback.
- * {@link #close} ends everything.
+ * {@link #close} stops all of them and deletes their files.
  */
 public final class ConsulTestCluster implements AutoCloseable {
   /** Service that the echo servers are registered under. */
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Returns the setting of the ordinary service and the extra settings. */
+  /** Returns settings that name {@link #SERVICE}, followed by the extra settings. */
   public static String consulSettings(String extraSettings) {
     return "service: " + SERVICE + "\n" + extraSettings;
   }
@@ -129,7 +129,7 @@
     started.awaitLog("ready");
   }
 
-  /** Returns the next live proxy in round-robin order, as a front-end load balancer does. */
+  /** Returns the address of the next live proxy in round-robin order, as a front-end load balancer chooses it. */
   public InetSocketAddress nextProxyAddress() {
     for (int i = 0; i < proxies.size(); i++) {
       ProxyProcess proxy = proxies.get(Math.floorMod(nextProxyIndex.getAndIncrement(), proxies.size()));
--- a/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
@@ -165,7 +165,7 @@
     }
   }
 
-  /** Whether the failure lasts long enough and every other fault around it should cause no evacuation. */
+  /** Whether the failure lasts long enough for an evacuation, and no other fault around it should cause one. */
   private boolean isIsolated(Fault failure) {
     return failure.endMillis() - failure.startMillis() > 3_500
         && faultSchedule.faults().stream().filter(other -> other != failure)
--- a/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/KeysReturn.java
@@ -13,7 +13,7 @@
 
   /**
    * @param firstFaultAt start of the first fault
-   * @param stableMillis duration before the end of the run without faults
+   * @param stableMillis length of the fault-free period at the end of the run
    */
   public KeysReturn(long firstFaultAt, long stableMillis) {
     this.firstFaultAt = firstFaultAt;
--- a/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
+++ b/lab/src/main/java/lemondeal/lab/measure/ConsulReport.java
@@ -39,7 +39,7 @@
 
   String run() throws IOException, InterruptedException {
     return "## From a change in Consul to the last new work\n\n" + drains() + "\n## Lists of many instances\n\n"
-        + sizes() + "\n## Calls on Consul\n\n" + calls();
+        + sizes() + "\n## Calls to Consul\n\n" + calls();
   }
 
   // ---- Drains ---------------------------------------------------------------------------------
@@ -48,10 +48,10 @@
 
   private String drains() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder("""
-        3 proxies, 8 echo servers, 24 clients of short connections. The time from the change in the fake Consul to the
-        last first line that reached that server; 0 where none came after the change.
+        3 proxies, 8 echo servers, 24 clients of short connections. The time from the change in the fake Consul
+        until that server received its last OPEN line; 0 where none came after the change.
 
-        | change | plays | median ms | 99th ms | worst ms | after 1 s |
+        | change | rounds | median ms | 99th ms | worst ms | after 1 s |
         | --- | --- | --- | --- | --- | --- |
         """);
     try (ConsulTestCluster cluster = new ConsulTestCluster(3, 8, DAMPING);
@@ -86,7 +86,7 @@
         progress.println("consul: " + kind.name() + " done");
       }
       clients.stop();
-      table.append("\nRequests without their one final answer: ").append(clients.breaches().size())
+      table.append("\nRequests without a correct final answer in time: ").append(clients.breaches().size())
           .append("; answers: ").append(clients.counts()).append(".\n");
     }
     return table.toString();
@@ -113,7 +113,7 @@
 
   private String sizes() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
-        One proxy, no clients, a list of so many instances of which 1%% turn critical or passing each second, for %d s.
+        One proxy, no clients, a list of instances of which 1%% turn critical or passing each second, for %d s.
         CPU is the proxy's, in all its threads; a PING on a new connection is accepted and answered by its I/O thread,
         so its round trip shows how long that thread was blocked.
 
@@ -181,8 +181,8 @@
 
   private String calls() throws IOException, InterruptedException {
     StringBuilder table = new StringBuilder(String.format(Locale.ROOT, """
-        So many proxies on one fake Consul with 8 instances, for %d s each way: calm, with one change a second; and
-        failing, with 500 to every call. Blocking queries wait 30 s; failures are paced from 500 ms to 30 s.
+        Proxies on one fake Consul with 8 instances, for %d s in each state: calm, with one change a second; and
+        failing, with status 500 for every call. Blocking queries wait 30 s; failures are paced from 500 ms to 30 s.
 
         | proxies | calm: calls a second | calm: per proxy | failing: calls a second | failing: per proxy |
         | --- | --- | --- | --- | --- |
--- a/lab/src/main/java/lemondeal/lab/measure/Reports.java
+++ b/lab/src/main/java/lemondeal/lab/measure/Reports.java
@@ -8,7 +8,7 @@
 public final class Reports {
   private Reports() {}
 
-  /** Compares resumable with plain moves. Returns Markdown tables; reports progress on {@code progress}. */
+  /** Compares moves with and without resume tokens. Returns Markdown tables; reports progress on {@code progress}. */
   public static String resume(int clients, PrintStream progress)
       throws IOException, InterruptedException, RunnerException {
     return new ResumeReport(clients, progress).run();
--- a/lab/src/main/java/lemondeal/lab/site/FleetTestCluster.java
+++ b/lab/src/main/java/lemondeal/lab/site/FleetTestCluster.java
@@ -16,7 +16,7 @@
 /**
  * A fleet of real proxies on loopback that exchange reports, with a {@link Relay} in each direction of each pair. A
  * proxy is named {@code n} and its index; even ones are in zone {@code a}, odd ones in zone {@code b}. {@link #close}
- * ends everything.
+ * stops all of them and deletes their files.
  */
 public final class FleetTestCluster implements AutoCloseable {
   private static final String VISIBILITY_EVENT = "\"event\":\"fleet-sight\"";
@@ -34,7 +34,7 @@
    *
    * @param extraFleetSettings lines of the operator's section {@code fleet} in addition to the members; PLACE in them
    *     is replaced by the proxy's index
-   * @param discovery address of the discovery that lists the servers
+   * @param discovery address of the discovery service that lists the servers
    */
   public FleetTestCluster(int count, long seed, String extraFleetSettings, InetSocketAddress discovery)
       throws IOException {
--- a/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
+++ b/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
@@ -26,7 +26,7 @@
   private boolean fenced = true;
   private long fencedOutCount;
 
-  /** Turns fencing off, to show that the checker detects it. */
+  /** Turns fencing off, to show that {@link ResumeChecker} detects the duplicate lines. */
   public synchronized void disableFencing() {
     fenced = false;
   }
@@ -46,7 +46,10 @@
     session(id).activeAttempts--;
   }
 
-  /** Takes the session over for a connection if its epoch is the highest so far. */
+  /**
+   * Takes the session over for a connection. Granted only if its epoch is the highest so far, and if its client has
+   * received no more lines than the store has for it.
+   */
   synchronized TakeoverResult takeOver(String id, long epoch, long receivedByClient) {
     Session session = session(id);
     if (fenced && epoch <= session.epoch || receivedByClient > session.toClient.size()) {
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Returns the server's line with this number and waits for it if necessary. Returns null on a timeout, or if the
-   * connection is fenced out.
+   * Returns the server's line with this number. If it is not stored yet, waits until any session changes or the timeout
+   * expires; returns null if the line is still missing then, or if the connection is fenced out.
    */
   synchronized String awaitLine(String id, long epoch, long lineNumber, long timeoutMillis)
       throws InterruptedException {
@@ -120,7 +123,7 @@
     }
   }
 
-  /** Returns the number of takeovers and lines that were fenced out. */
+  /** Returns the number of rejected takeovers and lines. */
   public synchronized long fencedOutCount() {
     return fencedOutCount;
   }
--- a/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
+++ b/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
@@ -59,7 +59,7 @@
     return String.format("%032x", ++sessions);
   }
 
-  /** Claims with retries, as a client that retries after BUSY causes. */
+  /** Repeats the claim until it is granted or held, as a client does that retries after BUSY. */
   private static ClaimAnswer claimWithRetries(FleetStore store, String session, long epoch)
       throws InterruptedException {
     ClaimAnswer answer = null;
--- a/lab/src/test/java/lemondeal/lab/site/ZoneEvacuationTest.java
+++ b/lab/src/test/java/lemondeal/lab/site/ZoneEvacuationTest.java
@@ -96,7 +96,7 @@
     return true;
   }
 
-  /** Sends one client per key without other traffic, and returns the server of zone b by key. */
+  /** Sends one request per key and returns the servers in zone b by key. Correct only without other traffic. */
   private Map<String, Integer> serversByKeyInZoneB() {
     Map<String, Integer> keys = new TreeMap<>();
     for (int i = 0; i < KEYS; i++) {
