--- a/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
@@ -24,7 +24,7 @@
   private static final int MAX_TRACE_LINES = 400;
   /** All zones must be open for this long before a run ends. */
   private static final long STABLE_MILLIS = 6_000;
-  private static final int REPLAYED_REPORTS_PER_MEMBER = 64;
+  private static final int PAST_REPORTS_PER_MEMBER = 64;
 
   /** Creates a member's evacuation logic: the real one, or a faulty one that a checker must detect. */
   public interface EvacuationFactory {
@@ -245,7 +245,7 @@
   /** Sends a member's report to all others, subject to the network faults. */
   void send(long trueTime, int from, byte[] report) {
     pastReports.addLast(new InFlightReport(trueTime, 0, from, from, report));
-    if (pastReports.size() > REPLAYED_REPORTS_PER_MEMBER * topology.members()) {
+    if (pastReports.size() > PAST_REPORTS_PER_MEMBER * topology.members()) {
       pastReports.removeFirst();
     }
     for (int to = 0; to < topology.members(); to++) {
--- a/lab/src/main/java/lemondeal/lab/stream/RollingDrain.java
+++ b/lab/src/main/java/lemondeal/lab/stream/RollingDrain.java
@@ -88,7 +88,7 @@
     int doneCount = (int) clients.stream().filter(ResumingClient::isDone).count();
     long lines = clients.stream().mapToLong(ResumingClient::sent).sum();
     progress.printf(
-        "%3d s: %d servers drained, %d crashed; %d lines sent, %d of %d clients done, %d rejected by the session store%n",
-        second, drainedCount, crashedCount, lines, doneCount, clients.size(), cluster.sessionStore().fencedOutCount());
+        "%3d s: %d servers drained, %d crashed; %d lines sent, %d of %d clients done, %d rejected by session store%n",
+        second, drainedCount, crashedCount, lines, doneCount, clients.size(), cluster.sessionStore().rejectedCount());
   }
 }
--- a/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
+++ b/lab/src/main/java/lemondeal/lab/stream/SessionStore.java
@@ -24,7 +24,7 @@
 
   private final Map<String, Session> sessions = new HashMap<>();
   private boolean fenced = true;
-  private long fencedOutCount;
+  private long rejectedCount;
 
   /** Turns fencing off, to show that {@link ResumeChecker} detects the duplicate lines. */
   public synchronized void disableFencing() {
@@ -53,7 +53,7 @@
   synchronized TakeoverResult takeOver(String id, long epoch, long receivedByClient) {
     Session session = session(id);
     if (fenced && epoch <= session.epoch || receivedByClient > session.toClient.size()) {
-      fencedOutCount++;
+      rejectedCount++;
       return new TakeoverResult(false, 0);
     }
     session.epoch = Math.max(session.epoch, epoch);
@@ -65,7 +65,7 @@
   synchronized long append(String id, long epoch, String line) {
     Session session = session(id);
     if (fenced && epoch < session.epoch) {
-      fencedOutCount++;
+      rejectedCount++;
       return -1;
     }
     session.fromClient.add(line);
@@ -124,7 +124,7 @@
   }
 
   /** Returns the number of rejected takeovers and lines. */
-  public synchronized long fencedOutCount() {
-    return fencedOutCount;
+  public synchronized long rejectedCount() {
+    return rejectedCount;
   }
 }
--- a/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
+++ b/lab/src/test/java/lemondeal/lab/claims/FleetClaimStoreTest.java
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void storeWithForeignCertificateIsRejected() throws Exception {
+  void storeWithForeignAuthorityOrNameIsRejected() throws Exception {
     TestCertificateAuthority trustedAuthority = TestCertificateAuthority.create("ours");
     TestCertificateAuthority otherAuthority = TestCertificateAuthority.create("theirs");
     Path authorityFile = trustedAuthority.writeCertificate(folder.resolve("ca.pem"));
--- a/lab/src/test/java/lemondeal/lab/stream/ResumeFaultsTest.java
+++ b/lab/src/test/java/lemondeal/lab/stream/ResumeFaultsTest.java
@@ -178,7 +178,7 @@
   void supersededConnectionIsFencedOut() throws Exception {
     try (ResumeTestCluster cluster = new ResumeTestCluster(2, 1, "")) {
       assertEquals(List.of(), writeOnSupersededConnection(cluster));
-      assertTrue(cluster.sessionStore().fencedOutCount() > 0);
+      assertTrue(cluster.sessionStore().rejectedCount() > 0);
     }
   }
 
