--- a/proxy/src/main/java/lemondeal/claims/ClaimService.java
+++ b/proxy/src/main/java/lemondeal/claims/ClaimService.java
@@ -11,10 +11,10 @@
 
   void claim(Claim claim, Consumer<ClaimAnswer> callback);
 
-  /** The attempt with this epoch came up. */
+  /** Ends the claim after the attempt with this epoch came up: tokens of lower epochs are used. */
   void commit(Claim claim, long epoch);
 
-  /** No attempt came up, and none is running any more. */
+  /** Ends the claim after all its attempts have ended and none came up: the token is valid again. */
   void release(Claim claim);
 
   @Override
--- a/proxy/src/main/java/lemondeal/claims/DiskStore.java
+++ b/proxy/src/main/java/lemondeal/claims/DiskStore.java
@@ -29,7 +29,7 @@
   /** A disk that hangs must not delay the end of the process for longer. */
   private static final long CLOSE_TIMEOUT_MILLIS = 1000;
   private static final int MAX_BATCH = 512;
-  /** The log is compacted when it has this many records for each live state, and at least the minimum below. */
+  /** The log is compacted at this many records per unexpired state, but not below {@link #MIN_COMPACTION_RECORDS}. */
   private static final int COMPACTION_RATIO = 4;
   private static final int MIN_COMPACTION_RECORDS = 4096;
 
@@ -47,7 +47,7 @@
   private final EventLog log;
   private final BlockingQueue<Job> jobs = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
   private final Thread thread = new Thread(this::processJobs, "claims");
-  /** The fields below belong to the worker thread. */
+  // The fields below are confined to the worker thread once it has started.
   private MemoryStore states;
   private WriteAheadLog writeAheadLog;
   private String unavailableReason = "";
@@ -131,7 +131,7 @@
     compact();
   }
 
-  /** Returns the job's result, which is valid once all changes are on disk. */
+  /** Adds a write's new state to the changes. Returns the job's result, which is valid once all changes are on disk. */
   private Result apply(Job job, Map<String, VersionedState> changes) {
     VersionedState pending = changes.get(job.session());
     VersionedState current = pending != null ? pending : states.get(job.session());
--- a/proxy/src/main/java/lemondeal/claims/FleetStore.java
+++ b/proxy/src/main/java/lemondeal/claims/FleetStore.java
@@ -82,8 +82,9 @@
     String firstAddress = Addresses.format(addresses.get(0));
     String authority = tls != null && tls.name() != null ? tls.name() : firstAddress;
     @SuppressWarnings("deprecation") // The only way to set a resolver for one channel; others register it globally.
-    NettyChannelBuilder builder = NettyChannelBuilder.forTarget(StaticAddressResolver.SCHEME + ":///" + firstAddress)
-        .nameResolverFactory(new StaticAddressResolver(addresses, authority))
+    NettyChannelBuilder builder = NettyChannelBuilder
+        .forTarget(StaticAddressResolverFactory.SCHEME + ":///" + firstAddress)
+        .nameResolverFactory(new StaticAddressResolverFactory(addresses, authority))
         .keepAliveTime(10, TimeUnit.SECONDS);
     if (tls == null) {
       builder.usePlaintext();
--- a/proxy/src/main/java/lemondeal/claims/MemoryStore.java
+++ b/proxy/src/main/java/lemondeal/claims/MemoryStore.java
@@ -23,7 +23,7 @@
   private final Map<String, VersionedState> states = new HashMap<>();
   private final PriorityQueue<Expiry> expiries = new PriorityQueue<>();
 
-  /** @param maxSessions at this number, a new session can't be written until another one has expired */
+  /** @param maxSessions maximum number of sessions; when it is reached, a new one can't be written until one expires */
   public MemoryStore(int maxSessions, LongSupplier unixMillis) {
     this.maxSessions = maxSessions;
     this.unixMillis = unixMillis;
--- a/proxy/src/main/java/lemondeal/claims/StaticAddressResolver.java
+++ b/proxy/src/main/java/lemondeal/claims/StaticAddressResolverFactory.java
@@ -9,18 +9,18 @@
 import java.util.List;
 
 /**
- * A gRPC name resolver that returns the configured addresses of one store as one address group, so that gRPC's
+ * Creates gRPC name resolvers that return the configured addresses of one store as one address group, so that gRPC's
  * {@code pick_first} policy tries them in order and keeps the first that answers. No name is resolved: the platform has
- * no DNS, and installations that have one configure the store's addresses in the operator's file too.
+ * no DNS, and installations with DNS configure the store's addresses in the operator's file too.
  */
-final class StaticAddressResolver extends NameResolver.Factory {
+final class StaticAddressResolverFactory extends NameResolver.Factory {
   static final String SCHEME = "lemondeal-store";
 
   private final List<InetSocketAddress> addresses;
   private final String authority;
 
   /** @param authority the name that the store's certificate must match */
-  StaticAddressResolver(List<InetSocketAddress> addresses, String authority) {
+  StaticAddressResolverFactory(List<InetSocketAddress> addresses, String authority) {
     this.addresses = List.copyOf(addresses);
     this.authority = authority;
   }
--- a/proxy/src/main/java/lemondeal/resume/ResumableSession.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumableSession.java
@@ -39,8 +39,8 @@
   /** Why the client must start a new session in place of its token's; empty if it need not. */
   private String newSessionReason = "";
   private Claim claim;
-  /** Whether this connection has one of the limited places for resumable connections. */
-  private boolean hasPlace;
+  /** Whether this connection holds one of the limited permits for resumable connections. */
+  private boolean hasPermit;
   /** Whether the connection can be resumed now. */
   private boolean resumable;
   /** Stays true once the connection could be resumed: its server may still send ACK lines, which are not replies. */
@@ -106,7 +106,7 @@
 
   private void admit() {
     phase = Phase.ADMITTED;
-    hasPlace = resumption.tryEnter();
+    hasPermit = resumption.tryAcquirePermit();
     client.admit();
   }
 
@@ -171,7 +171,7 @@
     if (resuming) {
       resumption.claims().commit(claim, epoch);
     }
-    if (receivedLines < 0 || !resuming && !hasPlace) {
+    if (receivedLines < 0 || !resuming && !hasPermit) {
       resumption.count("off");
       return "RESUME off " + (receivedLines < 0 ? "server" : "full") + CRLF;
     }
@@ -179,7 +179,7 @@
     acknowledgedLines = Math.max(acknowledgedLines, receivedLines);
     resumption.count(resuming ? "continued" : newSessionReason.isEmpty() ? "new" : "anew." + newSessionReason);
     String outcome = resuming ? "at " + receivedLines : newSessionReason.isEmpty() ? "new" : "anew " + newSessionReason;
-    if (!hasPlace) {
+    if (!hasPermit) {
       return "RESUME " + outcome + " -" + CRLF;
     }
     resumable = true;
@@ -279,9 +279,9 @@
       resumption.claims().release(claim);
     }
     phase = Phase.ENDED;
-    if (hasPlace) {
-      hasPlace = false;
-      resumption.leave();
+    if (hasPermit) {
+      hasPermit = false;
+      resumption.releasePermit();
     }
   }
 
--- a/proxy/src/main/java/lemondeal/resume/ResumptionContext.java
+++ b/proxy/src/main/java/lemondeal/resume/ResumptionContext.java
@@ -83,8 +83,8 @@
     return holderPrefix + holderCount++;
   }
 
-  /** Takes one of the limited places for resumable connections; false if none is free. */
-  boolean tryEnter() {
+  /** Acquires a permit for a resumable connection; returns false if the maximum number of them is reached. */
+  boolean tryAcquirePermit() {
     if (resumableConnections >= settings.maxConnections()) {
       return false;
     }
@@ -92,7 +92,7 @@
     return true;
   }
 
-  void leave() {
+  void releasePermit() {
     resumableConnections--;
   }
 
@@ -100,7 +100,7 @@
     counters.merge(counter, 1L, Long::sum);
   }
 
-  /** Adds every counter under its metric name. */
+  /** Adds the counters and the number of resumable connections, each under its metric name. */
   public void addTo(Map<String, Long> figures) {
     Map<String, Long> ownFigures = new LinkedHashMap<>();
     counters.forEach((counter, count) -> ownFigures.put("resume." + counter, count));
--- a/proxy/src/test/java/lemondeal/claims/ClaimsModelTest.java
+++ b/proxy/src/test/java/lemondeal/claims/ClaimsModelTest.java
@@ -82,7 +82,7 @@
           Claim claim = claim(epochs.get(random.nextInt(epochs.size())), "h" + step);
           claims.claim(claim, answer -> {
             if (answer instanceof ClaimAnswer.Granted granted) {
-              // A grant ends when its lease expires, or when a token is claimed that only its attempt can have issued.
+              // A grant ends when its lease expires, or a token issued after its attempt came up is claimed.
               openGrants.removeIf(grant -> grant.expiresAt <= now || claim.epoch() >= grant.fence);
               assertTrue(openGrants.isEmpty(), "another grant is held");
               assertTrue(granted.fence() > highestFence[0], "the fence did not increase");
@@ -94,7 +94,7 @@
         }
         case 2 -> {
           if (!openGrants.isEmpty() && openGrants.peek().expiresAt > now) {
-            // Its attempt came up, and its client has a token of that epoch before the store receives the commit.
+            // The grant's attempt came up, and the client has a token of its epoch before the store gets the commit.
             Grant grant = openGrants.peek();
             long epoch = grant.fence + random.nextInt(3);
             epochs.add(epoch);
--- a/proxy/src/test/java/lemondeal/resume/SessionModelTest.java
+++ b/proxy/src/test/java/lemondeal/resume/SessionModelTest.java
@@ -34,7 +34,7 @@
   private Random random;
   private final List<Runnable> pendingTasks = new ArrayList<>();
 
-  // ---- The servers' shared session state, and what it must keep --------------------------------
+  // ---- The servers' shared session state, and the number of lines that it must not lose ---------
 
   private long highestEpoch;
   private final List<Integer> appliedLines = new ArrayList<>();
@@ -89,7 +89,7 @@
     String serverOpenLine;
     long epoch;
     boolean up;
-    /** Lines to the client that precede the next one that the attempt's server sends. */
+    /** How many lines the client has received, as the attempt's server counts them. */
     int linesAtClient;
 
     Connection(ResumptionContext proxy, boolean duplicate) throws ProtocolException {
@@ -237,7 +237,7 @@
       proxies.add(new ResumptionContext(SETTINGS, keyRing, new CasClaimService(store, () -> now), "n" + i, () -> now));
     }
     Deque<Connection> connections = new ArrayDeque<>();
-    List<Connection> supersededAttempts = new ArrayList<>();
+    List<Connection> delayedDeliveries = new ArrayList<>();
     for (int step = 0; step < 300; step++) {
       switch (random.nextInt(10)) {
         case 0 -> {
@@ -252,8 +252,8 @@
           for (Connection connection : List.copyOf(connections)) {
             if (connection.admitted && !connection.ended && !connection.up && connection.attempts < 3) {
               if (connection.serverOpenLine != null && random.nextBoolean()) {
-                // The first line of the abandoned attempt is still in flight.
-                supersededAttempts.add(connection);
+                // A later step delivers the first line of the connection's latest attempt, even if it has ended.
+                delayedDeliveries.add(connection);
               }
               connection.startAttempt();
               if (random.nextInt(3) > 0) {
@@ -263,8 +263,8 @@
           }
         }
         case 3 -> {
-          if (!supersededAttempts.isEmpty()) {
-            supersededAttempts.remove(random.nextInt(supersededAttempts.size())).deliverToServer();
+          if (!delayedDeliveries.isEmpty()) {
+            delayedDeliveries.remove(random.nextInt(delayedDeliveries.size())).deliverToServer();
           }
         }
         case 4, 5 -> {
@@ -303,7 +303,7 @@
         }
         case 8 -> {
           if (random.nextInt(6) == 0) {
-            // A proxy is killed with its pending work and restarts without state.
+            // A proxy restarts without state. Connections drawn at random, of any proxy, lose theirs with its tasks.
             int proxyIndex = random.nextInt(3);
             for (Connection connection : List.copyOf(connections)) {
               if (random.nextInt(3) == 0) {
