--- a/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
+++ b/lab/src/main/java/lemondeal/lab/evacuation/FleetSimulation.java
@@ -29,7 +29,7 @@
   /** Creates a member's evacuation logic: the real one, or a faulty one that a checker must detect. */
   public interface EvacuationFactory {
     Evacuation create(ZoneMembership membership, EvacuationSettings settings, SlowStartRamp slowStart, long incarnation,
-        Optional<EvacuationState> savedState, long now);
+        Optional<EvacuationState> savedState, long localTime);
   }
 
   /**
@@ -276,8 +276,7 @@
 
   void onDecision(long trueTime, int member, Evacuation.Decision decision) {
     trace(trueTime, member, (decision.countedHere() ? "decides epoch " : "learns of epoch ") + decision.epoch()
-        + " of zone "
-        + decision.zone());
+        + " of zone " + decision.zone());
     checkers.forEach(checker -> checker.onDecision(trueTime, member, decision));
   }
 
