--- a/proxy/src/test/java/lemondeal/EmbeddingTest.java
+++ b/proxy/src/test/java/lemondeal/EmbeddingTest.java
@@ -25,7 +25,7 @@
 /** Compiles and runs the example in README.md. */
 class EmbeddingTest {
   private final List<String> connected = new ArrayList<>();
-  private final Settings settings = new TestNode.Options().settings();
+  private final Settings settings = new NodeFixture.Options().settings();
 
   @Test
   void theExampleConnects() {
--- a/proxy/src/test/java/lemondeal/LostConnectionsTest.java
+++ b/proxy/src/test/java/lemondeal/LostConnectionsTest.java
@@ -20,7 +20,7 @@
 class LostConnectionsTest {
 
   /** Three clients of one group are connected to a server and reset together during the set-up of a fourth. */
-  private static String resetThreeClients(TestNode node) {
+  private static String resetThreeClients(NodeFixture node) {
     String server = node.open("r0", "c0", "g");
     for (int i = 1; i < 3; i++) {
       node.open("r" + i, "c" + i, "g");
@@ -35,7 +35,7 @@
   /** A set-up that succeeded just after the resets once readmitted all clients, which were then reset again. */
   @Test
   void aSuccessfulSetUpDoesNotReadmitAllClients() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = resetThreeClients(node);
     node.handle(new Established("late", 0, server, 5_000));
     for (int i = 0; i < 10; i++) {
@@ -45,9 +45,9 @@
 
   @Test
   void onlyAShareOfTheClientsIsReadmittedAtFirst() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = resetThreeClients(node);
-    node.advance(3 * TestNode.SECOND);
+    node.advance(3 * NodeFixture.SECOND);
     int readmitted = 0;
     for (int i = 0; i < 40; i++) {
       readmitted += server.equals(node.open("again" + i, "client" + i, "g")) ? 1 : 0;
@@ -57,10 +57,10 @@
 
   @Test
   void aRestartedServerIsNotShed() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = resetThreeClients(node);
-    node.listChanges(TestNode.serverStartedAt(server, node.now - 20 * TestNode.SECOND));
-    node.advance(3 * TestNode.SECOND);
+    node.listChanges(NodeFixture.serverStartedAt(server, node.now - 20 * NodeFixture.SECOND));
+    node.advance(3 * NodeFixture.SECOND);
     for (int i = 0; i < 20; i++) {
       assertEquals(server, node.open("again" + i, "c" + i, "g"));
     }
@@ -74,9 +74,9 @@
   }
 
   private static int mostClientsAtOneServer(boolean reports) {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = reports;
-    TestNode node = new TestNode(options).equalServers(5);
+    NodeFixture node = new NodeFixture(options).equalServers(5);
     for (int i = 0; reports && i < 5; i++) {
       node.handle(new ProbeResult("s" + i, Outcome.SERVED, 900,
           new LoadReport(0.1, Double.NaN, 100, Double.NaN, Double.NaN)));
@@ -84,8 +84,8 @@
     Map<String, Integer> clientsByServer = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       String id = "r" + i;
-      Request hinted = new Request(id, node.now + 3 * TestNode.SECOND, 0, "c" + i, "g", 50_000, false, false, 0, false);
-      String server = TestNode.sentTo(node.handle(new Arrived(hinted)), id);
+      Request hinted = new Request(id, node.now + 3 * NodeFixture.SECOND, 0, "c" + i, "g", 50_000, false, false, 0, false);
+      String server = NodeFixture.sentTo(node.handle(new Arrived(hinted)), id);
       node.handle(new Established(id, 0, server, 5_000));
       clientsByServer.merge(server, 1, Integer::sum);
     }
--- a/proxy/src/test/java/lemondeal/TestNode.java
+++ b/proxy/src/test/java/lemondeal/NodeFixture.java
@@ -31,7 +31,7 @@
 import java.util.TreeMap;
 
 /** A decision module under test with a fake clock; requested wake-ups are delivered as the clock advances. */
-final class TestNode {
+final class NodeFixture {
   static final long SECOND = 1_000_000;
   static final long LONG_AGO = 0;
 
@@ -71,11 +71,11 @@
     }
   }
 
-  TestNode(Options options) {
+  NodeFixture(Options options) {
     handle(new Start(options.seed, options.settings()));
   }
 
-  TestNode() {
+  NodeFixture() {
     this(new Options());
   }
 
@@ -127,18 +127,18 @@
     return new ServerEntry(name, 0, 0, 0, at, ServerState.READY, 1);
   }
 
-  TestNode fullList(ServerEntry... entries) {
+  NodeFixture fullList(ServerEntry... entries) {
     handle(new ServerList(++version, ListKind.FULL, Arrays.asList(entries)));
     return this;
   }
 
-  TestNode listChanges(ServerEntry... entries) {
+  NodeFixture listChanges(ServerEntry... entries) {
     handle(new ServerList(++version, ListKind.CHANGES, Arrays.asList(entries)));
     return this;
   }
 
   /** A full list of equal servers s0, s1, ... */
-  TestNode equalServers(int count) {
+  NodeFixture equalServers(int count) {
     ServerEntry[] entries = new ServerEntry[count];
     for (int i = 0; i < count; i++) {
       entries[i] = server("s" + i, 1);
--- a/proxy/src/test/java/lemondeal/PlacementExceptionsTest.java
+++ b/proxy/src/test/java/lemondeal/PlacementExceptionsTest.java
@@ -30,39 +30,39 @@
 
   @Test
   void anUnreachableServerIsEjectedAndTriedAgainLater() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = node.arrive("a", "c", "g");
     node.end("a", 0, server, Outcome.NO_CONNECTION);
     assertNotEquals(server, node.open("b", "c", "g"));
-    node.advance(3 * TestNode.SECOND);
+    node.advance(3 * NodeFixture.SECOND);
     assertEquals(server, node.open("d", "c", "g"));
   }
 
   @Test
   void repeatedFailuresLengthenTheEjectionUpToABound() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = null;
     for (int i = 0; i < 12; i++) {
       String id = "a" + i;
       server = node.arrive(id, "c", "g");
       node.end(id, 0, server, Outcome.NO_CONNECTION);
-      node.advance(20 * TestNode.SECOND);
+      node.advance(20 * NodeFixture.SECOND);
     }
     assertEquals(server, node.open("b", "c", "g"), "it is tried again after the longest ejection");
   }
 
   @Test
   void aRestartResetsTheServersHealth() {
-    TestNode node = new TestNode().equalServers(2);
+    NodeFixture node = new NodeFixture().equalServers(2);
     String server = node.arrive("a", "c", "g");
     node.end("a", 0, server, Outcome.NO_CONNECTION);
-    node.listChanges(TestNode.serverStartedAt(server, node.now - 20 * TestNode.SECOND));
+    node.listChanges(NodeFixture.serverStartedAt(server, node.now - 20 * NodeFixture.SECOND));
     assertEquals(server, node.open("b", "c", "g"));
   }
 
   @Test
   void connectionsLostTogetherEjectTheServer() {
-    TestNode node = new TestNode().equalServers(4);
+    NodeFixture node = new NodeFixture().equalServers(4);
     String server = null;
     for (int i = 0; i < 4; i++) {
       server = node.open("r" + i, "c" + i, "g");
@@ -74,7 +74,7 @@
   }
 
   /** Connects two clients to one server, which is returned. */
-  private static String openTwo(TestNode node) {
+  private static String openTwo(NodeFixture node) {
     String server = node.open("a", "c", "g");
     assertEquals(server, node.open("b", "c", "g"));
     return server;
@@ -83,9 +83,9 @@
   /** A proxy with two clients at an unreachable server once noticed that only when the connections were reset. */
   @Test
   void clientsMoveFromAServerThatAnswersNeitherThemNorAProbe() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(4);
+    NodeFixture node = new NodeFixture(options).equalServers(4);
     for (int i = 0; i < 4; i++) {
       node.handle(new ProbeResult("s" + i, Outcome.SERVED, 1_000, report(0.1)));
     }
@@ -94,46 +94,46 @@
     assertEquals(List.of(new Probe(server)), probes, "one unanswered line causes a probe, no move");
     assertEquals(List.of(), node.handle(new Unanswered("b", 0, server)), "the probe is in flight");
     List<Action> actions = node.handle(new ProbeResult(server, Outcome.NO_CONNECTION, 150_000, null));
-    assertEquals(List.of(new Move("a"), new Move("b")), TestNode.ofType(actions, Move.class));
+    assertEquals(List.of(new Move("a"), new Move("b")), NodeFixture.ofType(actions, Move.class));
     assertNotEquals(server, node.arrive("d", "c", "g"));
   }
 
   @Test
   void clientsStayAtAServerThatAnswersTheProbe() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(1);
+    NodeFixture node = new NodeFixture(options).equalServers(1);
     node.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(0.1)));
     openTwo(node);
     node.handle(new Unanswered("a", 0, "s0"));
     node.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(0.1)));
-    node.advance(TestNode.SECOND);
+    node.advance(NodeFixture.SECOND);
     // A set-up that fails now does not count together with a line unanswered before the probe's answer.
     String sent = node.arrive("d", "c", "g");
-    assertEquals(List.of(), TestNode.ofType(node.end("d", 0, sent, Outcome.NO_CONNECTION), Move.class));
+    assertEquals(List.of(), NodeFixture.ofType(node.end("d", 0, sent, Outcome.NO_CONNECTION), Move.class));
   }
 
   /** Without probes, a failed set-up counts like a failed probe. */
   @Test
   void clientsMoveFromAServerThatAnswersNeitherThemNorASetUp() {
-    TestNode node = new TestNode().equalServers(4);
+    NodeFixture node = new NodeFixture().equalServers(4);
     String server = openTwo(node);
     assertEquals(List.of(), node.handle(new Unanswered("a", 0, server)));
     assertEquals(server, node.arrive("d", "c", "g"));
     List<Action> actions = node.end("d", 0, server, Outcome.NO_CONNECTION);
-    assertEquals(List.of(new Move("a"), new Move("b")), TestNode.ofType(actions, Move.class));
+    assertEquals(List.of(new Move("a"), new Move("b")), NodeFixture.ofType(actions, Move.class));
     // The other way round: the set-up failed first.
     String other = node.open("e", "other", "other group");
     node.arrive("f", "other", "other group");
     node.end("f", 0, other, Outcome.TIMED_OUT);
-    assertEquals(List.of(new Move("e")), TestNode.ofType(node.handle(new Unanswered("e", 0, other)), Move.class));
+    assertEquals(List.of(new Move("e")), NodeFixture.ofType(node.handle(new Unanswered("e", 0, other)), Move.class));
   }
 
   @Test
   void withAllServersEjectedThePlainRankingHolds() {
-    TestNode node = new TestNode().equalServers(4);
+    NodeFixture node = new NodeFixture().equalServers(4);
     node.failAll(20, Outcome.NO_CONNECTION);
-    String first = new TestNode().equalServers(4).arrive("x", "c", "g");
+    String first = new NodeFixture().equalServers(4).arrive("x", "c", "g");
     assertEquals(first, node.arrive("y", "c", "g"), "with all ejected the plain ranking holds");
   }
 
@@ -143,16 +143,16 @@
    */
   @Test
   void withMostServersEjectedTheOthersStillGoFirst() {
-    TestNode node = new TestNode().equalServers(5);
-    String primary = new TestNode().equalServers(5).arrive("x", "c", "g");
+    NodeFixture node = new NodeFixture().equalServers(5);
+    String primary = new NodeFixture().equalServers(5).arrive("x", "c", "g");
     int ejected = 0;
     for (int i = 0; ejected < 3; i++) {
       String id = "f" + i;
-      String server = new TestNode().equalServers(5).arrive(id);
+      String server = new NodeFixture().equalServers(5).arrive(id);
       if (ejected > 0 || server.equals(primary)) {
         String sent = node.arrive(id);
         // One failure each for three servers, the primary first; the retry is served.
-        String next = TestNode.sentTo(node.end(id, 0, sent, Outcome.NO_CONNECTION), id);
+        String next = NodeFixture.sentTo(node.end(id, 0, sent, Outcome.NO_CONNECTION), id);
         node.handle(new Ended(id, 1, next, Outcome.CANCELLED, 1, true, null));
         ejected++;
       }
@@ -161,9 +161,9 @@
   }
 
   /** A set-up of the group g fails at its first server, whose ejection then ends; the server is returned. */
-  private static String ejectedAndHalfOpen(TestNode node) {
+  private static String ejectedAndHalfOpen(NodeFixture node) {
     String server = node.arrive("a", "c", "g");
-    String next = TestNode.sentTo(node.end("a", 0, server, Outcome.TIMED_OUT), "a");
+    String next = NodeFixture.sentTo(node.end("a", 0, server, Outcome.TIMED_OUT), "a");
     node.handle(new Balancer.Established("a", 1, next, 5_000));
     node.advance(1_100_000);
     return server;
@@ -172,7 +172,7 @@
   /** After an ejection, all keys of a server once returned at the same time and timed out there together. */
   @Test
   void aHalfOpenServerGetsOneSetUpAtATimeAndThenMore() {
-    TestNode node = new TestNode().equalServers(3);
+    NodeFixture node = new NodeFixture().equalServers(3);
     String server = ejectedAndHalfOpen(node);
     int arrived = 0;
     // Each success doubles the number of set-ups allowed at once: 1, 2, 4.
@@ -194,7 +194,7 @@
 
   @Test
   void aFailedSetUpKeepsTheServerHalfOpenWithOnePermit() {
-    TestNode node = new TestNode().equalServers(3);
+    NodeFixture node = new NodeFixture().equalServers(3);
     String server = ejectedAndHalfOpen(node);
     assertEquals(server, node.arrive("b", "c", "g"));
     node.end("b", 0, server, Outcome.TIMED_OUT);
@@ -206,13 +206,13 @@
   /** With only half-open servers, requests beyond their permits still go by rank, so that none is stuck. */
   @Test
   void withAllServersHalfOpenNoRequestIsHeld() {
-    TestNode node = new TestNode().equalServers(2);
+    NodeFixture node = new NodeFixture().equalServers(2);
     for (int i = 0; i < 2; i++) {
       String first = node.arrive("f" + i, "c" + i, "h" + i);
-      String second = TestNode.sentTo(node.end("f" + i, 0, first, Outcome.NO_CONNECTION), "f" + i);
+      String second = NodeFixture.sentTo(node.end("f" + i, 0, first, Outcome.NO_CONNECTION), "f" + i);
       node.end("f" + i, 1, second, Outcome.NO_CONNECTION);
     }
-    node.advance(20 * TestNode.SECOND);
+    node.advance(20 * NodeFixture.SECOND);
     for (int i = 0; i < 4; i++) {
       assertNotNull(node.arrive("r" + i, "d" + i, "k" + i));
     }
@@ -221,7 +221,7 @@
   // ---- Bounded load
 
   /** Connects 200 clients of one group to one server, which is returned, and others so that all servers have some. */
-  private static String openManyAtOne(TestNode node) {
+  private static String openManyAtOne(NodeFixture node) {
     String server = null;
     for (int i = 0; i < 200; i++) {
       server = node.open("r" + i, "c" + i, "g");
@@ -234,33 +234,33 @@
 
   @Test
   void aSlowServerGetsNoNewClientsAndShedsAShare() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = openManyAtOne(node);
     List<Action> actions = node.messageDelay("r0", server, 150);
-    int moves = TestNode.ofType(actions, Move.class).size();
+    int moves = NodeFixture.ofType(actions, Move.class).size();
     // One step sheds a tenth of the clients: five standard deviations of the binomial around 20.
     assertTrue(moves > 2 && moves < 42, moves + " moves");
     assertNotEquals(server, node.open("n", "n", "g"));
     assertTrue(node.messageDelay("r1", server, 150).isEmpty(), "no second step within the interval");
-    assertEquals(1, TestNode.ofType(actions, Balancer.Log.class).size(), "it is logged for on-call staff");
+    assertEquals(1, NodeFixture.ofType(actions, Balancer.Log.class).size(), "it is logged for on-call staff");
   }
 
   @Test
   void shedClientsReturnOnceTheShareHasDecayed() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = node.open("a", "c", "g");
     node.open("o1", "o1", "o1");
     node.open("o2", "o2", "o2");
     node.open("o3", "o3", "o3");
     node.messageDelay("a", server, 60);
-    node.advance(200 * TestNode.SECOND);
+    node.advance(200 * NodeFixture.SECOND);
     assertEquals(server, node.open("b", "c", "g"));
   }
 
   /** A recovered server was once avoided for as long as one that had not recovered. */
   @Test
   void aRecoveredServerTakesClientsAtOnce() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = node.open("a", "c", "g");
     node.open("o1", "o1", "o1");
     node.messageDelay("a", server, 55);
@@ -272,23 +272,23 @@
   /** Messages that take seconds are useless: moving a fifth of the clients per step was far too slow. */
   @Test
   void aServerFarOverItsTargetShedsHalfAtOnce() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = openManyAtOne(node);
-    int moves = TestNode.ofType(node.messageDelay("r0", server, 1_500), Move.class).size();
+    int moves = NodeFixture.ofType(node.messageDelay("r0", server, 1_500), Move.class).size();
     assertTrue(moves > 65 && moves < 135, moves + " moves of 200");
   }
 
   /** On real sockets, notes sent once a second come a few milliseconds early or late. */
   @Test
   void aDelayNoteThatComesSlightlyEarlyCounts() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String server = openManyAtOne(node);
     int remaining = 200;
     for (int step = 0; step < 12; step++) {
-      int moves = TestNode.ofType(node.messageDelay("r0", server, 2_000), Move.class).size();
+      int moves = NodeFixture.ofType(node.messageDelay("r0", server, 2_000), Move.class).size();
       assertTrue(moves > 0 || remaining < 20, "a step moved no client, with " + remaining + " left");
       remaining -= moves;
-      node.advance(TestNode.SECOND - 4_000);
+      node.advance(NodeFixture.SECOND - 4_000);
     }
     assertTrue(remaining <= 0, remaining + " stay at a server that takes seconds");
   }
@@ -296,7 +296,7 @@
   @Test
   void invalidDelaysAreIgnored() {
     for (double millis : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY}) {
-      TestNode node = new TestNode().equalServers(3);
+      NodeFixture node = new NodeFixture().equalServers(3);
       String server = node.open("a", "c", "g");
       assertTrue(node.messageDelay("a", server, millis).isEmpty());
       assertEquals(server, node.open("b", "c", "g"));
@@ -305,8 +305,8 @@
 
   @Test
   void inAnOverloadOfMostServersEveryNodeShedsTheSameGroups() {
-    TestNode a = overloaded(1);
-    TestNode b = overloaded(2);
+    NodeFixture a = overloaded(1);
+    NodeFixture b = overloaded(2);
     int shed = 0;
     for (int i = 0; i < 100; i++) {
       FirstAnswer first = refusedAtOnce(a, "g" + i);
@@ -314,7 +314,7 @@
       shed += first.refused ? 1 : 0;
     }
     assertTrue(shed > 0 && shed < 60, shed + " of 100 groups shed after few steps");
-    a.advance(100 * TestNode.SECOND);
+    a.advance(100 * NodeFixture.SECOND);
     for (int i = 0; i < 100; i++) {
       assertTrue(!refusedAtOnce(a, "g" + i).refused, "the shed share decays");
     }
@@ -322,25 +322,25 @@
 
   private record FirstAnswer(boolean refused) {}
 
-  private static FirstAnswer refusedAtOnce(TestNode node, String group) {
+  private static FirstAnswer refusedAtOnce(NodeFixture node, String group) {
     String id = "q" + node.allActions.size();
     List<Action> actions = node.handle(new Arrived(node.request(id, id, group)));
-    return new FirstAnswer(!TestNode.ofType(actions, Refuse.class).isEmpty());
+    return new FirstAnswer(!NodeFixture.ofType(actions, Refuse.class).isEmpty());
   }
 
-  private static TestNode overloaded(long seed) {
-    TestNode.Options options = new TestNode.Options();
+  private static NodeFixture overloaded(long seed) {
+    NodeFixture.Options options = new NodeFixture.Options();
     options.seed = seed;
     return overloaded(options);
   }
 
-  private static TestNode overloaded(TestNode.Options options) {
-    TestNode node = new TestNode(options).equalServers(3);
+  private static NodeFixture overloaded(NodeFixture.Options options) {
+    NodeFixture node = new NodeFixture(options).equalServers(3);
     delayAllServers(node);
     return node;
   }
 
-  private static void delayAllServers(TestNode node) {
+  private static void delayAllServers(NodeFixture node) {
     String[] servers = new String[30];
     for (int i = 0; i < 30; i++) {
       servers[i] = node.open("r" + i, "c" + i, "h" + i);
@@ -349,16 +349,16 @@
       for (int i = 0; i < 30; i++) {
         node.messageDelay("r" + i, servers[i], 300);
       }
-      node.advance(TestNode.SECOND);
+      node.advance(NodeFixture.SECOND);
     }
   }
 
   /** The shed share once outlasted the overload by seconds while servers reported free capacity. */
   @Test
   void shedGroupsAreAdmittedOnceNoServerIsSlowAndOneHasCapacity() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(3);
+    NodeFixture node = new NodeFixture(options).equalServers(3);
     for (int i = 0; i < 3; i++) {
       node.handle(new ProbeResult("s" + i, Outcome.SERVED, 1_000, report(0.1)));
     }
@@ -367,27 +367,27 @@
     for (int i = 0; shedGroup == null; i++) {
       shedGroup = refusedAtOnce(node, "g" + i).refused ? "g" + i : null;
     }
-    node.advance(3 * TestNode.SECOND);
-    assertEquals(List.of(), TestNode.ofType(node.handle(new Arrived(node.request("x", "x", shedGroup))), Refuse.class));
-    List<Probe> probes = TestNode.ofType(node.allActions, Probe.class);
+    node.advance(3 * NodeFixture.SECOND);
+    assertEquals(List.of(), NodeFixture.ofType(node.handle(new Arrived(node.request("x", "x", shedGroup))), Refuse.class));
+    List<Probe> probes = NodeFixture.ofType(node.allActions, Probe.class);
     String server = probes.get(probes.size() - 1).server();
     List<Action> full = node.handle(new ProbeResult(server, Outcome.SERVED, 1_000, report(0.9)));
-    assertEquals(1, TestNode.ofType(full, Refuse.class).size(), "one server is probed, and it is full");
-    node.advance(2 * TestNode.SECOND);
+    assertEquals(1, NodeFixture.ofType(full, Refuse.class).size(), "one server is probed, and it is full");
+    node.advance(2 * NodeFixture.SECOND);
     node.handle(new Arrived(node.request("y", "x", shedGroup)));
-    probes = TestNode.ofType(node.allActions, Probe.class);
+    probes = NodeFixture.ofType(node.allActions, Probe.class);
     server = probes.get(probes.size() - 1).server();
     assertEquals(server,
-        TestNode.sentTo(node.handle(new ProbeResult(server, Outcome.SERVED, 1_000, report(0.3))), "y"));
+        NodeFixture.sentTo(node.handle(new ProbeResult(server, Outcome.SERVED, 1_000, report(0.3))), "y"));
   }
 
   /** In a large fleet a proxy uses two or three servers: one slow one of them once counted as an overload of most. */
   @Test
   void oneSlowServerOfTheFewInUseIsNoOverloadOfMost() {
-    TestNode node = new TestNode().equalServers(7);
+    NodeFixture node = new NodeFixture().equalServers(7);
     String server = node.open("a", "c", "g");
     node.messageDelay("a", server, 300);
-    node.advance(TestNode.SECOND);
+    node.advance(NodeFixture.SECOND);
     node.messageDelay("a", server, 300);
     for (int i = 0; i < 50; i++) {
       assertTrue(!refusedAtOnce(node, "g" + i).refused, "no group is shed");
@@ -397,7 +397,7 @@
   /** Unreachable servers leave lines unanswered, too: with half a zone lost, groups were once shed at the others. */
   @Test
   void ejectedServersDoNotCountAsSlow() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     String[] servers = new String[40];
     for (int i = 0; i < servers.length; i++) {
       servers[i] = node.open("r" + i, "c" + i, "h" + i);
@@ -416,14 +416,14 @@
   /** One small server far over its target once had two fifths of all groups shed, with the others slightly over. */
   @Test
   void oneServerFarOverItsTargetCausesNoLargeStep() {
-    TestNode node = new TestNode().equalServers(3);
+    NodeFixture node = new NodeFixture().equalServers(3);
     String[] servers = new String[30];
     for (int i = 0; i < servers.length; i++) {
       servers[i] = node.open("r" + i, "c" + i, "h" + i);
     }
     int moves = 0;
     for (int i = 0; i < servers.length; i++) {
-      moves += TestNode.ofType(node.messageDelay("r" + i, servers[i], servers[i].equals("s0") ? 1_200 : 150),
+      moves += NodeFixture.ofType(node.messageDelay("r" + i, servers[i], servers[i].equals("s0") ? 1_200 : 150),
           Move.class).size();
     }
     int shed = 0;
@@ -436,16 +436,16 @@
 
   @Test
   void theClassOfLowestWorthIsShedFirst() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.secondClassWorth = 9;
-    TestNode node = overloaded(options);
+    NodeFixture node = overloaded(options);
     int[] shed = new int[2];
     for (int classIndex = 0; classIndex < 2; classIndex++) {
       for (int i = 0; i < 200; i++) {
         Balancer.Request request =
-            new Balancer.Request("q" + classIndex + "-" + i, node.now + 3 * TestNode.SECOND, classIndex, "k" + i,
+            new Balancer.Request("q" + classIndex + "-" + i, node.now + 3 * NodeFixture.SECOND, classIndex, "k" + i,
             "g" + i, Double.NaN, false, false, 0, false);
-        shed[classIndex] += TestNode.ofType(node.handle(new Arrived(request)), Refuse.class).size();
+        shed[classIndex] += NodeFixture.ofType(node.handle(new Arrived(request)), Refuse.class).size();
       }
     }
     assertTrue(shed[0] > 2 * shed[1] && shed[1] > 0,
@@ -456,19 +456,19 @@
 
   @Test
   void serversOfTheLocalZoneGetMoreWhereCrossingCosts() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.nodeCount = 2;
     // Weights 1.5 and 1 at the price of the test's settings: 600 of 1000, four standard deviations.
-    assertEquals(600, sentToLocalZone(new TestNode(options)), 62);
+    assertEquals(600, sentToLocalZone(new NodeFixture(options)), 62);
   }
 
   @Test
   void aSingleNodeDoesNotPreferItsZone() {
-    assertEquals(500, sentToLocalZone(new TestNode()), 64);
+    assertEquals(500, sentToLocalZone(new NodeFixture()), 64);
   }
 
-  private static int sentToLocalZone(TestNode node) {
-    node.fullList(TestNode.server("near", 0, 0), TestNode.server("far", 1, 1));
+  private static int sentToLocalZone(NodeFixture node) {
+    node.fullList(NodeFixture.server("near", 0, 0), NodeFixture.server("far", 1, 1));
     int near = 0;
     for (int i = 0; i < 1000; i++) {
       String id = "r" + i;
@@ -483,51 +483,51 @@
 
   @Test
   void aFullServerIsFoundByAProbeBeforeTheClientIsPlaced() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(3);
+    NodeFixture node = new NodeFixture(options).equalServers(3);
     List<Action> actions = node.handle(new Arrived(node.request("r", "c", "g")));
-    String probed = TestNode.ofType(actions, Probe.class).get(0).server();
-    assertNull(TestNode.sentTo(actions, "r"));
+    String probed = NodeFixture.ofType(actions, Probe.class).get(0).server();
+    assertNull(NodeFixture.sentTo(actions, "r"));
     actions = node.handle(new ProbeResult(probed, Outcome.SERVED, 1_000, report(0.95)));
-    String second = TestNode.ofType(actions, Probe.class).get(0).server();
+    String second = NodeFixture.ofType(actions, Probe.class).get(0).server();
     assertNotEquals(probed, second);
     actions = node.handle(new ProbeResult(second, Outcome.SERVED, 1_000, report(0.2)));
-    assertEquals(second, TestNode.sentTo(actions, "r"));
+    assertEquals(second, NodeFixture.sentTo(actions, "r"));
   }
 
   @Test
   void anUnansweredProbeDelaysAClientOnlyBriefly() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(3);
+    NodeFixture node = new NodeFixture(options).equalServers(3);
     node.handle(new Arrived(node.request("r", "c", "g")));
-    assertNotNull(TestNode.sentTo(node.advance(TestNode.SECOND), "r"));
+    assertNotNull(NodeFixture.sentTo(node.advance(NodeFixture.SECOND), "r"));
   }
 
   /** An unanswered probe was once ignored: the client was sent to the server nevertheless. */
   @Test
   void aServerThatAnswersNoProbeIsSkipped() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(3);
+    NodeFixture node = new NodeFixture(options).equalServers(3);
     List<Action> actions = node.handle(new Arrived(node.request("r", "c", "g")));
-    String probed = TestNode.ofType(actions, Probe.class).get(0).server();
-    String second = TestNode.ofType(node.advance(TestNode.SECOND / 10), Probe.class).get(0).server();
+    String probed = NodeFixture.ofType(actions, Probe.class).get(0).server();
+    String second = NodeFixture.ofType(node.advance(NodeFixture.SECOND / 10), Probe.class).get(0).server();
     assertNotEquals(probed, second);
     node.handle(new ProbeResult(second, Outcome.SERVED, 1_000, report(0.2)));
     node.handle(new ProbeResult(probed, Outcome.TIMED_OUT, 200_000, null));
     actions = node.handle(new Arrived(node.request("s", "c", "g")));
-    assertEquals(second, TestNode.sentTo(actions, "s"));
+    assertEquals(second, NodeFixture.sentTo(actions, "s"));
   }
 
   /** All of a burst once went to one server because of a report from before the burst. */
   @Test
   void sendsSinceTheReportCount() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(2);
-    String first = TestNode.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
+    NodeFixture node = new NodeFixture(options).equalServers(2);
+    String first = NodeFixture.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
     node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.5, 10)));
     String last = null;
     for (int i = 0; i < 4; i++) {
@@ -537,20 +537,20 @@
   }
 
   /** Two servers, for 14 nodes: one with capacity for a few more, which is returned, one nearly full by its report. */
-  private static String capacityAtOne(TestNode node) {
-    String first = TestNode.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
+  private static String capacityAtOne(NodeFixture node) {
+    String first = NodeFixture.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
     String other = first.equals("s0") ? "s1" : "s0";
     node.handle(new ProbeResult(other, Outcome.SERVED, 1_000, report(0.75, 25)));
     assertEquals(first,
-        TestNode.sentTo(node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.42, 22))), "r"));
+        NodeFixture.sentTo(node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.42, 22))), "r"));
     return first;
   }
 
-  private static TestNode nodeOfALargeFleet() {
-    TestNode.Options options = new TestNode.Options();
+  private static NodeFixture nodeOfALargeFleet() {
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
     options.nodeCount = 14;
-    return new TestNode(options).equalServers(2);
+    return new NodeFixture(options).equalServers(2);
   }
 
   /**
@@ -559,22 +559,22 @@
    */
   @Test
   void aServerFullByAssumptionAloneIsProbedAgain() {
-    TestNode node = nodeOfALargeFleet();
+    NodeFixture node = nodeOfALargeFleet();
     String first = capacityAtOne(node);
     node.advance(400_000);
     List<Action> actions = node.handle(new Arrived(node.request("s", "c", "g")));
-    assertEquals(List.of(new Probe(first)), TestNode.ofType(actions, Probe.class));
+    assertEquals(List.of(new Probe(first)), NodeFixture.ofType(actions, Probe.class));
     actions = node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.45, 24)));
-    assertEquals(first, TestNode.sentTo(actions, "s"), "by its report it has capacity");
+    assertEquals(first, NodeFixture.sentTo(actions, "s"), "by its report it has capacity");
   }
 
   /** A server over its limit by assumption gets nothing, but only until it can be probed again. */
   @Test
   void aServerOverItsLimitByAssumptionGetsNothingUntilItsNextProbe() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
     options.nodeCount = 14;
-    TestNode node = new TestNode(options).equalServers(1);
+    NodeFixture node = new NodeFixture(options).equalServers(1);
     node.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(0.42, 22)));
     node.advance(50_000);
     int sent = 0;
@@ -583,33 +583,33 @@
     }
     assertEquals(3, sent, "0.42, plus 0.27 for a send of each node: over the limit at the third");
     List<Action> meanwhile = node.advance(200_000);
-    assertEquals(List.of(), TestNode.ofType(meanwhile, Send.class), "the others are held");
-    assertEquals(1, TestNode.ofType(node.advance(100_000), Probe.class).size(), "then it is probed again");
+    assertEquals(List.of(), NodeFixture.ofType(meanwhile, Send.class), "the others are held");
+    assertEquals(1, NodeFixture.ofType(node.advance(100_000), Probe.class).size(), "then it is probed again");
   }
 
   /** If all servers are full, one with a little free capacity comes before one with none. */
   @Test
   void amongFullServersTheOneWithMostFreeCapacityIsChosen() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mayProbe = true;
-    TestNode node = new TestNode(options).equalServers(2);
-    String first = TestNode.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
+    NodeFixture node = new NodeFixture(options).equalServers(2);
+    String first = NodeFixture.ofType(node.handle(new Arrived(node.request("r", "c", "g"))), Probe.class).get(0).server();
     List<Action> actions = node.handle(new ProbeResult(first, Outcome.SERVED, 1_000, report(0.99)));
-    String second = TestNode.ofType(actions, Probe.class).get(0).server();
+    String second = NodeFixture.ofType(actions, Probe.class).get(0).server();
     actions = node.handle(new ProbeResult(second, Outcome.SERVED, 1_000, report(0.7)));
-    assertEquals(second, TestNode.sentTo(actions, "r"));
+    assertEquals(second, NodeFixture.sentTo(actions, "r"));
   }
 
   @Test
   void invalidReportsAreIgnored() {
     for (double demand : new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY}) {
-      TestNode.Options options = new TestNode.Options();
+      NodeFixture.Options options = new NodeFixture.Options();
       options.mayProbe = true;
-      TestNode node = new TestNode(options).equalServers(1);
+      NodeFixture node = new NodeFixture(options).equalServers(1);
       node.handle(new Arrived(node.request("r", "c", "g")));
       node.handle(new ProbeResult("s0", Outcome.SERVED, 1_000, report(demand)));
-      node.advance(TestNode.SECOND / 5);
-      assertEquals(1, TestNode.ofType(node.allActions, Send.class).size());
+      node.advance(NodeFixture.SECOND / 5);
+      assertEquals(1, NodeFixture.ofType(node.allActions, Send.class).size());
     }
   }
 
@@ -625,36 +625,36 @@
 
   @Test
   void whileAllSetUpsFailANodeBacksOff() {
-    TestNode node = new TestNode().equalServers(6);
+    NodeFixture node = new NodeFixture().equalServers(6);
     int sends = 0;
     for (int i = 0; i < 100; i++) {
       String id = "r" + i;
       String server = node.arrive(id);
       for (int attempt = 0; server != null; attempt++) {
         sends++;
-        server = TestNode.sentTo(node.end(id, attempt, server, Outcome.ERROR), id);
+        server = NodeFixture.sentTo(node.end(id, attempt, server, Outcome.ERROR), id);
       }
-      node.advance(TestNode.SECOND / 100);
+      node.advance(NodeFixture.SECOND / 100);
     }
     assertTrue(sends < 60, sends + " sends in a second in which every set-up failed");
   }
 
   @Test
   void aSetUpThatCannotEndInTimeIsNotStarted() {
-    TestNode node = new TestNode().equalServers(6);
+    NodeFixture node = new NodeFixture().equalServers(6);
     for (int i = 0; i < 4; i++) {
       String server = node.arrive("slow" + i);
-      node.handle(new Ended("slow" + i, 0, server, Outcome.TIMED_OUT, 2 * TestNode.SECOND, true, null));
+      node.handle(new Ended("slow" + i, 0, server, Outcome.TIMED_OUT, 2 * NodeFixture.SECOND, true, null));
     }
-    node.advance(TestNode.SECOND / 4);
-    Balancer.Request hasty = new Balancer.Request("hasty", node.now + TestNode.SECOND / 2, 0, "c", "g",
+    node.advance(NodeFixture.SECOND / 4);
+    Balancer.Request hasty = new Balancer.Request("hasty", node.now + NodeFixture.SECOND / 2, 0, "c", "g",
         Double.NaN, false, false, 0, false);
     node.handle(new Arrived(hasty));
-    node.advance(TestNode.SECOND / 2);
-    assertTrue(TestNode.ofType(node.allActions, Send.class).stream().noneMatch(a -> a.id().equals("hasty")));
+    node.advance(NodeFixture.SECOND / 2);
+    assertTrue(NodeFixture.ofType(node.allActions, Send.class).stream().noneMatch(a -> a.id().equals("hasty")));
     assertEquals(1,
-        TestNode.ofType(node.allActions, Refuse.class).stream().filter(a -> a.id().equals("hasty")).count());
-    node.advance(20 * TestNode.SECOND);
+        NodeFixture.ofType(node.allActions, Refuse.class).stream().filter(a -> a.id().equals("hasty")).count());
+    node.advance(20 * NodeFixture.SECOND);
     assertNotNull(node.arrive("later"), "the time estimate decays");
   }
 
@@ -662,35 +662,35 @@
 
   @Test
   void aNodeSubscribesAndBacksOffAfterFailures() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mustSubscribe = true;
-    TestNode node = new TestNode(options);
-    assertEquals(1, TestNode.ofType(node.advance(5 * TestNode.SECOND), Subscribe.class).size());
+    NodeFixture node = new NodeFixture(options);
+    assertEquals(1, NodeFixture.ofType(node.advance(5 * NodeFixture.SECOND), Subscribe.class).size());
     int calls = 0;
     for (int i = 0; i < 10; i++) {
       node.handle(new ServerList(0, Balancer.ListKind.FAILED, List.of()));
-      calls += TestNode.ofType(node.advance(7 * TestNode.SECOND), Subscribe.class).size();
+      calls += NodeFixture.ofType(node.advance(7 * NodeFixture.SECOND), Subscribe.class).size();
     }
     assertTrue(calls >= 10 && calls <= 20, calls + " calls after 10 failures: calls must not multiply");
     node.equalServers(2);
-    assertTrue(TestNode.ofType(node.advance(60 * TestNode.SECOND), Subscribe.class).isEmpty());
+    assertTrue(NodeFixture.ofType(node.advance(60 * NodeFixture.SECOND), Subscribe.class).isEmpty());
   }
 
   @Test
   void anUnansweredSubscriptionIsRepeated() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mustSubscribe = true;
-    TestNode node = new TestNode(options);
-    int calls = TestNode.ofType(node.advance(100 * TestNode.SECOND), Subscribe.class).size();
+    NodeFixture node = new NodeFixture(options);
+    int calls = NodeFixture.ofType(node.advance(100 * NodeFixture.SECOND), Subscribe.class).size();
     assertTrue(calls >= 10 && calls <= 21, calls + " calls in 100 s");
   }
 
   @Test
   void aFailedCallKeepsTheOldList() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.mustSubscribe = true;
-    TestNode node = new TestNode(options);
-    node.handle(new ServerList(1, Balancer.ListKind.SAVED, List.of(TestNode.server("s0", 1))));
+    NodeFixture node = new NodeFixture(options);
+    node.handle(new ServerList(1, Balancer.ListKind.SAVED, List.of(NodeFixture.server("s0", 1))));
     node.handle(new ServerList(0, Balancer.ListKind.FAILED, List.of()));
     assertEquals("s0", node.arrive("r"));
   }
@@ -699,7 +699,7 @@
 
   @Test
   void eventsAboutUnknownRequestsAndServersAreIgnored() {
-    TestNode node = new TestNode().equalServers(2);
+    NodeFixture node = new NodeFixture().equalServers(2);
     node.end("nobody", 3, "nowhere", Outcome.RESET);
     node.messageDelay("nobody", "nowhere", 100);
     node.handle(new Balancer.Established("nobody", 0, "nowhere", 1));
@@ -714,16 +714,16 @@
   /** A request that no server can take in time was once held until its deadline, and got no retry time. */
   @Test
   void aRequestThatNoServerCanTakeIsRefusedAtOnceWithARetryTime() {
-    TestNode node = new TestNode().equalServers(2);
+    NodeFixture node = new NodeFixture().equalServers(2);
     for (int i = 0; i < 20; i++) {
       String server = node.open("open" + i, "key" + i, null);
       node.messageDelay("open" + i, server, 110);
     }
     for (int i = 0; i < 10; i++) {
-      Request request = new Request("new" + i, node.now + TestNode.SECOND, 0, "other" + i, null, Double.NaN, false,
+      Request request = new Request("new" + i, node.now + NodeFixture.SECOND, 0, "other" + i, null, Double.NaN, false,
           false, 0, false);
       List<Action> actions = node.handle(new Arrived(request));
-      assertEquals(List.of(new Refuse("new" + i, TestNode.SECOND)), actions);
+      assertEquals(List.of(new Refuse("new" + i, NodeFixture.SECOND)), actions);
     }
   }
 }
--- a/proxy/src/test/java/lemondeal/RankingTest.java
+++ b/proxy/src/test/java/lemondeal/RankingTest.java
@@ -21,7 +21,7 @@
   /** The server of each of a fixed set of groups, by a new node that knows only the list. */
   private static Map<String, String> placement(ServerEntry... entries) {
     Map<String, String> serverByKey = new HashMap<>();
-    TestNode node = new TestNode().fullList(entries);
+    NodeFixture node = new NodeFixture().fullList(entries);
     for (int i = 0; i < KEYS; i++) {
       String id = "r" + i;
       String server = node.arrive(id, "c" + i, "g" + i);
@@ -36,7 +36,7 @@
   private static ServerEntry[] fleet(double... weights) {
     ServerEntry[] entries = new ServerEntry[weights.length];
     for (int i = 0; i < weights.length; i++) {
-      entries[i] = TestNode.server("10.0.0." + i + ":80", weights[i]);
+      entries[i] = NodeFixture.server("10.0.0." + i + ":80", weights[i]);
     }
     return entries;
   }
@@ -90,16 +90,16 @@
   @Test
   void fallbackFollowsThePlainFormula() {
     double[] weights = {1, 2, 3, 1, 2};
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.maxAttempts = 5;
     for (int keyIndex = 0; keyIndex < 50; keyIndex++) {
-      TestNode node = new TestNode(options).fullList(fleet(weights));
+      NodeFixture node = new NodeFixture(options).fullList(fleet(weights));
       String id = "r" + keyIndex;
       List<String> tried = new ArrayList<>();
       String server = node.arrive(id, "c", "g" + keyIndex);
       for (int attempt = 0; server != null && attempt < 3; attempt++) {
         tried.add(server);
-        server = TestNode.sentTo(node.end(id, attempt, server, Outcome.NO_CONNECTION), id);
+        server = NodeFixture.sentTo(node.end(id, attempt, server, Outcome.NO_CONNECTION), id);
       }
       assertEquals(plainRanking("g" + keyIndex, weights).subList(0, tried.size()), tried);
       assertEquals(3, tried.size());
@@ -135,11 +135,11 @@
 
   @Test
   void groupsStayTogetherOnlyWhereTheyShareWork() {
-    TestNode shared = new TestNode().equalServers(8);
+    NodeFixture shared = new NodeFixture().equalServers(8);
     assertEquals(shared.arrive("a", "c1", "g"), shared.arrive("b", "c2", "g"));
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.groupsShareWork = false;
-    TestNode node = new TestNode(options).equalServers(8);
+    NodeFixture node = new NodeFixture(options).equalServers(8);
     long servers = java.util.stream.IntStream.range(0, 4).mapToObj(i -> node.arrive("r" + i, "k" + i, "g"))
         .distinct().count();
     assertTrue(servers > 1);
@@ -147,15 +147,15 @@
 
   @Test
   void aRequestWithoutKeysIsPlacedByItsId() {
-    TestNode a = new TestNode().equalServers(8);
-    TestNode b = new TestNode().equalServers(8);
+    NodeFixture a = new NodeFixture().equalServers(8);
+    NodeFixture b = new NodeFixture().equalServers(8);
     assertEquals(a.arrive("r1", null, null), b.arrive("r1", null, null));
   }
 
   @Test
   void invalidWeightsCountAsOneAndZeroRanksLast() {
-    TestNode node = new TestNode().fullList(TestNode.server("zero", 0), TestNode.server("negative", -3),
-        TestNode.server("missing", Double.NaN), TestNode.server("huge", Double.POSITIVE_INFINITY));
+    NodeFixture node = new NodeFixture().fullList(NodeFixture.server("zero", 0), NodeFixture.server("negative", -3),
+        NodeFixture.server("missing", Double.NaN), NodeFixture.server("huge", Double.POSITIVE_INFINITY));
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < 300; i++) {
       counts.merge(node.open("r" + i, "c" + i, "g" + i), 1, Integer::sum);
@@ -163,28 +163,28 @@
     assertEquals(3, counts.size());
     assertNotEquals(null, counts.get("negative"));
     assertTrue(!counts.containsKey("zero"));
-    TestNode alone = new TestNode().fullList(TestNode.server("zero", 0));
+    NodeFixture alone = new NodeFixture().fullList(NodeFixture.server("zero", 0));
     assertEquals("zero", alone.arrive("r"));
   }
 
   @Test
   void midFlowRequestsReachTheirServerWhileItDrains() {
-    TestNode node = new TestNode().equalServers(6);
+    NodeFixture node = new NodeFixture().equalServers(6);
     String holder = node.open("a", "c", "g");
-    TestNode other = new TestNode().equalServers(6);
-    other.listChanges(TestNode.serverInState(holder, ServerState.DRAINING));
-    Balancer.Request midFlow = new Balancer.Request("b", other.now + TestNode.SECOND, 0, "c", "g", Double.NaN, true,
+    NodeFixture other = new NodeFixture().equalServers(6);
+    other.listChanges(NodeFixture.serverInState(holder, ServerState.DRAINING));
+    Balancer.Request midFlow = new Balancer.Request("b", other.now + NodeFixture.SECOND, 0, "c", "g", Double.NaN, true,
         false, 0, false);
-    assertEquals(holder, TestNode.sentTo(other.handle(new Balancer.Arrived(midFlow)), "b"));
+    assertEquals(holder, NodeFixture.sentTo(other.handle(new Balancer.Arrived(midFlow)), "b"));
     assertNotNull(holder);
     assertNotEquals(holder, other.arrive("c", "c", "g"));
-    other.advance(TestNode.SECOND / 2);
+    other.advance(NodeFixture.SECOND / 2);
     // A repeated drain notice does not extend the grace.
-    other.listChanges(TestNode.serverInState(holder, ServerState.DRAINING));
-    other.advance(TestNode.SECOND / 2);
-    Balancer.Request late = new Balancer.Request("d", other.now + TestNode.SECOND, 0, "c", "g", Double.NaN, true,
+    other.listChanges(NodeFixture.serverInState(holder, ServerState.DRAINING));
+    other.advance(NodeFixture.SECOND / 2);
+    Balancer.Request late = new Balancer.Request("d", other.now + NodeFixture.SECOND, 0, "c", "g", Double.NaN, true,
         false, 0, false);
-    String next = TestNode.sentTo(other.handle(new Balancer.Arrived(late)), "d");
+    String next = NodeFixture.sentTo(other.handle(new Balancer.Arrived(late)), "d");
     assertNotNull(next);
     assertNotEquals(holder, next, "after the grace not even a mid-flow request goes there");
   }
--- a/proxy/src/test/java/lemondeal/RulesTest.java
+++ b/proxy/src/test/java/lemondeal/RulesTest.java
@@ -28,14 +28,14 @@
 /** The rules: one final answer in time, no effect twice, drains respected, no cold server overloaded. */
 class RulesTest {
 
-  private static TestNode nodeWith(Idempotency idempotency, DedupScope scope) {
-    TestNode.Options options = new TestNode.Options();
+  private static NodeFixture nodeWith(Idempotency idempotency, DedupScope scope) {
+    NodeFixture.Options options = new NodeFixture.Options();
     options.idempotency = idempotency;
     options.dedupScope = scope;
-    return new TestNode(options);
+    return new NodeFixture(options);
   }
 
-  private static int answers(TestNode node, String id) {
+  private static int answers(NodeFixture node, String id) {
     return (int) node.allActions.stream().filter(a -> (a instanceof Refuse r && r.id().equals(id))
         || (a instanceof Fail f && f.id().equals(id))).count();
   }
@@ -44,30 +44,30 @@
 
   @Test
   void withNoServerARequestIsHeldThenAnsweredOnceBeforeItIsDue() {
-    TestNode node = new TestNode();
+    NodeFixture node = new NodeFixture();
     assertNull(node.arrive("r"));
-    node.advance(3 * TestNode.SECOND - 1);
+    node.advance(3 * NodeFixture.SECOND - 1);
     assertEquals(1, answers(node, "r"));
-    node.advance(10 * TestNode.SECOND);
+    node.advance(10 * NodeFixture.SECOND);
     assertEquals(1, answers(node, "r"));
   }
 
   @Test
   void aHeldRequestIsSentOnceAServerIsKnown() {
-    TestNode node = new TestNode();
+    NodeFixture node = new NodeFixture();
     node.arrive("r");
-    node.advance(TestNode.SECOND / 2);
+    node.advance(NodeFixture.SECOND / 2);
     node.equalServers(2);
-    assertNotNull(TestNode.sentTo(node.advance(TestNode.SECOND / 2), "r"));
+    assertNotNull(NodeFixture.sentTo(node.advance(NodeFixture.SECOND / 2), "r"));
   }
 
   @Test
   void aRequestWithoutAttemptsLeftGetsOneAnswer() {
-    TestNode node = new TestNode().equalServers(9);
+    NodeFixture node = new NodeFixture().equalServers(9);
     String server = node.arrive("r");
     int attempts = 0;
     while (server != null) {
-      server = TestNode.sentTo(node.end("r", attempts++, server, Outcome.REFUSED), "r");
+      server = NodeFixture.sentTo(node.end("r", attempts++, server, Outcome.REFUSED), "r");
     }
     assertEquals(4, attempts);
     assertEquals(1, answers(node, "r"));
@@ -75,53 +75,53 @@
 
   @Test
   void aTimeOutAtTheDeadlineIsAnsweredAtOnce() {
-    TestNode node = new TestNode().equalServers(9);
+    NodeFixture node = new NodeFixture().equalServers(9);
     String server = node.arrive("r");
-    node.advance(3 * TestNode.SECOND);
+    node.advance(3 * NodeFixture.SECOND);
     node.end("r", 0, server, Outcome.TIMED_OUT);
     assertEquals(1, answers(node, "r"));
-    assertEquals(1, TestNode.ofType(node.allActions, Send.class).size());
+    assertEquals(1, NodeFixture.ofType(node.allActions, Send.class).size());
   }
 
   @Test
   void requestsAreSentEvenIfAllServersAreEjected() {
-    TestNode node = new TestNode().equalServers(3);
+    NodeFixture node = new NodeFixture().equalServers(3);
     node.failAll(12, Outcome.NO_CONNECTION);
     assertNotNull(node.arrive("last"));
   }
 
   @Test
   void aClientThatLeftGetsNoAnswerAndItsAttemptIsCancelled() {
-    TestNode node = new TestNode().equalServers(3);
+    NodeFixture node = new NodeFixture().equalServers(3);
     String server = node.arrive("r");
     List<Action> actions = node.handle(new ClientGone("r"));
     assertEquals(List.of(new CancelAttempt("r", 0)), actions);
     assertTrue(node.handle(new Ended("r", 0, server, Outcome.CANCELLED, 1, true, null)).isEmpty());
-    node.advance(10 * TestNode.SECOND);
+    node.advance(10 * NodeFixture.SECOND);
     assertEquals(0, answers(node, "r"));
-    assertEquals(1, TestNode.ofType(node.allActions, Send.class).size());
+    assertEquals(1, NodeFixture.ofType(node.allActions, Send.class).size());
   }
 
   @Test
   void nothingIsSentAfterTheFinalAnswer() {
-    TestNode node = new TestNode();
+    NodeFixture node = new NodeFixture();
     node.arrive("r");
-    node.advance(3 * TestNode.SECOND);
+    node.advance(3 * NodeFixture.SECOND);
     node.equalServers(3);
-    node.advance(10 * TestNode.SECOND);
-    assertTrue(TestNode.ofType(node.allActions, Send.class).isEmpty());
+    node.advance(10 * NodeFixture.SECOND);
+    assertTrue(NodeFixture.ofType(node.allActions, Send.class).isEmpty());
   }
 
   @Test
   void manyWaitingRequestsAllGetTheirAnswer() {
-    TestNode node = new TestNode().equalServers(1);
+    NodeFixture node = new NodeFixture().equalServers(1);
     for (int i = 0; i < 200; i++) {
       node.arrive("r" + i);
     }
     Set<String> sent = new HashSet<>();
-    TestNode.ofType(node.allActions, Send.class).forEach(s -> sent.add(s.id()));
+    NodeFixture.ofType(node.allActions, Send.class).forEach(s -> sent.add(s.id()));
     assertTrue(sent.size() < 200, "a node never starts all set-ups at once");
-    node.advance(4 * TestNode.SECOND);
+    node.advance(4 * NodeFixture.SECOND);
     for (int i = 0; i < 200; i++) {
       assertEquals(sent.contains("r" + i) ? 0 : 1, answers(node, "r" + i));
     }
@@ -131,9 +131,9 @@
 
   @Test
   void attemptsAreNeverInFlightTogether() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     node.arrive("r");
-    assertTrue(TestNode.ofType(node.advance(2 * TestNode.SECOND), Send.class).isEmpty());
+    assertTrue(NodeFixture.ofType(node.advance(2 * NodeFixture.SECOND), Send.class).isEmpty());
   }
 
   @Test
@@ -142,43 +142,43 @@
       if (outcome == Outcome.SERVED) {
         continue;
       }
-      TestNode node = nodeWith(Idempotency.UNSAFE, DedupScope.ALL).equalServers(5);
+      NodeFixture node = nodeWith(Idempotency.UNSAFE, DedupScope.ALL).equalServers(5);
       String server = node.arrive("r");
-      String next = TestNode.sentTo(node.end("r", 0, server, outcome), "r");
+      String next = NodeFixture.sentTo(node.end("r", 0, server, outcome), "r");
       assertEquals(outcome.mayHaveRun, next == null, outcome.toString());
       if (outcome.mayHaveRun) {
-        assertEquals(List.of(new Fail("r")), TestNode.ofType(node.allActions, Fail.class));
-        assertTrue(TestNode.ofType(node.allActions, Refuse.class).isEmpty());
+        assertEquals(List.of(new Fail("r")), NodeFixture.ofType(node.allActions, Fail.class));
+        assertTrue(NodeFixture.ofType(node.allActions, Refuse.class).isEmpty());
       }
     }
   }
 
   @Test
   void anUnknownClassIsUnsafe() {
-    TestNode node = new TestNode().equalServers(5);
+    NodeFixture node = new NodeFixture().equalServers(5);
     Request unknownClass =
-        new Request("r", node.now + TestNode.SECOND, 9, "c", null, Double.NaN, false, false, 0, false);
-    String server = TestNode.sentTo(node.handle(new Arrived(unknownClass)), "r");
+        new Request("r", node.now + NodeFixture.SECOND, 9, "c", null, Double.NaN, false, false, 0, false);
+    String server = NodeFixture.sentTo(node.handle(new Arrived(unknownClass)), "r");
     List<Action> actions = node.end("r", 0, server, Outcome.TIMED_OUT);
-    assertEquals(List.of(new Fail("r")), TestNode.ofType(actions, Fail.class));
-    assertTrue(TestNode.ofType(actions, Send.class).isEmpty());
+    assertEquals(List.of(new Fail("r")), NodeFixture.ofType(actions, Fail.class));
+    assertTrue(NodeFixture.ofType(actions, Send.class).isEmpty());
   }
 
   @Test
   void aKeyedRequestIsRetriedOnlyWithinItsDedupScope() {
     for (DedupScope scope : List.of(DedupScope.ZONE, DedupScope.CELL)) {
       for (int i = 0; i < 20; i++) {
-        TestNode node = nodeWith(Idempotency.KEYED, scope)
-            .fullList(TestNode.server("z0c0a", 0, 0), TestNode.server("z0c0b", 0, 0),
-            TestNode.server("z0c1", 0, 1), TestNode.server("z1c2", 1, 2), TestNode.server("z1c3", 1, 3));
+        NodeFixture node = nodeWith(Idempotency.KEYED, scope)
+            .fullList(NodeFixture.server("z0c0a", 0, 0), NodeFixture.server("z0c0b", 0, 0),
+            NodeFixture.server("z0c1", 0, 1), NodeFixture.server("z1c2", 1, 2), NodeFixture.server("z1c3", 1, 3));
         String first = node.arrive("r" + i);
-        String next = TestNode.sentTo(node.end("r" + i, 0, first, Outcome.TIMED_OUT), "r" + i);
+        String next = NodeFixture.sentTo(node.end("r" + i, 0, first, Outcome.TIMED_OUT), "r" + i);
         if (next != null) {
           int shared = scope == DedupScope.ZONE ? 2 : 4;
           assertEquals(first.substring(0, shared), next.substring(0, shared));
         } else {
-          node.advance(4 * TestNode.SECOND);
-          assertEquals(List.of(new Fail("r" + i)), TestNode.ofType(node.allActions, Fail.class));
+          node.advance(4 * NodeFixture.SECOND);
+          assertEquals(List.of(new Fail("r" + i)), NodeFixture.ofType(node.allActions, Fail.class));
         }
       }
     }
@@ -186,19 +186,19 @@
 
   @Test
   void aKeyedRequestIsNotRetriedAfterItsDedupWindow() {
-    TestNode node = nodeWith(Idempotency.KEYED, DedupScope.ALL).equalServers(5);
+    NodeFixture node = nodeWith(Idempotency.KEYED, DedupScope.ALL).equalServers(5);
     String server = node.arrive("r");
-    node.advance(2 * TestNode.SECOND + 1);
-    assertNull(TestNode.sentTo(node.end("r", 0, server, Outcome.TIMED_OUT), "r"));
+    node.advance(2 * NodeFixture.SECOND + 1);
+    assertNull(NodeFixture.sentTo(node.end("r", 0, server, Outcome.TIMED_OUT), "r"));
     assertEquals(1, answers(node, "r"));
   }
 
   @Test
   void aKeyedRequestThatDidNotRunMayGoAnywhere() {
-    TestNode node = nodeWith(Idempotency.KEYED, DedupScope.CELL)
-        .fullList(TestNode.server("a", 0, 0), TestNode.server("b", 1, 1));
+    NodeFixture node = nodeWith(Idempotency.KEYED, DedupScope.CELL)
+        .fullList(NodeFixture.server("a", 0, 0), NodeFixture.server("b", 1, 1));
     String server = node.arrive("r");
-    String next = TestNode.sentTo(node.end("r", 0, server, Outcome.REFUSED), "r");
+    String next = NodeFixture.sentTo(node.end("r", 0, server, Outcome.REFUSED), "r");
     assertNotNull(next);
     assertNotEquals(server, next);
   }
@@ -207,9 +207,9 @@
 
   @Test
   void drainingAndRemovedServersGetNothingNew() {
-    TestNode node = new TestNode().equalServers(4);
-    node.listChanges(TestNode.serverInState("s0", ServerState.DRAINING),
-        TestNode.serverInState("s1", ServerState.GONE));
+    NodeFixture node = new NodeFixture().equalServers(4);
+    node.listChanges(NodeFixture.serverInState("s0", ServerState.DRAINING),
+        NodeFixture.serverInState("s1", ServerState.GONE));
     for (int i = 0; i < 60; i++) {
       String server = node.open("r" + i, "r" + i, null);
       assertTrue(server.equals("s2") || server.equals("s3"), server);
@@ -218,16 +218,16 @@
 
   @Test
   void aServerAbsentFromAFullListIsRemoved() {
-    TestNode node = new TestNode().equalServers(4);
-    node.fullList(TestNode.server("s3", 1));
+    NodeFixture node = new NodeFixture().equalServers(4);
+    node.fullList(NodeFixture.server("s3", 1));
     assertEquals("s3", node.arrive("r"));
   }
 
   @Test
   void aServerKnownOnlyFromAnAdoptedConnectionIsNotSentTo() {
-    TestNode node = new TestNode().equalServers(2);
+    NodeFixture node = new NodeFixture().equalServers(2);
     node.handle(new Adopted(node.request("old", "c", "g"), "elsewhere"));
-    node.listChanges(TestNode.server("s0", 1));
+    node.listChanges(NodeFixture.server("s0", 1));
     for (int i = 0; i < 40; i++) {
       assertNotEquals("elsewhere", node.open("r" + i, "r" + i, null));
     }
@@ -239,24 +239,24 @@
   private static int coldSends(int nodes, int burst, boolean settled) {
     int sends = 0;
     for (int nodeIndex = 0; nodeIndex < nodes; nodeIndex++) {
-      TestNode.Options options = new TestNode.Options();
+      NodeFixture.Options options = new NodeFixture.Options();
       options.nodeCount = nodes;
       options.nodeIndex = nodeIndex;
-      TestNode node = new TestNode(options).equalServers(4);
+      NodeFixture node = new NodeFixture(options).equalServers(4);
       if (settled) {
         for (int i = 0; i < 20; i++) {
           node.open("w" + nodeIndex + "-" + i, "w" + nodeIndex + "-" + i, null);
-          node.advance(TestNode.SECOND / 2);
+          node.advance(NodeFixture.SECOND / 2);
         }
       }
-      node.listChanges(TestNode.serverStartedAt("s0", node.now));
+      node.listChanges(NodeFixture.serverStartedAt("s0", node.now));
       for (int i = 0; i < burst; i++) {
         String id = "r" + nodeIndex + "-" + i;
         String server = node.open(id, "k" + nodeIndex + "-" + i, null);
         sends += "s0".equals(server) ? 1 : 0;
         node.handle(new Ended(id, 0, server, Outcome.SERVED, 1, true, null));
       }
-      for (Action a : node.advance(2 * TestNode.SECOND)) {
+      for (Action a : node.advance(2 * NodeFixture.SECOND)) {
         sends += a instanceof Send s && s.server().equals("s0") ? 1 : 0;
       }
     }
@@ -281,9 +281,9 @@
 
   @Test
   void aWarmServerIsUsedInFull() {
-    TestNode node = new TestNode().equalServers(2);
-    node.listChanges(TestNode.serverStartedAt("s0", node.now));
-    node.advance(11 * TestNode.SECOND);
+    NodeFixture node = new NodeFixture().equalServers(2);
+    node.listChanges(NodeFixture.serverStartedAt("s0", node.now));
+    node.advance(11 * NodeFixture.SECOND);
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 30; i++) {
       used.add(node.open("r" + i, "r" + i, null));
@@ -293,8 +293,8 @@
 
   @Test
   void aStartInTheFutureCountsAsJustStarted() {
-    TestNode node = new TestNode().equalServers(2);
-    node.listChanges(TestNode.serverStartedAt("s0", node.now + 100 * TestNode.SECOND));
+    NodeFixture node = new NodeFixture().equalServers(2);
+    node.listChanges(NodeFixture.serverStartedAt("s0", node.now + 100 * NodeFixture.SECOND));
     int coldSends = 0;
     for (int i = 0; i < 40; i++) {
       coldSends += "s0".equals(node.open("r" + i, "r" + i, null)) ? 1 : 0;
--- a/proxy/src/test/java/lemondeal/SharedStoreTest.java
+++ b/proxy/src/test/java/lemondeal/SharedStoreTest.java
@@ -24,7 +24,7 @@
  * abandoned calls, so retries without backoff keep it busy with work that no client waits for any more.
  */
 class SharedStoreTest {
-  private static final long SECOND = TestNode.SECOND;
+  private static final long SECOND = NodeFixture.SECOND;
   private static final long CLIENT_DEADLINE = SECOND;
   private static final long CLIENT_PAUSE = 100_000;
 
@@ -33,7 +33,7 @@
   private final SplittableRandom random = new SplittableRandom(5);
   private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>(
       Comparator.comparingLong(ScheduledEvent::time).thenComparingLong(ScheduledEvent::sequence));
-  private final List<TestNode> nodes = new ArrayList<>();
+  private final List<NodeFixture> nodes = new ArrayList<>();
   private long now = 1_000 * SECOND;
   private long nextSequence;
   private long storeFreeAt;
@@ -98,7 +98,7 @@
 
   private void tick(long end) {
     for (int index = 0; index < nodes.size(); index++) {
-      TestNode node = nodes.get(index);
+      NodeFixture node = nodes.get(index);
       perform(index, -1, node.advance(now - node.now));
     }
     if (now + 5_000 <= end) {
@@ -111,11 +111,11 @@
   void aSharedStoreIsNotOverloadedByAbandonedSetUps(int count, int callsPerSecond, int clients) {
     storeCallMicros = SECOND / callsPerSecond;
     for (int index = 0; index < count; index++) {
-      TestNode.Options options = new TestNode.Options();
+      NodeFixture.Options options = new NodeFixture.Options();
       options.nodeIndex = index;
       options.nodeCount = count;
       options.seed = index + 1;
-      nodes.add(new TestNode(options).equalServers(30));
+      nodes.add(new NodeFixture(options).equalServers(30));
     }
     for (int client = 0; client < clients; client++) {
       int arriving = client;
--- a/proxy/src/test/java/lemondeal/ZoneAdmissionTest.java
+++ b/proxy/src/test/java/lemondeal/ZoneAdmissionTest.java
@@ -19,17 +19,17 @@
 class ZoneAdmissionTest {
   private static final int KEYS = 200;
 
-  private static TestNode node(TestNode.Options options) {
-    return new TestNode(options)
-        .fullList(TestNode.server("a0", 0, 0), TestNode.server("a1", 0, 0), TestNode.server("b0", 1, 0),
-        TestNode.server("b1", 1, 0));
+  private static NodeFixture node(NodeFixture.Options options) {
+    return new NodeFixture(options)
+        .fullList(NodeFixture.server("a0", 0, 0), NodeFixture.server("a1", 0, 0), NodeFixture.server("b0", 1, 0),
+        NodeFixture.server("b1", 1, 0));
   }
 
-  private static TestNode node() {
-    return node(new TestNode.Options());
+  private static NodeFixture node() {
+    return node(new NodeFixture.Options());
   }
 
-  private static List<String> openAll(TestNode node, String idPrefix) {
+  private static List<String> openAll(NodeFixture node, String idPrefix) {
     List<String> servers = new ArrayList<>();
     for (int i = 0; i < KEYS; i++) {
       servers.add(node.open(idPrefix + i, "key" + i, null));
@@ -39,7 +39,7 @@
 
   @Test
   void aClosedZoneGetsNothingAndRegainsItsKeysWhenOpened() {
-    TestNode node = node();
+    NodeFixture node = node();
     List<String> before = openAll(node, "before");
     node.handle(new ZoneOpen(1, 0, 0, 0));
     List<String> closed = openAll(node, "closed");
@@ -55,7 +55,7 @@
 
   @Test
   void aPartlyOpenZoneGetsAGrowingShareOfStableKeys() {
-    TestNode node = node();
+    NodeFixture node = node();
     List<String> before = openAll(node, "before");
     node.handle(new ZoneOpen(1, 0.3, ZoneOpen.UNLIMITED, 0));
     List<String> some = openAll(node, "some");
@@ -72,39 +72,39 @@
 
   @Test
   void theSendLimitOfAZoneHolds() {
-    TestNode node = node();
+    NodeFixture node = node();
     node.handle(new ZoneOpen(1, 1, 3, 0));
     assertEquals(3, openAll(node, "few").stream().filter(server -> server.startsWith("b")).count());
   }
 
   @Test
   void theRequestedNumberOfConnectionsMovesHighestWorthFirst() {
-    TestNode.Options options = new TestNode.Options();
+    NodeFixture.Options options = new NodeFixture.Options();
     options.secondClassWorth = 5;
-    TestNode node = node(options);
+    NodeFixture node = node(options);
     List<String> highWorthInZone = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       String id = "c" + i;
       Request usual = node.request(id, id, null);
       Request request = new Request(id, usual.due(), i % 2, id, null, Double.NaN, false, false, 0, false);
-      String server = TestNode.sentTo(node.handle(new Arrived(request)), id);
+      String server = NodeFixture.sentTo(node.handle(new Arrived(request)), id);
       node.handle(new Established(id, 0, server, 5_000));
       if (i % 2 == 1 && server.startsWith("b")) {
         highWorthInZone.add(id);
       }
     }
     List<Action> actions = node.handle(new ZoneOpen(1, 0, 0, highWorthInZone.size()));
-    assertEquals(highWorthInZone, TestNode.ofType(actions, Move.class).stream().map(Move::id).toList());
+    assertEquals(highWorthInZone, NodeFixture.ofType(actions, Move.class).stream().map(Move::id).toList());
   }
 
   /** Without any open zone a client gets a refusal with a retry time at once. */
   @Test
   void withEveryZoneClosedClientsAreRefusedAtOnce() {
-    TestNode node = node();
+    NodeFixture node = node();
     node.handle(new ZoneOpen(0, 0, 0, 0));
     node.handle(new ZoneOpen(1, 0, 0, 0));
     List<Action> actions = node.handle(new Arrived(node.request("r", "k", null)));
-    assertEquals(1, TestNode.ofType(actions, Refuse.class).size());
-    assertTrue(TestNode.ofType(actions, Refuse.class).get(0).retryAfter() > 0);
+    assertEquals(1, NodeFixture.ofType(actions, Refuse.class).size());
+    assertTrue(NodeFixture.ofType(actions, Refuse.class).get(0).retryAfter() > 0);
   }
 }
